--- a/src/main/java/io/violetrail/api/Intake.java
+++ b/src/main/java/io/violetrail/api/Intake.java
@@ -1,11 +1,15 @@
 package io.violetrail.api;
 
 import io.violetrail.config.Settings.Team;
+import io.violetrail.configuration.Configuration;
+import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Shape;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.state.StateStore;
+import io.violetrail.tracing.Traces;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -17,10 +21,27 @@
 public final class Intake {
   private static final int MAX_OPEN_JOBS = 5_000;
 
-  private final Node node;
+  private final StateStore store;
+  private final Membership membership;
+  private final Configuration configuration;
+  private final MachineTypes machineTypes;
+  private final Jobs jobs;
+  private final Traces traces;
 
-  public Intake(Node node) {
-    this.node = node;
+  /** Stores what it accepts as jobs of this controller's own entity. */
+  public Intake(
+      StateStore store,
+      Membership membership,
+      Configuration configuration,
+      MachineTypes machineTypes,
+      Jobs jobs,
+      Traces traces) {
+    this.store = store;
+    this.membership = membership;
+    this.configuration = configuration;
+    this.machineTypes = machineTypes;
+    this.jobs = jobs;
+    this.traces = traces;
   }
 
   /** What became of a job. */
@@ -46,9 +67,9 @@
 
   /** Takes the job in, with a row of its own if one is given. */
   public CompletableFuture<Decision> admit(JobSpec spec, Companion with) {
-    node.traces.asked(spec.id());
+    traces.asked(spec.id());
     return decide(spec, with)
-        .whenComplete((d, failure) -> node.traces.answered(spec.id(), d.verdict().name()));
+        .whenComplete((d, failure) -> traces.answered(spec.id(), d.verdict().name()));
   }
 
   private CompletableFuture<Decision> decide(JobSpec spec, Companion with) {
@@ -56,16 +77,16 @@
     if (closed != null) {
       return later(closed);
     }
-    OwnedEntity own = node.membership.own();
+    OwnedEntity own = membership.own();
     String never = neverRuns(spec);
     if (never != null) {
       return refuse(spec, never);
     }
-    if (own.jobs.size() >= MAX_OPEN_JOBS || node.store.overloaded(node.jobs.waiting(own))) {
+    if (own.jobs.size() >= MAX_OPEN_JOBS || store.overloaded(jobs.waiting(own))) {
       // Said at once: who waits in vain for a place in the queue comes back later than who is told.
       return later("too many jobs at once");
     }
-    return node.jobs
+    return jobs
         .store(own, spec, with)
         .handle(
             (stored, failure) -> {
@@ -86,11 +107,11 @@
    * first: while the machine types are not known nothing seems ever to run, which is not an answer.
    */
   public String closed() {
-    OwnedEntity own = node.membership.own();
-    if (own == null || !own.active() || !node.membership.valid()) {
+    OwnedEntity own = membership.own();
+    if (own == null || !own.active() || !membership.valid()) {
       return "this controller cannot take jobs now";
     }
-    return node.types().isEmpty() ? "the machine types are not known yet" : null;
+    return machineTypes.isEmpty() ? "the machine types are not known yet" : null;
   }
 
   private static CompletableFuture<Decision> later(String why) {
@@ -99,7 +120,7 @@
 
   /** A job that was accepted once is never refused, even if a check would now fail. */
   private CompletableFuture<Decision> refuse(JobSpec spec, String why) {
-    return node.jobs
+    return jobs
         .lookUp(spec.id())
         .handle(
             (found, failure) -> {
@@ -114,15 +135,15 @@
 
   /** Why a job can never run; null if it can. */
   public String neverRuns(JobSpec s) {
-    Team team = node.configuration.team(s.team());
+    Team team = configuration.team(s.team());
     if (team == null) {
       return "unknown team";
     }
-    if (!node.configuration.accepts(s.team())) {
+    if (!configuration.accepts(s.team())) {
       return "the team is closed";
     }
     Set<String> zones = new HashSet<>();
-    for (MachineType t : node.types().values()) {
+    for (MachineType t : machineTypes.all()) {
       if ((s.types() == null || s.types().contains(t.name())) && s.task().fitsIn(t.size())) {
         zones.addAll(t.zones());
       }
--- /dev/null
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -0,0 +1,47 @@
+package io.violetrail.api;
+
+import io.violetrail.model.JobId;
+import io.violetrail.model.JobView;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.scheduling.Job;
+
+/** What this controller can say of a job's state from its own memory, for users and peers. */
+public final class JobStateLookup {
+  private final Membership membership;
+  private final Jobs jobs;
+
+  /** Looks in the entities owned here, and among the ended jobs that are remembered. */
+  public JobStateLookup(Membership membership, Jobs jobs) {
+    this.membership = membership;
+    this.jobs = jobs;
+  }
+
+  /**
+   * The state of a job as it is known here for sure; null if it is not.
+   *
+   * <p>An end that is stored never changes. An open job's state is known to its valid owner alone,
+   * and only while no write of its end is undecided: that may have been carried out with its answer
+   * lost, and others may have read it. The owner then said "running" after another controller had
+   * told the same user "cancelled"; now whoever asks gets what the rows say.
+   */
+  public JobView knownView(JobId id) {
+    JobView ended = jobs.terminalView(id);
+    if (ended != null || !membership.valid()) {
+      return ended;
+    }
+    OwnedEntity entity = entityOfOpenJob(id);
+    Job job = entity == null ? null : entity.jobs.get(id);
+    return job == null || job.endUndecided() ? null : job.view();
+  }
+
+  /** The owned entity that has the job open; null if there is none. */
+  public OwnedEntity entityOfOpenJob(JobId id) {
+    for (OwnedEntity entity : membership.holdings()) {
+      if (entity.active() && entity.jobs.containsKey(id)) {
+        return entity;
+      }
+    }
+    return null;
+  }
+}
--- a/src/main/java/io/violetrail/api/Jobs.java
+++ b/src/main/java/io/violetrail/api/Jobs.java
@@ -4,22 +4,30 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
+import io.violetrail.config.Settings.StateLimits;
 import io.violetrail.evidence.GoneProof;
+import io.violetrail.fleet.Spares;
 import io.violetrail.model.Amounts;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
+import io.violetrail.model.JobView;
+import io.violetrail.net.Loop;
 import io.violetrail.net.Rounds;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows;
+import io.violetrail.scheduling.Aims;
 import io.violetrail.scheduling.Job;
+import io.violetrail.scheduling.PendingJobs;
 import io.violetrail.scheduling.Placement;
 import io.violetrail.state.StateStore.Unavailable;
+import io.violetrail.state.StateStore;
+import io.violetrail.tracing.Traces;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateWire.Entry;
+import io.violetrail.worker.TaskStopper;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -37,7 +45,15 @@
   private static final double ASK_AGAIN_S = 3;
   private static final double END_AGAIN_S = 2;
 
-  private final Node node;
+  private final Loop loop;
+  private final StateStore store;
+  private final StateLimits limits;
+  private final Membership membership;
+  private final PendingJobs pendingJobs;
+  private final Aims aims;
+  private final Spares spares;
+  private final TaskStopper taskStopper;
+  private final Traces traces;
   private final Map<OwnedEntity, Progress> progress = new HashMap<>();
   private final Map<OwnedEntity, Ledger> ledgers = new HashMap<>();
   private final Cache<JobId, Known> terminal =
@@ -55,9 +71,27 @@
   /** Jobs of other entities' ended tasks are asked about now and then, not with every report. */
   private final Cache<JobId, Double> askedS = CacheBuilder.newBuilder().maximumSize(1_000).build();
 
-  public Jobs(Node node) {
-    this.node = node;
-    this.lookUps = new Rounds<>(id -> read(id, key -> node.store.getForUser(key, 2)));
+  /** Tells the pending jobs and the task stopper what begins and ends. */
+  public Jobs(
+      Loop loop,
+      StateStore store,
+      StateLimits limits,
+      Membership membership,
+      PendingJobs pendingJobs,
+      Aims aims,
+      Spares spares,
+      TaskStopper taskStopper,
+      Traces traces) {
+    this.loop = loop;
+    this.store = store;
+    this.limits = limits;
+    this.membership = membership;
+    this.pendingJobs = pendingJobs;
+    this.aims = aims;
+    this.spares = spares;
+    this.taskStopper = taskStopper;
+    this.traces = traces;
+    this.lookUps = new Rounds<>(id -> read(id, key -> store.getForUser(key, 2)));
   }
 
   /** A job that is over, or bound to another entity ({@code view} is null then). */
@@ -110,12 +144,12 @@
     if (known != null) {
       return known;
     }
-    double now = node.loop.seconds();
+    double now = loop.seconds();
     Double asked = askedS.getIfPresent(id);
     boolean due = asked == null || now - asked > ASK_AGAIN_S;
     if (due && lookingUp.size() < 100 && lookingUp.add(id)) {
       askedS.put(id, (Double) now);
-      read(id, node.store::get)
+      read(id, store::get)
           .whenComplete(
               (found, failure) -> {
                 lookingUp.remove(id);
@@ -154,7 +188,7 @@
                 return CompletableFuture.completedFuture(new Found(null, null, null));
               }
               ControllerId entity = new ControllerId(claim.value().path("entity").asText());
-              return node.store
+              return store
                   .getNow(Rows.page(entity, claim.value().path("page").asText()))
                   .thenApply(page -> found(id, entity, amounts(claim.value()), page));
             });
@@ -189,7 +223,7 @@
   }
 
   private Job job(JobSpec spec, long arrivedMs, double arrivedS, boolean recovered) {
-    return new Job(spec, arrivedMs, arrivedS, recovered, node.dispatcher.spareWork(spec));
+    return new Job(spec, arrivedMs, arrivedS, recovered, aims.spareWork(spec));
   }
 
   /**
@@ -200,8 +234,8 @@
 
   /** Stores a new job, with a row of its own if one is given. */
   public CompletableFuture<Stored> store(OwnedEntity h, JobSpec spec, Companion with) {
-    long nowMs = node.loop.wallMillis();
-    double nowS = node.loop.seconds();
+    long nowMs = loop.wallMillis();
+    double nowS = loop.seconds();
     CompletableFuture<Stored> result = new CompletableFuture<>();
     // An answer that never came leaves the outcome open; it is repeated until certain, so that no
     // job is stored without its owner knowing of it.
@@ -218,8 +252,8 @@
                 // and a job that was not taken up would never run.
                 if (h.phase != OwnedEntity.Phase.LOST) {
                   h.jobs.putIfAbsent(spec.id(), job(spec, nowMs, nowS, false));
-                  node.fleet.spares.arrived(spec, nowS);
-                  node.dispatcher.changed(h);
+                  spares.arrived(spec, nowS);
+                  pendingJobs.jobsChanged(h);
                 }
                 LOG.info(
                     "job {} accepted by entity {} version {}: {} tasks",
@@ -245,13 +279,13 @@
     Ledger.Stored stored = h.active() && !h.jobs.containsKey(id) ? ledger(h).stored(id) : null;
     if (stored != null) {
       take(h, stored);
-      node.dispatcher.changed(h);
+      pendingJobs.jobsChanged(h);
     }
   }
 
   /** Reads which of the jobs on an entity's sheets are open. */
   public CompletableFuture<List<Ledger.Stored>> open(OwnedEntity h, List<Entry> sheets) {
-    Ledger ledger = new Ledger(node, h);
+    Ledger ledger = newLedger(h);
     ledgers.put(h, ledger);
     return ledger.load(sheets);
   }
@@ -264,15 +298,19 @@
   }
 
   private void take(OwnedEntity h, Ledger.Stored stored) {
-    double age = Math.max(0, node.loop.wallMillis() - stored.arrivedMs()) / 1000.0;
+    double age = Math.max(0, loop.wallMillis() - stored.arrivedMs()) / 1000.0;
     JobSpec spec = stored.spec();
-    h.jobs.put(spec.id(), job(spec, stored.arrivedMs(), node.loop.seconds() - age, true));
+    h.jobs.put(spec.id(), job(spec, stored.arrivedMs(), loop.seconds() - age, true));
     bound.put(spec.id(), h.entity());
   }
 
+  private Ledger newLedger(OwnedEntity entity) {
+    return new Ledger(loop, store, limits, membership, entity);
+  }
+
   private Ledger ledger(OwnedEntity h) {
     ledgers.keySet().removeIf(other -> other.phase == OwnedEntity.Phase.LOST && other != h);
-    return ledgers.computeIfAbsent(h, x -> new Ledger(node, x));
+    return ledgers.computeIfAbsent(h, this::newLedger);
   }
 
   /** Tasks of the job may be done: store that, in time, and close the job after the last one. */
@@ -289,13 +327,13 @@
   }
 
   private Progress progress(OwnedEntity h) {
-    progress.keySet().retainAll(node.membership.holdings());
-    return progress.computeIfAbsent(h, x -> new Progress(node, x));
+    progress.keySet().retainAll(membership.holdings());
+    return progress.computeIfAbsent(h, owned -> new Progress(loop, store, limits, membership, owned));
   }
 
   /** Stores the progress that is due. */
   public void flush(OwnedEntity h) {
-    progress(h).flush(node.loop.seconds());
+    progress(h).flush(loop.seconds());
   }
 
   /** Stores the end of a job. Only afterwards is anybody told of it. */
@@ -308,10 +346,10 @@
         .handle(
             (stored, failure) -> {
               if (failure != null) {
-                node.membership.suspect();
+                membership.suspect();
                 if (h.phase != OwnedEntity.Phase.LOST) {
                   // Refused for a reason that may pass: nobody else would ever store this end.
-                  node.loop.after(END_AGAIN_S, () -> job.write(() -> end(h, job, status)));
+                  loop.after(END_AGAIN_S, () -> job.write(() -> end(h, job, status)));
                 }
                 return false;
               }
@@ -329,7 +367,7 @@
         h.entity(),
         job.spec.task());
     LOG.info("job {} of entity {} is {}", job.spec.id(), h.entity(), status);
-    node.traces.ended(job.spec.id(), status);
+    traces.ended(job.spec.id(), status);
     stop(h, job);
     if (job.nothingPlaced()) {
       h.jobs.remove(job.spec.id(), job);
@@ -339,10 +377,10 @@
   private void stop(OwnedEntity h, Job job) {
     for (Placement p : job.placements()) {
       if (p.revocable()) {
-        h.unplace(p, node.loop.seconds(), GoneProof.NEVER_SENT);
+        h.unplace(p, loop.seconds(), GoneProof.NEVER_SENT);
       } else {
         p.halt(0);
-        node.taskStopper.cancelled(p);
+        taskStopper.cancelled(p);
       }
     }
   }
--- a/src/main/java/io/violetrail/api/Ledger.java
+++ b/src/main/java/io/violetrail/api/Ledger.java
@@ -6,15 +6,18 @@
 import io.violetrail.api.Sheets.Entered;
 import io.violetrail.api.Sheets.Page;
 import io.violetrail.api.Sheets.Sheet;
+import io.violetrail.config.Settings.StateLimits;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
+import io.violetrail.model.JobView;
+import io.violetrail.net.Loop;
 import io.violetrail.net.Soon;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows;
 import io.violetrail.state.StateStore.Unavailable;
+import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobWire;
 import io.violetrail.wire.StateWire.Entry;
@@ -66,7 +69,10 @@
   /** Rows of jobs' own in one transaction, for the same reason. */
   private static final int MAX_COMPANION_BYTES = 20 * 1024;
 
-  private final Node node;
+  private final Loop loop;
+  private final StateStore store;
+  private final StateLimits limits;
+  private final Membership membership;
   private final OwnedEntity h;
   private final Sheets sheets;
   private final ArrayDeque<Edit> edits = new ArrayDeque<>();
@@ -99,11 +105,15 @@
     }
   }
 
-  Ledger(Node node, OwnedEntity h) {
-    this.node = node;
+  Ledger(
+      Loop loop, StateStore store, StateLimits limits, Membership membership, OwnedEntity h) {
+    this.loop = loop;
+    this.store = store;
+    this.limits = limits;
+    this.membership = membership;
     this.h = h;
-    this.next = new Soon(node.loop, this::write);
-    this.sheets = new Sheets(h, node.settings.stateLimits().valueBytes());
+    this.next = new Soon(loop, this::write);
+    this.sheets = new Sheets(h, limits.valueBytes());
   }
 
   /** The end of a job as it stands on a page; null if none stands there. */
@@ -130,7 +140,7 @@
     if (before != null) {
       return before.done.thenApply(stored -> new Jobs.Stored(false, false, 0));
     }
-    Edit e = new Edit(spec.id(), spec, arrivedMs, null, with, node.loop.seconds());
+    Edit e = new Edit(spec.id(), spec, arrivedMs, null, with, loop.seconds());
     entering.put(e.id, e);
     e.done.whenComplete((stored, failure) -> entering.remove(e.id, e));
     return add(e).thenApply(stored -> new Jobs.Stored(stored, e.companionTaken, e.revision));
@@ -138,7 +148,7 @@
 
   /** Stores the end of an open job; fails if the entity has moved. */
   CompletableFuture<Boolean> end(JobId id, Status status, int done) {
-    return add(new Edit(id, null, 0, status.name() + " " + done, null, node.loop.seconds()));
+    return add(new Edit(id, null, 0, status.name() + " " + done, null, loop.seconds()));
   }
 
   private CompletableFuture<Boolean> add(Edit e) {
@@ -159,7 +169,7 @@
     }
     writing = true;
     Draft[] drawn = new Draft[1];
-    node.store
+    store
         .settleLateForUser(() -> (drawn[0] = draft()) == null ? null : drawn[0].finish())
         .whenComplete(
             (outcome, failure) -> {
@@ -196,8 +206,8 @@
     private final int maxWrites =
         (int)
             Math.min(
-                node.settings.stateLimits().txnOps(),
-                Math.max(LEAST_WRITES, node.store.writesPerSecond()));
+                limits.txnOps(),
+                Math.max(LEAST_WRITES, store.writesPerSecond()));
 
     private boolean full() {
       int writes = claims + sheetsTo.size() + pagesTo.size();
@@ -218,7 +228,7 @@
         Entered job = sheets.open(e.id);
         if (job == null) {
           // Its end stands already. Whoever waits may have more to store, so is told afterwards.
-          node.loop.execute(() -> e.done.complete(true));
+          loop.execute(() -> e.done.complete(true));
           return true;
         }
         left.add(e.id);
@@ -305,7 +315,7 @@
   }
 
   private boolean endsWaitLong() {
-    double now = node.loop.seconds();
+    double now = loop.seconds();
     for (Edit e : edits) {
       if (e.spec == null && now - e.sinceS > END_PATIENCE_S) {
         return true;
@@ -329,7 +339,7 @@
       draft.taken.forEach(
           e -> e.done.completeExceptionally(new Unavailable("the entity has moved", 409)));
       fail();
-      node.membership.suspect();
+      membership.suspect();
       return;
     }
     List<Sheet> sheetsOff =
@@ -366,13 +376,13 @@
 
   private void reread(Draft draft, List<Sheet> sheetsOff, List<Page> pagesOff) {
     List<CompletableFuture<Entry>> reads = new ArrayList<>();
-    sheetsOff.forEach(s -> reads.add(node.store.get(Rows.sheet(h.entity(), s.number))));
-    pagesOff.forEach(p -> reads.add(node.store.get(Rows.page(h.entity(), p.name))));
+    sheetsOff.forEach(s -> reads.add(store.get(Rows.sheet(h.entity(), s.number))));
+    pagesOff.forEach(p -> reads.add(store.get(Rows.page(h.entity(), p.name))));
     CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
         .whenComplete(
             (nothing, failure) -> {
               if (failure != null) {
-                node.loop.after(0.5, () -> reread(draft, sheetsOff, pagesOff));
+                loop.after(0.5, () -> reread(draft, sheetsOff, pagesOff));
                 return;
               }
               writing = false;
@@ -402,7 +412,7 @@
   /** Takes over what a former owner left on the sheets listed; the jobs that are still open. */
   CompletableFuture<List<Stored>> load(List<Entry> listed) {
     Map<String, CompletableFuture<Entry>> reads = new HashMap<>();
-    Sheets.pagesOf(listed).forEach(n -> reads.put(n, node.store.getNow(Rows.page(h.entity(), n))));
+    Sheets.pagesOf(listed).forEach(n -> reads.put(n, store.getNow(Rows.page(h.entity(), n))));
     return CompletableFuture.allOf(reads.values().toArray(CompletableFuture[]::new))
         .thenApply(
             nothing -> {
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -5,11 +5,14 @@
 import io.micrometer.core.instrument.Tag;
 import io.micrometer.core.instrument.Timer;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
+import io.violetrail.configuration.Configuration;
 import io.violetrail.evidence.EvidenceLog;
 import io.violetrail.evidence.GoneProof;
 import io.violetrail.evidence.ReplyKind;
+import io.violetrail.net.Loop;
 import io.violetrail.net.Service.Answer;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
 import java.time.Duration;
@@ -24,66 +27,87 @@
 import java.util.function.ToDoubleFunction;
 
 /** Figures for operators, as lines of text. Latencies go through HdrHistogram. */
-final class Metrics {
+public final class Metrics {
   private static final Duration WINDOW = Duration.ofMinutes(10);
   private static final Duration LONGEST = Duration.ofSeconds(10);
 
-  private final Node node;
+  private final Loop loop;
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
   private final Map<String, Timer> timers = new HashMap<>();
 
-  Metrics(Node node) {
-    this.node = node;
-    gauge("lease.valid", n -> n.membership.valid() ? 1 : 0);
-    if (node.configuration.canChange()) {
-      gauge("configuration.revision", n -> n.configuration.revision());
-      gauge("configuration.fresh", n -> n.configuration.fresh() ? 1 : 0);
-      gauge("configuration.confirmed.ms", n -> n.configuration.state().confirmedMsAgo());
+  /** Reads what it shows from the given parts whenever it is asked for. */
+  public Metrics(
+      Loop loop,
+      Directory directory,
+      Membership membership,
+      Configuration configuration,
+      EvidenceLog evidence) {
+    this.loop = loop;
+    gauge("lease.valid", membership, m -> m.valid() ? 1 : 0);
+    gauge("lease.remaining.s", membership, Membership::remainingS);
+    gauge("rows.revision", directory, Directory::revision);
+    configurationGauges(configuration);
+    evidenceGauges(evidence);
+    entityGauges(membership);
+  }
+
+  private void configurationGauges(Configuration configuration) {
+    if (configuration.canChange()) {
+      gauge("configuration.revision", configuration, Configuration::revision);
+      gauge("configuration.fresh", configuration, c -> c.fresh() ? 1 : 0);
+      gauge("configuration.confirmed.ms", configuration, c -> c.state().confirmedMsAgo());
     }
-    evidence(node.evidence);
-    gauge("entities.held", n -> n.membership.holdings().size());
-    gauge("jobs.open", n -> sum(n, h -> h.jobs.size()));
-    gauge("machines", n -> sum(n, h -> h.machines.size()));
-    gauge(
-        "machines.silent",
-        n -> sum(n, h -> h.machines.values().stream().filter(m -> m.silent).count()));
-    gauge(
-        "tasks.placed",
-        n -> sum(n, h -> h.machines.values().stream().mapToInt(m -> m.tasks().size()).sum()));
-    gauge(
-        "tasks.waiting", n -> sum(n, h -> h.jobs.values().stream().mapToInt(Job::unplaced).sum()));
   }
 
-  private void evidence(EvidenceLog evidence) {
+  private void entityGauges(Membership membership) {
+    gauge("entities.held", membership, m -> m.holdings().size());
+    gauge("jobs.open", membership, m -> sum(m, entity -> entity.jobs.size()));
+    gauge("machines", membership, m -> sum(m, entity -> entity.machines.size()));
+    gauge("machines.silent", membership, m -> sum(m, Metrics::silentMachines));
+    gauge("tasks.placed", membership, m -> sum(m, Metrics::placedTasks));
+    gauge("tasks.waiting", membership, m -> sum(m, Metrics::pendingTasks));
+  }
+
+  private static double silentMachines(OwnedEntity entity) {
+    return entity.machines.values().stream().filter(machine -> machine.silent).count();
+  }
+
+  private static double placedTasks(OwnedEntity entity) {
+    return entity.machines.values().stream().mapToInt(machine -> machine.tasks().size()).sum();
+  }
+
+  private static double pendingTasks(OwnedEntity entity) {
+    return entity.jobs.values().stream().mapToInt(Job::unplaced).sum();
+  }
+
+  private void evidenceGauges(EvidenceLog evidence) {
     for (ReplyKind kind : ReplyKind.values()) {
       counted("heartbeat.replies", "kind", kind.name(), () -> evidence.replies(kind));
     }
     for (GoneProof proof : GoneProof.values()) {
       counted("starts.elsewhere", "proof", proof.name(), () -> evidence.startsElsewhere(proof));
     }
-    gauge("leases.outlived", n -> n.evidence.outlivedLeases());
-    gauge("evidence.lines.left.out", n -> n.evidence.droppedLines());
-    gauge("lease.remaining.s", n -> n.membership.remainingS());
-    gauge("rows.revision", n -> n.directory.revision());
+    gauge("leases.outlived", evidence, EvidenceLog::outlivedLeases);
+    gauge("evidence.lines.left.out", evidence, EvidenceLog::droppedLines);
   }
 
   private void counted(String name, String tag, String value, Supplier<Number> count) {
     Gauge.builder(name, count).tag(tag, value.toLowerCase(Locale.ROOT)).register(registry);
   }
 
-  private void gauge(String name, ToDoubleFunction<Node> value) {
-    Gauge.builder(name, node, value).register(registry);
+  private <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+    Gauge.builder(name, source, value).strongReference(true).register(registry);
   }
 
-  private static double sum(Node n, ToDoubleFunction<OwnedEntity> value) {
-    return n.membership.holdings().stream().mapToDouble(value).sum();
+  private static double sum(Membership membership, ToDoubleFunction<OwnedEntity> value) {
+    return membership.holdings().stream().mapToDouble(value).sum();
   }
 
   /** Counts an answer and how long it took. */
   Consumer<Answer> timed(String kind, Consumer<Answer> done) {
-    long began = node.loop.nanos();
+    long began = loop.nanos();
     return answer -> {
-      timer(kind, answer.status()).record(node.loop.nanos() - began, TimeUnit.NANOSECONDS);
+      timer(kind, answer.status()).record(loop.nanos() - began, TimeUnit.NANOSECONDS);
       done.accept(answer);
     };
   }
--- a/src/main/java/io/violetrail/api/Progress.java
+++ b/src/main/java/io/violetrail/api/Progress.java
@@ -1,11 +1,14 @@
 package io.violetrail.api;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Settings.StateLimits;
 import io.violetrail.model.JobId;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows;
 import io.violetrail.scheduling.Job;
+import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateWire.Entry;
 import java.util.ArrayList;
@@ -29,7 +32,9 @@
   /** What a part's name and marks take beside its bits. */
   private static final int NAME_CHARS = 40;
 
-  private final Node node;
+  private final Loop loop;
+  private final StateStore store;
+  private final Membership membership;
   private final OwnedEntity h;
   private final int chunk;
   private final int maxChars;
@@ -62,12 +67,15 @@
     }
   }
 
-  Progress(Node node, OwnedEntity h) {
-    this.node = node;
+  Progress(
+      Loop loop, StateStore store, StateLimits limits, Membership membership, OwnedEntity h) {
+    this.loop = loop;
+    this.store = store;
+    this.membership = membership;
     this.h = h;
-    this.maxChars = (int) (node.settings.stateLimits().valueBytes() * FILLED);
+    this.maxChars = (int) (limits.valueBytes() * FILLED);
     // Six tasks a character of base64, and at most half a value.
-    this.chunk = Math.min(16_384, node.settings.stateLimits().valueBytes() / 2 * 6);
+    this.chunk = Math.min(16_384, limits.valueBytes() / 2 * 6);
   }
 
   /** Tasks of the job are done that are not stored. */
@@ -132,7 +140,7 @@
       value.put(p.name(), Base64.getEncoder().encodeToString(bits.toByteArray()));
     }
     // The row's stamp keeps a late write of older progress from undoing newer one.
-    node.store
+    store
         .settleLast(h.fenced().when(key, slot.stamp).set(key, value))
         .whenComplete(
             (outcome, failure) -> {
@@ -144,7 +152,7 @@
                 written.forEach(
                     (p, bits) -> bits.stream().forEach(i -> p.job().stored.set(p.from() + i)));
               } else if (outcome.failed().contains(Rows.entity(h.entity()))) {
-                node.membership.suspect();
+                membership.suspect();
               } else {
                 reread(slot, key);
               }
@@ -154,12 +162,12 @@
   /** An earlier try that was thought lost has changed the row. */
   private void reread(Slot slot, String key) {
     slot.writing = true;
-    node.store
+    store
         .get(key)
         .whenComplete(
             (entry, failure) -> {
               if (failure != null) {
-                node.loop.after(1, () -> reread(slot, key));
+                loop.after(1, () -> reread(slot, key));
               } else {
                 slot.writing = false;
                 slot.stamp = entry.stamp();
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -1,24 +1,29 @@
 package io.violetrail.api;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.violetrail.configuration.ConfigurationState;
+import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
+import io.violetrail.model.JobView;
+import io.violetrail.net.Loop;
 import io.violetrail.net.Service;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.peer.PeerClient;
+import io.violetrail.peer.PeerJobViews;
 import io.violetrail.tracing.Traces;
-import io.violetrail.wire.Cbor;
 import io.violetrail.wire.Cbor.Malformed;
+import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobWire;
+import io.violetrail.worker.HeartbeatHandler;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import java.util.function.UnaryOperator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,14 +39,65 @@
 
   private static final double CHANGE_S = 4.5;
 
-  private final Node node;
+  private final Loop loop;
+  private final Settings settings;
+  private final Directory directory;
+  private final Membership membership;
+  private final PeerClient peers;
+  private final PeerJobViews peerJobViews;
   private final Jobs jobs;
+  private final JobStateLookup jobStates;
+  private final Intake intake;
+  private final HeartbeatHandler heartbeats;
+  private final Readiness readiness;
+  private final Traces traces;
   private final Metrics metrics;
 
-  public UserApi(Node node, Jobs jobs) {
-    this.node = node;
+  /** Serves the paths of what is off unless it is switched on; answers 404 if nothing is. */
+  private Service optionalService = UserApi::notFound;
+
+  /** Serves requests through the given parts. */
+  public UserApi(
+      Loop loop,
+      Settings settings,
+      Directory directory,
+      Membership membership,
+      PeerClient peers,
+      PeerJobViews peerJobViews,
+      Jobs jobs,
+      JobStateLookup jobStates,
+      Intake intake,
+      HeartbeatHandler heartbeats,
+      Readiness readiness,
+      Traces traces,
+      Metrics metrics) {
+    this.loop = loop;
+    this.settings = settings;
+    this.directory = directory;
+    this.membership = membership;
+    this.peers = peers;
+    this.peerJobViews = peerJobViews;
     this.jobs = jobs;
-    this.metrics = new Metrics(node);
+    this.jobStates = jobStates;
+    this.intake = intake;
+    this.heartbeats = heartbeats;
+    this.readiness = readiness;
+    this.traces = traces;
+    this.metrics = metrics;
+  }
+
+  /**
+   * Serves further paths beside those known here.
+   *
+   * @param next makes the service from the one that served what is unknown so far
+   */
+  public void addOptionalService(UnaryOperator<Service> next) {
+    optionalService = next.apply(optionalService);
+  }
+
+  private static void notFound(
+      String method, String path, byte[] body, Consumer<Answer> done) {
+    done.accept(Answer.empty(404));
   }
 
   @Override
@@ -51,13 +107,13 @@
     boolean post = "POST".equals(method);
     boolean get = "GET".equals(method);
     if (path.equals("/agent/beat")) {
-      allow(post, done, () -> node.heartbeats.handle(body, metrics.timed("beat", done)));
+      allow(post, done, () -> heartbeats.handle(body, metrics.timed("beat", done)));
     } else if (path.equals("/ready")) {
       allow(
           get,
           done,
           () ->
-              done.accept(node.ready() ? Answer.of(200, readiness()) : Answer.later("not ready")));
+              done.accept(readiness.isReady() ? Answer.of(200, readiness.describe()) : Answer.later("not ready")));
     } else if (path.equals(WORK)) {
       allow(post, done, () -> submit(body, metrics.timed("submit", within(CHANGE_S, done))));
     } else if (path.startsWith(WORK + "/") && path.endsWith(ABORT)) {
@@ -73,25 +129,11 @@
               poll(path.substring(WORK.length() + 1), metrics.timed("poll", within(POLL_S, done))));
     } else if (path.equals("/metrics")) {
       allow(get, done, () -> done.accept(Answer.text(metrics.text())));
-    } else if (path.equals("/traces") && node.traces != Traces.NONE) {
-      allow(get, done, () -> done.accept(Answer.text(node.traces.text())));
-    } else if (node.optionalService != null) {
-      node.optionalService.handle(method, target, body, done);
+    } else if (path.equals("/traces") && traces != Traces.NONE) {
+      allow(get, done, () -> done.accept(Answer.text(traces.text())));
     } else {
-      done.accept(Answer.empty(404));
-    }
-  }
-
-  private ObjectNode readiness() {
-    ObjectNode m = Cbor.map().put("status", "ready");
-    ConfigurationState state = node.configuration.state();
-    if (state != null) {
-      m.putObject("configuration")
-          .put("revision", state.revision())
-          .put("confirmed_ms_ago", state.confirmedMsAgo())
-          .put("fresh", state.fresh());
+      optionalService.handle(method, target, body, done);
     }
-    return m;
   }
 
   private static void allow(boolean method, Consumer<Answer> done, Runnable action) {
@@ -106,7 +148,7 @@
   private Consumer<Answer> within(double seconds, Consumer<Answer> done) {
     AtomicBoolean answered = new AtomicBoolean();
     var timer =
-        node.loop.after(
+        loop.after(
             seconds,
             () -> {
               if (answered.compareAndSet(false, true)) {
@@ -138,14 +180,14 @@
         return;
       }
       spec = JobWire.submitted(map);
-      if (Cbor.bytes(JobWire.spec(spec)).length > node.settings.stateLimits().valueBytes() / 2) {
+      if (Cbor.bytes(JobWire.spec(spec)).length > settings.stateLimits().valueBytes() / 2) {
         throw new Malformed("the job's description is too long");
       }
     } catch (Malformed e) {
       malformed(id, e.getMessage(), done);
       return;
     }
-    node.intake
+    intake
         .admit(spec, null)
         .thenAccept(
             decision -> {
@@ -213,7 +255,7 @@
 
   /** The current state of a job; null only if it is proven that there is no such job. */
   private CompletableFuture<JobView> resolve(JobId id) {
-    JobView here = node.knownView(id);
+    JobView here = jobStates.knownView(id);
     if (here != null) {
       return CompletableFuture.completedFuture(here);
     }
@@ -250,9 +292,9 @@
   private CompletableFuture<JobView> fromAnyone(JobId id) {
     CompletableFuture<JobView> first = new CompletableFuture<>();
     List<CompletableFuture<JobView>> all =
-        node.settings.peers().keySet().stream()
-            .filter(node.directory::isAlive)
-            .map(p -> node.peers.view(p, id))
+        settings.peers().keySet().stream()
+            .filter(directory::isAlive)
+            .map(p -> peerJobViews.view(p, id))
             .toList();
     all.forEach(f -> f.thenAccept(first::complete));
     CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
@@ -272,14 +314,14 @@
     if (owner == null) {
       return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
     }
-    return node.peers.view(owner, id);
+    return peerJobViews.view(owner, id);
   }
 
   /** The peer that owns the entity and is alive; null if there is none. */
   private ControllerId peerThatOwns(ControllerId entity) {
-    ControllerId owner = node.directory.ownerOf(entity);
+    ControllerId owner = directory.ownerOf(entity);
     boolean peer =
-        owner != null && !owner.equals(node.settings.self()) && node.directory.isAlive(owner);
+        owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
     return peer ? owner : null;
   }
 
@@ -294,8 +336,8 @@
       done.accept(Answer.of(200, JobWire.view(over)));
       return;
     }
-    OwnedEntity h = node.holdingOf(id);
-    if (h != null && node.membership.valid()) {
+    OwnedEntity h = jobStates.entityOfOpenJob(id);
+    if (h != null && membership.valid()) {
       answer(jobs.cancel(h, h.jobs.get(id)), done);
       return;
     }
@@ -305,7 +347,7 @@
       abortByRows(id, done);
       return;
     }
-    node.peers
+    peers
         .cancel(owner, id)
         .whenComplete(
             (view, failure) -> {
@@ -329,11 +371,11 @@
               } else if (found.view() != null) {
                 done.accept(Answer.of(200, JobWire.view(found.view())));
               } else {
-                ControllerId owner = node.directory.ownerOf(found.openAt());
-                if (owner == null || owner.equals(node.settings.self())) {
+                ControllerId owner = directory.ownerOf(found.openAt());
+                if (owner == null || owner.equals(settings.self())) {
                   done.accept(Answer.later("the job's owner is not ready"));
                 } else {
-                  answer(node.peers.cancel(owner, id), done);
+                  answer(peers.cancel(owner, id), done);
                 }
               }
             });
--- /dev/null
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -0,0 +1,196 @@
+package io.violetrail.fleet;
+
+import io.violetrail.evidence.GoneProof;
+import io.violetrail.model.MachineId;
+import io.violetrail.model.MachineType;
+import io.violetrail.model.Version;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.scheduling.Placement;
+import io.violetrail.scheduling.SchedulingLoop;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The machines of the entities owned here: how they join an entity, come up, get another fencing
+ * token and leave. What must outlive the process goes through {@link OwnedEntity#register}.
+ */
+public final class EntityMachines {
+  private static final Logger LOG = LoggerFactory.getLogger(EntityMachines.class);
+
+  private final Loop loop;
+  private final Directory directory;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final Boots bootTimes;
+  private final SchedulingLoop schedulingLoop;
+
+  /** Machines that the cloud has taken back while their rows still stand. */
+  private final Set<MachineId> returned = new HashSet<>();
+
+  /** Learns boot times, and asks for a scheduling pass when machines become usable. */
+  public EntityMachines(
+      Loop loop,
+      Directory directory,
+      Membership membership,
+      MachineTypes machineTypes,
+      Boots bootTimes,
+      SchedulingLoop schedulingLoop) {
+    this.loop = loop;
+    this.directory = directory;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.bootTimes = bootTimes;
+    this.schedulingLoop = schedulingLoop;
+  }
+
+  /** The machine of an owned entity; null while its type is not known. */
+  public Machine findOrAdd(OwnedEntity entity, MachineRow row) {
+    Machine machine = entity.machines.get(row.id());
+    if (machine != null) {
+      return machine;
+    }
+    // A machine from outside the entity can hide none of its tasks: they start only on recorded
+    // machines.
+    return add(entity, row, loop.seconds());
+  }
+
+  private Machine add(OwnedEntity entity, MachineRow row, double unheardGoneS) {
+    MachineType type = machineTypes.find(row.type());
+    if (type == null) {
+      return null;
+    }
+    Machine machine = new Machine(row, type, entity.fencingToken(row), loop.seconds());
+    machine.unheardGoneS = unheardGoneS;
+    machine.rentedS = loop.seconds() - Math.max(0, loop.wallMillis() - row.rentedMs()) / 1000.0;
+    entity.machines.put(row.id(), machine);
+    return machine;
+  }
+
+  /**
+   * Adds all recorded machines of an entity that was just taken over.
+   *
+   * @param unheardGoneS when the tasks of a machine that has not reported until then are certainly
+   *     gone, in seconds of the steady clock
+   * @return false, with no machine added, while some machine's type is not known
+   */
+  public boolean addAllRecorded(OwnedEntity entity, double unheardGoneS) {
+    for (MachineRow row : directory.machinesOf(entity.entity())) {
+      if (add(entity, row, unheardGoneS) == null) {
+        entity.machines.clear();
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** Adds machines that other entities have passed over to entities owned here. */
+  public void addTransferred() {
+    for (OwnedEntity entity : membership.holdings()) {
+      if (entity.active()) {
+        directory.machinesOf(entity.entity()).forEach(row -> addTransferred(entity, row));
+      }
+    }
+  }
+
+  private void addTransferred(OwnedEntity entity, MachineRow row) {
+    if (entity.machines.containsKey(row.id()) || returned.contains(row.id())) {
+      return;
+    }
+    Machine machine = add(entity, row, loop.seconds());
+    if (machine != null) {
+      // A machine is passed over empty, so it hides nothing.
+      machine.heard = true;
+      LOG.info(
+          "machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since);
+      schedulingLoop.requestPass();
+    }
+  }
+
+  /** Records that a machine has reported, before anything may be launched on it. */
+  public void markUp(OwnedEntity entity, Machine machine) {
+    if (mayRewrite(entity, machine)) {
+      rewrite(entity, machine, machine.row.nowUp());
+    }
+  }
+
+  /** The worker has seen a higher token than ours: its term is raised above that. */
+  public void raiseTerm(OwnedEntity entity, Machine machine, Version seen) {
+    if (mayRewrite(entity, machine)) {
+      Version term = seen.nextFor(entity.row.version().owner());
+      LOG.info("machine {} has seen {}: its term becomes {}", machine.id(), seen, term);
+      rewrite(entity, machine, machine.row.raised(term));
+    }
+  }
+
+  private boolean mayRewrite(OwnedEntity entity, Machine machine) {
+    return !machine.marking && entity.active() && membership.valid();
+  }
+
+  private void rewrite(OwnedEntity entity, Machine machine, MachineRow next) {
+    machine.marking = true;
+    entity
+        .register
+        .change(machine.row, next)
+        .whenComplete(
+            (stored, failure) -> {
+              machine.marking = false;
+              if (failure == null) {
+                rewritten(machine, stored);
+              } else {
+                membership.suspect();
+              }
+            });
+  }
+
+  private void rewritten(Machine machine, MachineRow stored) {
+    double now = loop.seconds();
+    if (!machine.row.up()) {
+      bootTimes.up(machine.type, now - machine.rentedS, now);
+      // Its boot is not idleness: dear machines were returned the moment they came up.
+      machine.idleSinceS = now;
+    }
+    machine.row = stored;
+    schedulingLoop.requestPass();
+  }
+
+  /** Removes a machine that the cloud has taken back for sure. */
+  public void remove(OwnedEntity entity, Machine machine) {
+    for (Placement placement : List.copyOf(machine.tasks().values())) {
+      entity.unplace(placement, loop.seconds(), GoneProof.RETURNED);
+    }
+    entity.machines.remove(machine.id());
+    returned.add(machine.id());
+    schedulingLoop.requestPass();
+  }
+
+  /** Whether the cloud has taken the machine back while its row still stands. */
+  public boolean wasReturned(MachineId machine) {
+    return returned.contains(machine);
+  }
+
+  /** The row of a machine that was taken back stands no more. */
+  void rowRemoved(MachineId machine) {
+    returned.remove(machine);
+  }
+
+  /** After an unclear write: whether a machine is still this entity's. */
+  public void verifyOwner(OwnedEntity entity, Machine machine) {
+    membership.relistThen(
+        () -> {
+          MachineRow row = directory.machine(machine.id());
+          if (row == null || !row.entity().equals(entity.entity())) {
+            entity.machines.remove(machine.id(), machine);
+          } else {
+            machine.row = row;
+            machine.promised = false;
+          }
+        });
+  }
+}
--- a/src/main/java/io/violetrail/fleet/Hires.java
+++ b/src/main/java/io/violetrail/fleet/Hires.java
@@ -1,13 +1,17 @@
 package io.violetrail.fleet;
 
-import io.violetrail.cloud.CloudClient;
 import io.violetrail.cloud.CloudClient.Rental;
+import io.violetrail.cloud.CloudClient;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows;
 import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.ownership.Rows;
+import io.violetrail.peer.PeerClient;
+import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.CloudWire;
 import io.violetrail.wire.StateWire.Entry;
@@ -19,14 +23,18 @@
 import org.slf4j.LoggerFactory;
 
 /** Rental requests, from the decision until every machine that came of them is recorded. */
-final class Hires {
+public final class Hires {
   private static final Logger LOG = LoggerFactory.getLogger(Hires.class);
   private static final double REFUSED_S = 20;
 
   /** Cheap machines come back rarely, and asking uses up calls. */
   private static final double REFUSED_SPOT_S = 75;
 
-  private final Node node;
+  private final Loop loop;
+  private final StateStore store;
+  private final Directory directory;
+  private final Membership membership;
+  private final PeerClient peers;
   private final CloudClient cloud;
 
   /** Rental requests whose outcome is not known yet, by name. */
@@ -36,7 +44,7 @@
   private final Map<Offer, Double> refused = new HashMap<>();
 
   /** What can be rented. */
-  record Offer(String type, String zone, boolean spot) {}
+  public record Offer(String type, String zone, boolean spot) {}
 
   private static final class Hire {
     final OwnedEntity holding;
@@ -56,8 +64,19 @@
     }
   }
 
-  Hires(Node node, CloudClient cloud) {
-    this.node = node;
+  /** Stores requests before the cloud hears of them, and records what came of them. */
+  public Hires(
+      Loop loop,
+      StateStore store,
+      Directory directory,
+      Membership membership,
+      PeerClient peers,
+      CloudClient cloud) {
+    this.loop = loop;
+    this.store = store;
+    this.directory = directory;
+    this.membership = membership;
+    this.peers = peers;
     this.cloud = cloud;
   }
 
@@ -78,7 +97,7 @@
             .put("count", count);
     // The name is stored before the cloud hears it: whoever owns the entity next repeats the
     // request.
-    node.store
+    store
         .settle(
             h.fenced()
                 .when(Rows.hires(h.entity()) + hire.name, 0)
@@ -93,7 +112,7 @@
                       && (outcome.applied() || !outcome.failed().contains(Rows.entity(h.entity())));
               if (!stored) {
                 hires.remove(hire.name);
-                node.membership.suspect();
+                membership.suspect();
               } else {
                 request(hire);
               }
@@ -150,7 +169,7 @@
                   hired.machines());
               if (hired.machines().size() < hire.count) {
                 soldOut(o);
-                node.peers.soldOut(o.type(), o.zone(), o.spot());
+                peers.soldOut(o.type(), o.zone(), o.spot());
               }
               hire.calling = true;
               record(hire, hired.machines());
@@ -158,8 +177,8 @@
   }
 
   /** The cloud has none of these for now. */
-  void soldOut(Offer o) {
-    refused.put(o, node.loop.seconds() + (o.spot() ? REFUSED_SPOT_S : REFUSED_S));
+  public void soldOut(Offer o) {
+    refused.put(o, loop.seconds() + (o.spot() ? REFUSED_SPOT_S : REFUSED_S));
   }
 
   /** Records the machines rented, each unless somebody has adopted it, and drops the request. */
@@ -169,7 +188,7 @@
     for (MachineId id : machines) {
       // A request's row may come back by a late write after it was dropped; the cloud's answer to
       // its repeat then names machines that are long gone.
-      if (node.directory.machine(id) == null && !node.directory.wasReturned(id)) {
+      if (directory.machine(id) == null && !directory.wasReturned(id)) {
         Offer o = hire.offer;
         rows.add(
             new MachineRow(
@@ -180,7 +199,7 @@
                 o.spot(),
                 false,
                 Version.NONE,
-                node.loop.wallMillis()));
+                loop.wallMillis()));
       }
     }
     h.register
@@ -188,19 +207,19 @@
         .whenComplete(
             (nothing, failure) -> {
               hire.recorded = true;
-              node.changed();
+              membership.rowsChanged();
               if (h.phase == OwnedEntity.Phase.LOST) {
                 hires.remove(hire.name);
                 return;
               }
-              node.store
+              store
                   .settle(h.fenced().drop(Rows.hires(h.entity()) + hire.name))
                   .whenComplete((outcome, f) -> hires.remove(hire.name));
             });
   }
 
   /** Repeats the rental requests that a former owner left open. */
-  void resume(OwnedEntity h, List<Entry> entries) {
+  public void resume(OwnedEntity h, List<Entry> entries) {
     for (Entry e : entries) {
       String name = e.key().substring(Rows.hires(h.entity()).length());
       Offer offer =
--- a/src/main/java/io/violetrail/fleet/Inventory.java
+++ b/src/main/java/io/violetrail/fleet/Inventory.java
@@ -1,10 +1,13 @@
 package io.violetrail.fleet;
 
 import io.violetrail.cloud.CloudClient;
+import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.wire.CloudWire;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,11 +22,16 @@
  * Returns machines that the cloud charges for and that no entity has recorded: those of rental
  * requests carried out late, which never come up. One that reports is adopted long before.
  */
-final class Inventory {
+public final class Inventory {
   private static final Logger LOG = LoggerFactory.getLogger(Inventory.class);
   private static final double EVERY_S = 45;
 
-  private final Node node;
+  private final Settings settings;
+  private final Loop loop;
+  private final Directory directory;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final EntityMachines entityMachines;
   private final CloudClient cloud;
 
   /** When each machine without a record was first listed. */
@@ -32,16 +40,29 @@
   private double atS = Double.NEGATIVE_INFINITY;
   private boolean reading;
 
-  Inventory(Node node, CloudClient cloud) {
-    this.node = node;
+  /** Lists the cloud's machines and returns what the directory has no record of. */
+  public Inventory(
+      Settings settings,
+      Loop loop,
+      Directory directory,
+      Membership membership,
+      MachineTypes machineTypes,
+      EntityMachines entityMachines,
+      CloudClient cloud) {
+    this.settings = settings;
+    this.loop = loop;
+    this.directory = directory;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.entityMachines = entityMachines;
     this.cloud = cloud;
   }
 
   /** One controller reads for all: the list is long, and calls are few. */
   private boolean mine() {
-    for (ControllerId c : node.settings.controllers()) {
-      if (node.directory.isAlive(c)) {
-        return c.equals(node.settings.self());
+    for (ControllerId c : settings.controllers()) {
+      if (directory.isAlive(c)) {
+        return c.equals(settings.self());
       }
     }
     return false;
@@ -66,10 +87,10 @@
               }
               listed.addAll(page.machines());
               if (page.more()) {
-                node.loop.after(1, () -> page(page.last(), listed));
+                loop.after(1, () -> page(page.last(), listed));
               } else {
                 reading = false;
-                judge(listed, node.loop.seconds());
+                judge(listed, loop.seconds());
               }
             });
   }
@@ -78,13 +99,13 @@
     unknownSinceS.keySet().retainAll(listed);
     List<MachineId> out = new ArrayList<>();
     for (MachineId id : listed) {
-      if (node.directory.machine(id) != null || node.gone.contains(id)) {
+      if (directory.machine(id) != null || entityMachines.wasReturned(id)) {
         unknownSinceS.remove(id);
       } else if (now - unknownSinceS.computeIfAbsent(id, x -> now) > patienceS()) {
         out.add(id);
       }
     }
-    if (out.isEmpty() || !node.membership.valid() || !cloud.mayCall()) {
+    if (out.isEmpty() || !membership.valid() || !cloud.mayCall()) {
       return;
     }
     List<MachineId> batch = out.subList(0, Math.min(out.size(), CloudWire.MAX_RETURN));
@@ -96,7 +117,7 @@
    * A rental may be under way, its answer lost and repeated; the list lags by up to twice its lag.
    */
   private double patienceS() {
-    double boot = node.types().values().stream().mapToDouble(MachineType::bootS).max().orElse(60);
-    return 3 * boot + 2 * node.settings.cloudLimits().listLagS() + 20;
+    double boot = machineTypes.all().stream().mapToDouble(MachineType::bootS).max().orElse(60);
+    return 3 * boot + 2 * settings.cloudLimits().listLagS() + 20;
   }
 }
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -2,13 +2,16 @@
 
 import io.violetrail.model.Amounts;
 import io.violetrail.model.Version;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows.EntityRow;
 import io.violetrail.ownership.Rows.MachineRow;
 import io.violetrail.peer.ResourceRequest;
 import io.violetrail.scheduling.Job;
+import io.violetrail.scheduling.MachineDrainer;
 import io.violetrail.scheduling.Preemption;
+import io.violetrail.worker.LongPolls;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -17,7 +20,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Passes machines to entities that lack them: idle ones, or emptied ones for starving jobs. */
-final class MachineTransfer {
+public final class MachineTransfer {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTransfer.class);
 
   /** So long a machine is kept free for the request for which it is emptied. */
@@ -29,16 +32,36 @@
   /** A machine is not emptied for others sooner after it has come. */
   private static final double SETTLED_S = 60;
 
-  private final Node node;
-
-  MachineTransfer(Node node) {
-    this.node = node;
+  private final Loop loop;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final EntityMachines entityMachines;
+  private final MachineDrainer drainer;
+  private final QuotaTransfer quotas;
+  private final LongPolls longPolls;
+
+  /** Passes machines by conditional writes, once the drainer has emptied them. */
+  public MachineTransfer(
+      Loop loop,
+      Membership membership,
+      MachineTypes machineTypes,
+      EntityMachines entityMachines,
+      MachineDrainer drainer,
+      QuotaTransfer quotas,
+      LongPolls longPolls) {
+    this.loop = loop;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.entityMachines = entityMachines;
+    this.drainer = drainer;
+    this.quotas = quotas;
+    this.longPolls = longPolls;
   }
 
   /** Gives idle machines of a held entity that suit the request. */
   void give(
       OwnedEntity h, EntityRow target, ResourceRequest request, Map<String, Amounts> freeQuotas) {
-    double now = node.loop.seconds();
+    double now = loop.seconds();
     List<Job> first = wantingBefore(h, request, freeQuotas, now);
     if (!request.starving() && wantedHere(h, request)) {
       return;
@@ -64,7 +87,7 @@
       if (left > 0 && fit > 0 && !m.empty() && m.spare() && passable(m, request)) {
         // It passes at the next asking, once what runs there in spare room has saved.
         left -= fit;
-        node.dispatcher.clear(h, m);
+        drainer.clearSpareWork(h, m);
       }
     }
     // For the rest of what runs in part already nobody else's work is stopped: wide arrays wait for
@@ -102,7 +125,7 @@
       if (left > 0) {
         left -= m.type.size().count(request.task());
         LOG.info("machine {} is emptied for {} of another entity", m.id(), request.job());
-        node.dispatcher.evict(h, m, EVICTED_S);
+        drainer.evictAll(h, m, EVICTED_S);
       }
     }
   }
@@ -119,7 +142,7 @@
   private boolean passable(Machine m, ResourceRequest request) {
     // Too dear for the request, a machine only passed to and fro, idle and paid for.
     double ratio =
-        node.prices()
+        machineTypes.prices()
             .ratio(request.task(), request.typeList(), m.type, m.row.spot(), request.tasks());
     return m.open()
         && ratio <= request.worth()
@@ -159,7 +182,7 @@
       if (waitsBefore(job, request)
           && job.gathers(now)
           && freeQuotas
-                  .computeIfAbsent(job.spec.team(), t -> node.dispatcher.quota(h, t, now))
+                  .computeIfAbsent(job.spec.team(), t -> quotas.free(h, t, now))
                   .count(job.spec.task())
               > 0) {
         first.add(job);
@@ -196,10 +219,10 @@
                     next.entity(),
                     next.term());
                 h.machines.remove(m.id(), m);
-                node.changed();
-                node.heartbeats.answer(m.id());
+                membership.rowsChanged();
+                longPolls.answer(m.id());
               } else {
-                node.checkMachine(h, m);
+                entityMachines.verifyOwner(h, m);
               }
             });
   }
--- /dev/null
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -0,0 +1,90 @@
+package io.violetrail.fleet;
+
+import io.violetrail.cloud.CloudClient;
+import io.violetrail.model.MachineType;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Rows;
+import io.violetrail.scheduling.SchedulingLoop;
+import io.violetrail.state.StateStore;
+import io.violetrail.wire.CloudWire;
+import io.violetrail.wire.StateWire.Txn;
+import java.util.List;
+
+/** Keeps the machine types up to date with the cloud, and stored for other controllers. */
+public final class MachineTypeRefresh {
+  private static final double REFRESH_SECONDS = 240;
+
+  /** After a failure, while some types are known. */
+  private static final double RETRY_SECONDS = 20;
+
+  /** While no type is known. */
+  private static final double FIRST_RETRY_SECONDS = 1;
+
+  private final Loop loop;
+  private final StateStore stateStore;
+  private final Directory directory;
+  private final MachineTypes machineTypes;
+  private final SchedulingLoop schedulingLoop;
+  private final CloudClient cloud;
+  private double refreshedAtSeconds = Double.NEGATIVE_INFINITY;
+
+  /** As the cloud told them to this process; null before. */
+  private List<MachineType> fromCloud;
+
+  private boolean storing;
+
+  /** Asks the cloud, and stores the types where the directory knows of none. */
+  public MachineTypeRefresh(
+      Loop loop,
+      StateStore stateStore,
+      Directory directory,
+      MachineTypes machineTypes,
+      SchedulingLoop schedulingLoop,
+      CloudClient cloud) {
+    this.loop = loop;
+    this.stateStore = stateStore;
+    this.directory = directory;
+    this.machineTypes = machineTypes;
+    this.schedulingLoop = schedulingLoop;
+    this.cloud = cloud;
+  }
+
+  /** Asks the cloud again if the types known here are old. */
+  void refresh() {
+    double now = loop.seconds();
+    boolean known = !machineTypes.isEmpty();
+    if (now - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS) || !cloud.mayCall()) {
+      return;
+    }
+    refreshedAtSeconds = now;
+    cloud
+        .types()
+        .whenComplete(
+            (types, failure) -> {
+              if (failure != null) {
+                refreshedAtSeconds = known ? now - REFRESH_SECONDS + RETRY_SECONDS : now;
+                return;
+              }
+              machineTypes.replaceAll(types);
+              fromCloud = types;
+              schedulingLoop.requestPass();
+            });
+  }
+
+  /**
+   * The machine types are kept for controllers that start while the cloud does not answer. At its
+   * own start a controller is told them before it has its lease; written only then, they were
+   * missing for minutes, and controllers that ended meanwhile served nothing until the cloud was
+   * back.
+   */
+  void store() {
+    if (fromCloud == null || storing || directory.types() != null) {
+      return;
+    }
+    storing = true;
+    stateStore
+        .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(fromCloud)))
+        .whenComplete((outcome, failure) -> storing = false);
+  }
+}
--- /dev/null
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -0,0 +1,73 @@
+package io.violetrail.fleet;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.violetrail.model.MachineType;
+import io.violetrail.ownership.Directory;
+import io.violetrail.wire.Cbor.Malformed;
+import io.violetrail.wire.CloudWire;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The machine types that the cloud offers, as this controller was last told by the cloud or as
+ * another controller has stored them. Empty until one of the two is known.
+ */
+public final class MachineTypes {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypes.class);
+
+  private final Directory directory;
+  private final Map<String, MachineType> byName = new HashMap<>();
+
+  /** The stored row that {@link #byName} was last filled from. */
+  private JsonNode loadedFrom;
+
+  /** Reads the stored types from the rows that the directory follows. */
+  public MachineTypes(Directory directory) {
+    this.directory = directory;
+  }
+
+  /** The type of that name; null while it is not known. */
+  public MachineType find(String name) {
+    loadStoredTypes();
+    return byName.get(name);
+  }
+
+  /** All types known now; the collection is a view and must not be kept. */
+  public Collection<MachineType> all() {
+    loadStoredTypes();
+    return byName.values();
+  }
+
+  /** Whether no type is known yet: then nothing can be said about what a job fits. */
+  public boolean isEmpty() {
+    return all().isEmpty();
+  }
+
+  /** What tasks cost on these types, at the prices known now. */
+  public Prices prices() {
+    return new Prices(all());
+  }
+
+  /** Replaces all types by what the cloud has just told. */
+  public void replaceAll(List<MachineType> types) {
+    byName.clear();
+    types.forEach(type -> byName.put(type.name(), type));
+  }
+
+  private void loadStoredTypes() {
+    JsonNode stored = directory.types();
+    if (stored == null || stored == loadedFrom) {
+      return;
+    }
+    loadedFrom = stored;
+    try {
+      replaceAll(CloudWire.types(stored));
+    } catch (Malformed e) {
+      LOG.error("the stored machine types cannot be read: {}", e.getMessage());
+    }
+  }
+}
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -4,17 +4,24 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.MachineType;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows.EntityRow;
+import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.ResourceRequest;
+import io.violetrail.scheduling.Aims;
+import io.violetrail.scheduling.Estimates;
 import io.violetrail.scheduling.Job;
+import io.violetrail.scheduling.PendingJobs;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 
 /**
@@ -30,30 +37,58 @@
   /** Nothing is rented for a job before peers have been asked twice for what they have idle. */
   static final double FIRST_S = 2 * ASK_S + 0.1;
 
-  private final Node node;
+  private final Loop loop;
+  private final Random random;
+  private final Directory directory;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final PendingJobs pendingJobs;
+  private final Aims aims;
+  private final Estimates estimates;
   private final QuotaTransfer quotas;
   private final MachineTransfer machines;
+  private final PeerClient peers;
   private double askedS = Double.NEGATIVE_INFINITY;
 
   /** Jobs that have asked chosen entities for parts of a limit; next they ask all of them. */
   private final Set<JobId> askedSome = new HashSet<>();
 
-  public TransferRequests(Node node, QuotaTransfer quotas) {
-    this.node = node;
+  /** Asks for what {@link PendingJobs} lacks, and gives through the two transfers. */
+  public TransferRequests(
+      Loop loop,
+      Random random,
+      Directory directory,
+      Membership membership,
+      MachineTypes machineTypes,
+      PendingJobs pendingJobs,
+      Aims aims,
+      Estimates estimates,
+      QuotaTransfer quotas,
+      MachineTransfer machines,
+      PeerClient peers) {
+    this.loop = loop;
+    this.random = random;
+    this.directory = directory;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.pendingJobs = pendingJobs;
+    this.aims = aims;
+    this.estimates = estimates;
     this.quotas = quotas;
-    this.machines = new MachineTransfer(node);
+    this.machines = machines;
+    this.peers = peers;
   }
 
   /** Asks the peers for what waiting jobs lack. */
   public void ask(OwnedEntity h) {
-    double now = node.loop.seconds();
+    double now = loop.seconds();
     if (now - askedS < ASK_S) {
       return;
     }
     List<ResourceRequest> requests = new ArrayList<>();
     Map<String, Integer> kinds = new HashMap<>();
     boolean uncertain = h.uncertain(now);
-    for (Job job : node.dispatcher.order(h)) {
+    for (Job job : pendingJobs.inOrder(h)) {
       // Nothing is gathered for what fails wherever it goes.
       if (job.unplaced() == 0 || job.trial.suspect() || job.recovered && uncertain) {
         continue;
@@ -65,7 +100,7 @@
     askedSome.removeIf(id -> !h.jobs.containsKey(id));
     if (!requests.isEmpty()) {
       askedS = now;
-      node.peers.askFor(h.entity(), requests);
+      peers.askFor(h.entity(), requests);
       asked(h.entity(), requests);
     }
   }
@@ -82,7 +117,7 @@
 
   private void ask(OwnedEntity h, Job job, double now, List<ResourceRequest> requests) {
     int waiting = job.unplaced();
-    Amounts quota = node.dispatcher.quota(h, job.spec.team(), now);
+    Amounts quota = quotas.free(h, job.spec.team(), now);
     int allowed = quota.count(job.spec.task());
     if (allowed < waiting && job.gathers(now)) {
       Amounts lacking = job.spec.task().times(waiting).minus(quota).notNegative();
@@ -111,7 +146,7 @@
       return request(job, tasks);
     }
     Map<String, Integer> rooms = new HashMap<>();
-    for (MachineType t : node.types().values()) {
+    for (MachineType t : machineTypes.all()) {
       if (t.size().count(job.spec.task()) > 0) {
         t.zones().forEach(z -> rooms.put(z, 0));
       }
@@ -124,7 +159,7 @@
       }
     }
     List<String> zones = new ArrayList<>(rooms.keySet());
-    Collections.shuffle(zones, node.random);
+    Collections.shuffle(zones, random);
     String best = "";
     for (String zone : zones) {
       if (best.isEmpty() || rooms.get(zone) > rooms.get(best)) {
@@ -136,24 +171,24 @@
   }
 
   private ResourceRequest request(Job job, int tasks) {
-    double now = node.loop.seconds();
+    double now = loop.seconds();
     boolean mayEvict = !job.spareWork && job.nothingPlaced();
     return ResourceRequest.machines(
         job.spec,
         tasks,
         job.arrivedMs,
-        node.dispatcher.worth(job, now),
+        aims.worth(job, now, estimates.runS(job.spec)),
         job.starving(now),
         mayEvict);
   }
 
   /** Another entity, a peer's or one held here too, lacks something: what is idle goes there. */
   public void asked(ControllerId to, List<ResourceRequest> requests) {
-    EntityRow target = node.directory.entity(to);
-    if (target == null || !node.membership.valid()) {
+    EntityRow target = directory.entity(to);
+    if (target == null || !membership.valid()) {
       return;
     }
-    for (OwnedEntity h : node.membership.holdings()) {
+    for (OwnedEntity h : membership.holdings()) {
       if (h.active() && !h.entity().equals(to)) {
         // Summed up over all machines, so once for all requests.
         Map<String, Amounts> freeQuotas = new HashMap<>();
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -207,6 +207,11 @@
         row == null ? OwnershipHistory.NONE : row.past(), loop.wallMillis(), seized);
   }
 
+  /** Rows known here have changed by a write of this controller's own: tells the listener. */
+  public void rowsChanged() {
+    listener.changed();
+  }
+
   /** Whether workers' leases may be renewed while the entity's rows are still being read. */
   public boolean mayRenewUnknowing(OwnedEntity h) {
     return timing.mayRenewUnknowing(h.row.past(), loop.wallMillis());
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -10,6 +10,7 @@
 import io.violetrail.model.Priority;
 import io.violetrail.model.Version;
 import io.violetrail.ownership.Rows.EntityRow;
+import io.violetrail.ownership.Rows.MachineRow;
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.Placement;
 import io.violetrail.wire.StateWire.Txn;
@@ -64,9 +65,14 @@
     return phase == Phase.ACTIVE;
   }
 
-  /** The token for a machine's worker. */
+  /** The fencing token for a machine's worker. */
   public Version token(Machine m) {
-    return row.version().compareTo(m.row.term()) >= 0 ? row.version() : m.row.term();
+    return fencingToken(m.row);
+  }
+
+  /** The fencing token for the worker of a machine: the higher of this version and its term. */
+  public Version fencingToken(MachineRow machine) {
+    return row.version().compareTo(machine.term()) >= 0 ? row.version() : machine.term();
   }
 
   /** A transaction that applies only while this version of the entity stands. */
--- /dev/null
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -0,0 +1,89 @@
+package io.violetrail.scheduling;
+
+import io.violetrail.api.Jobs;
+import io.violetrail.fleet.Machine;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The periodic work on each owned entity: silent machines, incomplete gangs, unstored progress. */
+public final class EntityMaintenance {
+  /** How often it runs. */
+  public static final double PERIOD_SECONDS = 0.5;
+
+  private static final Logger LOG = LoggerFactory.getLogger(EntityMaintenance.class);
+
+  private final Loop loop;
+  private final Membership membership;
+  private final PendingJobs pendingJobs;
+  private final SchedulingLoop schedulingLoop;
+  private final MachineLivenessMonitor liveness;
+  private final GangRepair gangRepair;
+  private final Jobs jobs;
+
+  /** Works on what the membership says is owned here. */
+  public EntityMaintenance(
+      Loop loop,
+      Membership membership,
+      PendingJobs pendingJobs,
+      SchedulingLoop schedulingLoop,
+      MachineLivenessMonitor liveness,
+      GangRepair gangRepair,
+      Jobs jobs) {
+    this.loop = loop;
+    this.membership = membership;
+    this.pendingJobs = pendingJobs;
+    this.schedulingLoop = schedulingLoop;
+    this.liveness = liveness;
+    this.gangRepair = gangRepair;
+    this.jobs = jobs;
+  }
+
+  /** Begins the periodic work. */
+  public void start() {
+    loop.every(PERIOD_SECONDS, this::runOnce);
+  }
+
+  private void runOnce() {
+    double now = loop.seconds();
+    pendingJobs.retainOnly(membership.holdings());
+    for (OwnedEntity entity : membership.holdings()) {
+      if (entity.active()) {
+        maintain(entity, now);
+      }
+    }
+  }
+
+  private void maintain(OwnedEntity entity, double now) {
+    for (Machine machine : List.copyOf(entity.machines.values())) {
+      liveness.check(entity, machine, now);
+    }
+    for (Job job : List.copyOf(entity.jobs.values())) {
+      gangRepair.stopIncomplete(entity, job, now);
+      jobs.progressed(entity, job);
+    }
+    jobs.flush(entity);
+    if (!pendingJobs.inOrder(entity).isEmpty()) {
+      schedulingLoop.requestPass();
+    }
+    noteRecovery(entity, now);
+  }
+
+  /** From here on tasks start that were open before the move and that no report has shown since. */
+  private static void noteRecovery(OwnedEntity entity, double now) {
+    if (entity.recovered || entity.uncertain(now)) {
+      return;
+    }
+    entity.recovered = true;
+    LOG.info(
+        "entity {} version {}: {} s after the move all of {} machines have reported or hold nothing;"
+            + " what no report shows may start",
+        entity.entity(),
+        entity.row.version(),
+        MachineLivenessMonitor.tenths(now - entity.gainedS),
+        entity.machines.size());
+  }
+}
--- a/src/main/java/io/violetrail/scheduling/Placer.java
+++ b/src/main/java/io/violetrail/scheduling/Placer.java
@@ -17,7 +17,7 @@
  * Chooses machines for tasks: the best fit among a few sampled ones with room. Plain decisions on
  * what is handed in; nothing is changed here.
  */
-final class Placer {
+public final class Placer {
   /** A class of jobs not seen for this long is not kept room for. */
   private static final double RECENT_S = 600;
 
@@ -50,7 +50,8 @@
 
   private record Accelerated(Amounts task, double seenS) {}
 
-  Placer(Aims aims, Estimates estimates, Random random, int sample) {
+  /** Compares {@code sample} machines for each task. */
+  public Placer(Aims aims, Estimates estimates, Random random, int sample) {
     this.aims = aims;
     this.estimates = estimates;
     this.random = random;
@@ -75,7 +76,7 @@
     }
   }
 
-  boolean acceleratorsWanted(double now) {
+  public boolean acceleratorsWanted(double now) {
     return accelerated.values().stream().anyMatch(a -> now - a.seenS() < RECENT_S);
   }
 
--- /dev/null
+++ b/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
@@ -0,0 +1,45 @@
+package io.violetrail.scheduling;
+
+import io.violetrail.net.Loop;
+import io.violetrail.net.Soon;
+
+/**
+ * Decides when a scheduling pass runs. Requests are debounced, since events come in bunches, and a
+ * pass is followed by a pause in proportion to its own length, so that heartbeats and lease
+ * renewals get their turn however slow the processor is: with hundreds of machines and little
+ * processor, passes after each event left nothing for anything else.
+ */
+public final class SchedulingLoop {
+  private static final double DEBOUNCE_SECONDS = 0.02;
+
+  /** Length of the pause after a pass, as a multiple of the pass. */
+  private static final double PAUSE_FACTOR = 5;
+
+  private final Loop loop;
+  private final Soon nextPass;
+  private Runnable pass = () -> {};
+  private double pausedUntilSeconds;
+
+  /** Runs passes as turns of the event loop. */
+  public SchedulingLoop(Loop loop) {
+    this.loop = loop;
+    this.nextPass = new Soon(loop, this::runPass);
+  }
+
+  /** Sets what a pass does. Until then requested passes do nothing. */
+  public void setPass(Runnable pass) {
+    this.pass = pass;
+  }
+
+  /** Something has changed that may let a task be placed. */
+  public void requestPass() {
+    nextPass.in(Math.max(DEBOUNCE_SECONDS, pausedUntilSeconds - loop.seconds()));
+  }
+
+  private void runPass() {
+    double beganSeconds = loop.seconds();
+    pass.run();
+    double endedSeconds = loop.seconds();
+    pausedUntilSeconds = endedSeconds + PAUSE_FACTOR * (endedSeconds - beganSeconds);
+  }
+}
--- /dev/null
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -0,0 +1,46 @@
+package io.violetrail.scheduling;
+
+import io.violetrail.fleet.Machine;
+import io.violetrail.net.Loop;
+import io.violetrail.wire.HeartbeatMessages.ExitCause;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Decides when a task that has ended without being done may be tried again. */
+public final class TaskFailureHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskFailureHandler.class);
+  private static final double RETRY_AFTER_REFUSAL_SECONDS = 1.5;
+  private static final double RETRY_AFTER_UNKNOWN_SECONDS = 5;
+
+  private final Loop loop;
+
+  /** Takes the time of failures from the loop. */
+  public TaskFailureHandler(Loop loop) {
+    this.loop = loop;
+  }
+
+  /** A task has ended on the machine without being done. */
+  public void taskFailed(Machine machine, Placement placement, ExitCause cause) {
+    double now = loop.seconds();
+    Job job = placement.job;
+    int index = placement.index;
+    switch (cause) {
+      case ERROR -> {
+        double ranSeconds = placement.runningS > 0 ? now - placement.runningS : 0;
+        LOG.info(
+            "task {}/{} failed on {} after {} s",
+            job.spec.id(),
+            index,
+            machine.id(),
+            Math.round(ranSeconds));
+        job.errors++;
+        Blame.failed(machine, job, ranSeconds, now);
+        job.notBefore.put(index, (Double) job.trial.againS());
+      }
+      case NO_ROOM, BUSY ->
+          job.notBefore.put(index, (Double) (now + RETRY_AFTER_REFUSAL_SECONDS));
+      case UNKNOWN -> job.notBefore.put(index, (Double) (now + RETRY_AFTER_UNKNOWN_SECONDS));
+      default -> job.notBefore.remove(index);
+    }
+  }
+}
--- a/src/main/java/io/violetrail/worker/LongPolls.java
+++ b/src/main/java/io/violetrail/worker/LongPolls.java
@@ -1,61 +1,70 @@
 package io.violetrail.worker;
 
-import io.violetrail.fleet.Machine;
 import io.violetrail.model.MachineId;
 import io.violetrail.net.Loop;
-import io.violetrail.wire.HeartbeatMessages.Command;
-import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 
 /**
- * Reports of idle workers that wait for something to do. A launch may travel only in the answer to
- * a report, and an idle worker reports once an interval: a gang waited for the slowest of its
+ * Heartbeats of idle workers that wait for something to do. A launch may travel only in the answer
+ * to a heartbeat, and an idle worker sends one an interval: a gang waited for the slowest of its
  * machines. So the answer to a worker that has nothing is kept open for most of the interval, and
  * given the moment that there is something to start, or that the machine passes on.
  */
-final class LongPolls {
-  /** Part of the interval; the rest is left for the next report to come in time. */
-  private static final double PART = 0.8;
+public final class LongPolls {
+  /** Part of the interval; the rest is left for the next heartbeat to come in time. */
+  private static final double INTERVAL_PART = 0.8;
 
   /** Well below the 4 s that a worker waits for an answer. */
-  private static final double MOST_S = 2;
+  private static final double MAX_WAIT_SECONDS = 2;
 
-  /** A report whose answer is kept open. {@code first}: commands that it carries in any case. */
-  record Report(
-      Machine machine,
-      WorkerReport report,
-      List<Command> first,
-      Consumer<HeartbeatReply> done,
-      Loop.Cancellable timer) {}
+  /** A heartbeat whose answer is kept open. */
+  private record Parked(
+      Consumer<HeartbeatReply> done, Runnable answer, Loop.Cancellable timer) {}
 
   private final Loop loop;
-  private final double waitS;
-  private final Map<MachineId, Report> reports = new HashMap<>();
+  private final double waitSeconds;
+  private final Map<MachineId, Parked> parked = new HashMap<>();
 
-  LongPolls(Loop loop, double reportS) {
+  /** Keeps answers open for a part of the workers' heartbeat interval. */
+  public LongPolls(Loop loop, double heartbeatSeconds) {
     this.loop = loop;
-    this.waitS = Math.min(MOST_S, PART * reportS);
+    this.waitSeconds = Math.min(MAX_WAIT_SECONDS, INTERVAL_PART * heartbeatSeconds);
   }
 
-  /** Keeps the answer open; {@code answer} is run when the time is over. */
-  void park(
-      Machine m,
-      WorkerReport report,
-      List<Command> first,
-      Consumer<HeartbeatReply> done,
-      Runnable answer) {
-    reports.put(m.id(), new Report(m, report, first, done, loop.after(waitS, answer)));
+  /**
+   * Keeps an answer open.
+   *
+   * @param done takes the reply if the worker gives this heartbeat up
+   * @param answer run when there is something to tell the worker, or the time is over
+   */
+  void park(MachineId machine, Consumer<HeartbeatReply> done, Runnable answer) {
+    Loop.Cancellable timer = loop.after(waitSeconds, () -> answer(machine));
+    parked.put(machine, new Parked(done, answer, timer));
   }
 
-  /** Takes the open report of a machine out; null if there is none. */
-  Report take(MachineId id) {
-    Report r = reports.remove(id);
-    if (r != null) {
-      r.timer().cancel();
+  /** Answers the open heartbeat of a machine now; nothing happens if there is none. */
+  public void answer(MachineId machine) {
+    Parked open = remove(machine);
+    if (open != null) {
+      open.answer().run();
     }
-    return r;
+  }
+
+  /** A newer heartbeat of the machine is here: its worker has given the open one up. */
+  void endSuperseded(MachineId machine) {
+    Parked open = remove(machine);
+    if (open != null) {
+      open.done().accept(HeartbeatReply.refused("a newer report is here"));
+    }
+  }
+
+  private Parked remove(MachineId machine) {
+    Parked open = parked.remove(machine);
+    if (open != null) {
+      open.timer().cancel();
+    }
+    return open;
   }
 }
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -6,11 +6,12 @@
 import io.violetrail.model.Amounts;
 import io.violetrail.model.Shape;
 import io.violetrail.model.TaskId;
-import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Blame;
+import io.violetrail.scheduling.Estimates;
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.Placement;
+import io.violetrail.scheduling.TaskFailureHandler;
 import io.violetrail.wire.HeartbeatMessages.Command;
 import io.violetrail.wire.HeartbeatMessages.Command.Verb;
 import io.violetrail.wire.HeartbeatMessages.ExitCause;
@@ -29,15 +30,18 @@
  * Brings an owner's picture of a machine in line with its worker's newest report: what runs there,
  * what has ended, and what is there that should not be. Keeps no state of its own.
  */
-final class ReportReconciler {
+public final class ReportReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
 
-  private final Node node;
   private final Jobs jobs;
+  private final Estimates estimates;
+  private final TaskFailureHandler failureHandler;
 
-  ReportReconciler(Node node, Jobs jobs) {
-    this.node = node;
+  /** Tells the jobs what is done and the failure handler what has failed. */
+  public ReportReconciler(Jobs jobs, Estimates estimates, TaskFailureHandler failureHandler) {
     this.jobs = jobs;
+    this.estimates = estimates;
+    this.failureHandler = failureHandler;
   }
 
   /** Brings the picture of a machine in line with its newest report. */
@@ -124,11 +128,11 @@
     }
     if (current) {
       if (task.why() == ExitCause.DONE && p.runningS > 0 && p.haltGraceS < 0) {
-        node.estimates.learn(job.spec, now - p.runningS);
+        estimates.learn(job.spec, now - p.runningS);
       }
       entity.unplace(p, now, GoneProof.REPORTED_ENDED);
       if (task.why() != ExitCause.DONE) {
-        node.dispatcher.failed(entity, m, p, task.why());
+        failureHandler.taskFailed(m, p, task.why());
       }
     }
     if (job.isDone(index)) {
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -2,7 +2,8 @@
 
 import io.violetrail.fleet.Machine;
 import io.violetrail.net.Http;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Placement;
 import io.violetrail.wire.Cbor;
@@ -30,7 +31,8 @@
   /** Commands under way; beyond that the answers to reports must do. */
   private static final int MOST_UNDER_WAY = 64;
 
-  private final Node node;
+  private final Loop loop;
+  private final Membership membership;
   private final Http http;
 
   /** Commands under way to machines that are silent, most of which are gone. */
@@ -49,13 +51,15 @@
   private int underWay;
   private int underWayToSilent;
 
-  public TaskStopper(Node node, Http http) {
-    this.node = node;
+  /** Sends commands to the machines of the entities owned here. */
+  public TaskStopper(Loop loop, Membership membership, Http http) {
+    this.loop = loop;
+    this.membership = membership;
     this.http = http;
   }
 
   public void start() {
-    node.loop.every(REPEAT_S, this::repeat);
+    loop.every(REPEAT_S, this::repeat);
   }
 
   /**
@@ -97,7 +101,7 @@
       return;
     }
     if (pending.isEmpty()) {
-      node.loop.execute(this::flush);
+      loop.execute(this::flush);
     }
     pending.computeIfAbsent(p.machine, m -> new ArrayList<>()).add(p);
   }
@@ -116,7 +120,7 @@
 
   /** {@code done} is run in any case. */
   private void send(Machine m, List<Placement> stopped, Runnable done) {
-    OwnedEntity h = node.membership.holding(m.row.entity());
+    OwnedEntity h = membership.holding(m.row.entity());
     boolean mine = h != null && h.active() && h.machines.get(m.id()) == m;
     List<Command> orders = new ArrayList<>();
     for (Placement p : stopped) {
@@ -125,7 +129,7 @@
       }
     }
     if (!mine
-        || !node.membership.valid()
+        || !membership.valid()
         || m.endpoint == null
         || m.session == 0
         || orders.isEmpty()) {
--- a/src/main/java/io/violetrail/worker/WorkerContacts.java
+++ b/src/main/java/io/violetrail/worker/WorkerContacts.java
@@ -17,7 +17,7 @@
  * not even that its worker is there: a copy took the place of a report whose answer was kept open,
  * and marked machines as heard that had been silent for long.
  */
-final class WorkerContacts {
+public final class WorkerContacts {
   /** Twice as many as the machines of a large deployment; one that is forgotten is heard anew. */
   private static final int MOST = 8_000;
 
@@ -41,7 +41,8 @@
   private final Cache<MachineId, Contact> contacts =
       CacheBuilder.newBuilder().maximumSize(MOST).build();
 
-  WorkerContacts(Loop loop, EvidenceLog evidence, double reportS) {
+  /** Counts and logs replies in the evidence log. */
+  public WorkerContacts(Loop loop, EvidenceLog evidence, double reportS) {
     this.loop = loop;
     this.evidence = evidence;
     this.awayS = AWAY_INTERVALS * reportS + 1;
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -1,15 +1,20 @@
 package io.violetrail.worker;
 
+import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.ControllerId;
 import io.violetrail.net.Http;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.peer.PeerClient;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Random;
 import java.util.function.IntConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,7 +50,12 @@
 
   private static final double MAX_GIVE_UP_S = 600;
 
-  private final Node node;
+  private final Settings settings;
+  private final Loop loop;
+  private final Random random;
+  private final Directory directory;
+  private final Membership membership;
+  private final PeerClient peers;
   private final Http http;
   private final List<HostPort> known = new ArrayList<>();
   private double heardS;
@@ -56,15 +66,28 @@
   private boolean probing;
   private boolean handing;
 
-  public WorkerReachability(Node node, Http http) {
-    this.node = node;
+  /** Probes workers over the given HTTP client. */
+  public WorkerReachability(
+      Settings settings,
+      Loop loop,
+      Random random,
+      Directory directory,
+      Membership membership,
+      PeerClient peers,
+      Http http) {
+    this.settings = settings;
+    this.loop = loop;
+    this.random = random;
+    this.directory = directory;
+    this.membership = membership;
+    this.peers = peers;
     this.http = http;
   }
 
   public void start() {
-    heardS = node.loop.seconds();
+    heardS = loop.seconds();
     tickedS = heardS;
-    node.loop.every(TICK_S, this::tick);
+    loop.every(TICK_S, this::tick);
   }
 
   /** Whether this controller is cut off from its workers. */
@@ -74,16 +97,16 @@
 
   /** Whether any worker has been heard of late: a peer that is deaf asks for that. */
   public boolean hears() {
-    return !deaf && node.loop.seconds() - heardS < 2 * quietS();
+    return !deaf && loop.seconds() - heardS < 2 * quietS();
   }
 
   private double quietS() {
-    return JITTER * node.settings.workers().reportS() + SLACK_S;
+    return JITTER * settings.workers().reportS() + SLACK_S;
   }
 
   /** A worker has reported, to whichever entity it belongs. */
   void heard(WorkerReport beat) {
-    heardS = node.loop.seconds();
+    heardS = loop.seconds();
     if (deaf) {
       hear("a worker reports");
     }
@@ -92,15 +115,15 @@
   private void hear(String how) {
     LOG.info("workers can be heard again: {}", how);
     deaf = false;
-    heardS = node.loop.seconds();
+    heardS = loop.seconds();
   }
 
   private void tick() {
-    double now = node.loop.seconds();
+    double now = loop.seconds();
     // After a pause of this process itself, reports wait to be read.
     boolean paused = now - tickedS > 2 * TICK_S;
     tickedS = now;
-    if (paused || !node.membership.valid()) {
+    if (paused || !membership.valid()) {
       heardS = Math.max(heardS, now - quietS() / 2);
       return;
     }
@@ -116,7 +139,7 @@
       hear("not tried any longer");
     } else if (!probing && !known.isEmpty()) {
       probe(
-          List.of(known.get(node.random.nextInt(known.size()))),
+          List.of(known.get(random.nextInt(known.size()))),
           answered -> {
             if (answered > 0 && deaf) {
               giveUpS = GIVE_UP_S;
@@ -129,7 +152,7 @@
   /** Nothing was heard for too long: asks the workers heard last. */
   private void suspect(double now) {
     List<HostPort> own = new ArrayList<>();
-    for (OwnedEntity h : node.membership.holdings()) {
+    for (OwnedEntity h : membership.holdings()) {
       for (Machine m : h.machines.values()) {
         if (h.active() && m.endpoint != null && m.row.up() && !m.returning) {
           own.add(m.endpoint);
@@ -139,20 +162,20 @@
     if (own.size() < LEAST || probing) {
       return;
     }
-    Collections.shuffle(own, node.random);
+    Collections.shuffle(own, random);
     double before = heardS;
     probe(
         own.subList(0, Math.min(PROBES, own.size())),
         answered -> {
-          if (answered == 0 && heardS == before && node.membership.valid()) {
+          if (answered == 0 && heardS == before && membership.valid()) {
             LOG.info("no worker is heard and none of {} answers: cut off from them", own.size());
             deaf = true;
-            deafS = node.loop.seconds();
+            deafS = loop.seconds();
             known.clear();
             known.addAll(own.subList(0, Math.min(KNOWN, own.size())));
             handOver();
           } else if (answered > 0) {
-            heardS = Math.max(heardS, node.loop.seconds() - quietS() / 2);
+            heardS = Math.max(heardS, loop.seconds() - quietS() / 2);
           }
         });
   }
@@ -176,29 +199,29 @@
 
   /** Gives all that is held to a peer that hears workers, by the ordinary conditional move. */
   private void handOver() {
-    if (handing || node.membership.holdings().isEmpty()) {
+    if (handing || membership.holdings().isEmpty()) {
       return;
     }
     handing = true;
-    ask(new ArrayList<>(node.settings.peers().keySet()));
+    ask(new ArrayList<>(settings.peers().keySet()));
   }
 
-  private void ask(List<ControllerId> peers) {
-    peers.removeIf(p -> !node.directory.isAlive(p));
-    if (peers.isEmpty() || !deaf) {
+  private void ask(List<ControllerId> candidates) {
+    candidates.removeIf(peer -> !directory.isAlive(peer));
+    if (candidates.isEmpty() || !deaf) {
       handing = false;
       return;
     }
-    ControllerId peer = peers.remove(0);
-    node.peers
+    ControllerId peer = candidates.remove(0);
+    peers
         .hears(peer)
         .whenComplete(
             (hears, failure) -> {
               if (failure == null && hears && deaf) {
                 handing = false;
-                node.membership.holdings().forEach(h -> node.membership.release(h, peer));
+                membership.holdings().forEach(h -> membership.release(h, peer));
               } else {
-                ask(peers);
+                ask(candidates);
               }
             });
   }
