--- a/src/main/java/io/violetrail/peer/Peers.java
+++ b/src/main/java/io/violetrail/peer/Peers.java
@@ -1,9 +1,6 @@
 package io.violetrail.peer;
 
-import com.esotericsoftware.kryo.Kryo;
 import com.esotericsoftware.kryo.KryoException;
-import com.esotericsoftware.kryo.io.Input;
-import com.esotericsoftware.kryo.io.Output;
 import com.google.common.base.Splitter;
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.configuration.ConfigurationState;
@@ -33,13 +30,12 @@
   private static final double TIMEOUT_S = 1.2;
   private static final double CANCEL_S = 3;
   private static final String PATH = "/peer";
-  private static final int MAX_MESSAGE = 64 * 1024;
 
   private final Node node;
   private final Http http;
   private final Views views = new Views(this::views);
   private final BudgetLending lending;
-  private Kryo kryo;
+  private final PeerCodec codec = new PeerCodec();
 
   public Peers(Node node, Http http) {
     this.node = node;
@@ -128,38 +124,11 @@
 
   /** Writes and reads a message, so that the classes for it are loaded. */
   public static void rehearse(JobSpec spec) {
-    Peers p = new Peers(null, null);
+    PeerCodec codec = new PeerCodec();
     ArrayList<ResourceRequest> requests =
         new ArrayList<>(List.of(ResourceRequest.machines(spec, 1, 0, 1, false, true)));
-    p.read(p.bytes(new Question(Kind.RESOURCES, "a", "b", 0, requests)), Question.class);
-    p.read(p.bytes(Reply.of(new JobView("a", JobView.Status.DONE, 1, 0))), Reply.class);
-  }
-
-  private Kryo kryo() {
-    if (kryo == null) {
-      kryo = new Kryo();
-      kryo.setRegistrationRequired(true);
-      kryo.setReferences(false);
-      kryo.setMaxDepth(8);
-      kryo.register(ArrayList.class);
-      kryo.register(ResourceRequest.class);
-      kryo.register(Kind.class);
-      kryo.register(Question.class);
-      kryo.register(Reply.class);
-      kryo.register(View.class);
-      kryo.register(ConfigurationState.class);
-    }
-    return kryo;
-  }
-
-  private byte[] bytes(Object message) {
-    Output out = new Output(256, MAX_MESSAGE);
-    kryo().writeObject(out, message);
-    return out.toBytes();
-  }
-
-  private <T> T read(byte[] bytes, Class<T> type) {
-    return kryo().readObject(new Input(bytes), type);
+    codec.decode(codec.encode(new Question(Kind.RESOURCES, "a", "b", 0, requests)), Question.class);
+    codec.decode(codec.encode(Reply.of(new JobView("a", JobView.Status.DONE, 1, 0))), Reply.class);
   }
 
   /** Asks the owner of a job for its current state. */
@@ -272,14 +241,14 @@
     if (address == null) {
       return CompletableFuture.failedFuture(new Unavailable("no such peer", 404));
     }
-    return http.call(address, "POST", PATH, bytes(question), timeoutS)
+    return http.call(address, "POST", PATH, codec.encode(question), timeoutS)
         .thenApply(
             r -> {
               if (!r.ok()) {
                 throw new Unavailable("the peer answered " + r.status(), r.status());
               }
               try {
-                return read(r.body(), Reply.class);
+                return codec.decode(r.body(), Reply.class);
               } catch (KryoException e) {
                 throw new Unavailable("the peer's answer is unclear", 0);
               }
@@ -294,14 +263,14 @@
     }
     Question q;
     try {
-      q = read(body, Question.class);
+      q = codec.decode(body, Question.class);
     } catch (KryoException e) {
       LOG.info("a peer's message is unclear: {}", e.getMessage());
       done.accept(Answer.empty(400));
       return;
     }
     Consumer<Reply> reply =
-        r -> done.accept(new Answer(200, bytes(r), 0, "application/octet-stream"));
+        r -> done.accept(new Answer(200, codec.encode(r), 0, "application/octet-stream"));
     switch (q.kind()) {
       case VIEW -> reply.accept(views(q.subject()));
       case HEARS -> reply.accept(node.reachability.hears() ? Reply.YES : Reply.UNKNOWN);
