--- a/src/main/java/io/violetrail/api/Intake.java
+++ b/src/main/java/io/violetrail/api/Intake.java
@@ -86,8 +86,7 @@
       // Said at once: who waits in vain for a place in the queue comes back later than who is told.
       return later("too many jobs at once");
     }
-    return jobs
-        .store(own, spec, with)
+    return jobs.store(own, spec, with)
         .handle(
             (stored, failure) -> {
               if (failure != null) {
@@ -120,8 +119,7 @@
 
   /** A job that was accepted once is never refused, even if a check would now fail. */
   private CompletableFuture<Decision> refuse(JobSpec spec, String why) {
-    return jobs
-        .lookUp(spec.id())
+    return jobs.lookUp(spec.id())
         .handle(
             (found, failure) -> {
               if (failure != null) {
--- a/src/main/java/io/violetrail/api/Jobs.java
+++ b/src/main/java/io/violetrail/api/Jobs.java
@@ -11,8 +11,8 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView.Status;
 import io.violetrail.model.JobView;
+import io.violetrail.model.JobView.Status;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Rounds;
 import io.violetrail.ownership.Membership;
@@ -22,8 +22,8 @@
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.PendingJobs;
 import io.violetrail.scheduling.Placement;
-import io.violetrail.state.StateStore.Unavailable;
 import io.violetrail.state.StateStore;
+import io.violetrail.state.StateStore.Unavailable;
 import io.violetrail.tracing.Traces;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateWire.Entry;
@@ -328,7 +328,8 @@
 
   private Progress progress(OwnedEntity h) {
     progress.keySet().retainAll(membership.holdings());
-    return progress.computeIfAbsent(h, owned -> new Progress(loop, store, limits, membership, owned));
+    return progress.computeIfAbsent(
+        h, owned -> new Progress(loop, store, limits, membership, owned));
   }
 
   /** Stores the progress that is due. */
--- a/src/main/java/io/violetrail/api/Ledger.java
+++ b/src/main/java/io/violetrail/api/Ledger.java
@@ -9,15 +9,15 @@
 import io.violetrail.config.Settings.StateLimits;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView.Status;
 import io.violetrail.model.JobView;
+import io.violetrail.model.JobView.Status;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Soon;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows;
-import io.violetrail.state.StateStore.Unavailable;
 import io.violetrail.state.StateStore;
+import io.violetrail.state.StateStore.Unavailable;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobWire;
 import io.violetrail.wire.StateWire.Entry;
@@ -105,8 +105,7 @@
     }
   }
 
-  Ledger(
-      Loop loop, StateStore store, StateLimits limits, Membership membership, OwnedEntity h) {
+  Ledger(Loop loop, StateStore store, StateLimits limits, Membership membership, OwnedEntity h) {
     this.loop = loop;
     this.store = store;
     this.limits = limits;
@@ -204,10 +203,7 @@
      * A second's worth of writes at most: machines' records are not to wait for longer than that.
      */
     private final int maxWrites =
-        (int)
-            Math.min(
-                limits.txnOps(),
-                Math.max(LEAST_WRITES, store.writesPerSecond()));
+        (int) Math.min(limits.txnOps(), Math.max(LEAST_WRITES, store.writesPerSecond()));
 
     private boolean full() {
       int writes = claims + sheetsTo.size() + pagesTo.size();
--- a/src/main/java/io/violetrail/api/Progress.java
+++ b/src/main/java/io/violetrail/api/Progress.java
@@ -67,8 +67,7 @@
     }
   }
 
-  Progress(
-      Loop loop, StateStore store, StateLimits limits, Membership membership, OwnedEntity h) {
+  Progress(Loop loop, StateStore store, StateLimits limits, Membership membership, OwnedEntity h) {
     this.loop = loop;
     this.store = store;
     this.membership = membership;
--- a/src/main/java/io/violetrail/api/Readiness.java
+++ b/src/main/java/io/violetrail/api/Readiness.java
@@ -15,8 +15,7 @@
   private final Configuration configuration;
 
   /** Answers from the lease, the entities owned here and what is known of the cloud. */
-  public Readiness(
-      Membership membership, MachineTypes machineTypes, Configuration configuration) {
+  public Readiness(Membership membership, MachineTypes machineTypes, Configuration configuration) {
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.configuration = configuration;
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -4,8 +4,8 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView.Status;
 import io.violetrail.model.JobView;
+import io.violetrail.model.JobView.Status;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Service;
 import io.violetrail.ownership.Directory;
@@ -14,8 +14,8 @@
 import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.PeerJobViews;
 import io.violetrail.tracing.Traces;
-import io.violetrail.wire.Cbor.Malformed;
 import io.violetrail.wire.Cbor;
+import io.violetrail.wire.Cbor.Malformed;
 import io.violetrail.wire.JobWire;
 import io.violetrail.worker.HeartbeatHandler;
 import java.util.List;
@@ -95,8 +95,7 @@
     optionalService = next.apply(optionalService);
   }
 
-  private static void notFound(
-      String method, String path, byte[] body, Consumer<Answer> done) {
+  private static void notFound(String method, String path, byte[] body, Consumer<Answer> done) {
     done.accept(Answer.empty(404));
   }
 
@@ -113,7 +112,10 @@
           get,
           done,
           () ->
-              done.accept(readiness.isReady() ? Answer.of(200, readiness.describe()) : Answer.later("not ready")));
+              done.accept(
+                  readiness.isReady()
+                      ? Answer.of(200, readiness.describe())
+                      : Answer.later("not ready")));
     } else if (path.equals(WORK)) {
       allow(post, done, () -> submit(body, metrics.timed("submit", within(CHANGE_S, done))));
     } else if (path.startsWith(WORK + "/") && path.endsWith(ABORT)) {
@@ -320,8 +322,7 @@
   /** The peer that owns the entity and is alive; null if there is none. */
   private ControllerId peerThatOwns(ControllerId entity) {
     ControllerId owner = directory.ownerOf(entity);
-    boolean peer =
-        owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
+    boolean peer = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
     return peer ? owner : null;
   }
 
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -3,12 +3,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.api.Intake;
 import io.violetrail.calendar.Definition.Refused;
 import io.violetrail.calendar.ScheduleRow.Run;
+import io.violetrail.config.Settings;
+import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobId;
+import io.violetrail.net.Loop;
 import io.violetrail.net.Service;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.state.StateStore;
 import io.violetrail.state.StateStore.Unavailable;
 import io.violetrail.state.Tombstones;
 import io.violetrail.wire.Cbor;
@@ -19,6 +24,7 @@
 import java.time.LocalDate;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Random;
 import java.util.Set;
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
@@ -45,11 +51,32 @@
   /** Schedules of all controllers together: a takeover reads them all. */
   static final int MOST_SCHEDULES = 20_000;
 
-  private final Node node;
+  private final Loop loop;
+  private final Random random;
+  private final Settings settings;
+  private final StateStore store;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final Intake intake;
   private final Schedules schedules;
 
-  public ScheduleApi(Node node, Schedules schedules) {
-    this.node = node;
+  /** Serves what is stored, and what the schedules here know. */
+  public ScheduleApi(
+      Loop loop,
+      Random random,
+      Settings settings,
+      StateStore store,
+      Membership membership,
+      MachineTypes machineTypes,
+      Intake intake,
+      Schedules schedules) {
+    this.loop = loop;
+    this.random = random;
+    this.settings = settings;
+    this.store = store;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.intake = intake;
     this.schedules = schedules;
   }
 
@@ -121,12 +148,12 @@
 
   private void checked(ObjectNode m) throws Refused {
     Definition d = Definition.of(m);
-    d.check(Instant.ofEpochMilli(node.loop.wallMillis()), schedules.days());
-    String never = node.intake.neverRuns(d.spec(new JobId("job-0")));
+    d.check(Instant.ofEpochMilli(loop.wallMillis()), schedules.days());
+    String never = intake.neverRuns(d.spec(new JobId("job-0")));
     if (never != null) {
       throw new Refused(422, "job", "it can never run: " + never);
     }
-    if (Cbor.bytes(m).length > node.settings.stateLimits().valueBytes() / 4) {
+    if (Cbor.bytes(m).length > settings.stateLimits().valueBytes() / 4) {
       throw new Refused(422, "job", "the description is too long");
     }
   }
@@ -142,21 +169,21 @@
     if (!name.matches(NAME)) {
       throw new Refused(400, "name", "must be lower case letters, digits and hyphens, at most 63");
     }
-    String closed = node.intake.closed();
+    String closed = intake.closed();
     if (!schedules.ready() || closed != null) {
       done.accept(error(503, closed == null ? "the schedules are not read yet" : closed));
       return;
     }
-    OwnedEntity own = node.membership.own();
+    OwnedEntity own = membership.own();
     if (schedules.count() >= MOST_SCHEDULES) {
       done.accept(error(429, "there are " + MOST_SCHEDULES + " schedules already"));
       return;
     }
     checked(m);
-    String uid = new UUID(node.random.nextLong(), node.random.nextLong()).toString();
-    ScheduleRow row = ScheduleRow.fresh(name, kept(m), own.entity(), uid, node.loop.wallMillis());
-    Tombstones.creation(node.store, own::fenced, row.key(), row.value())
-        .thenCompose(node.store::settle)
+    String uid = new UUID(random.nextLong(), random.nextLong()).toString();
+    ScheduleRow row = ScheduleRow.fresh(name, kept(m), own.entity(), uid, loop.wallMillis());
+    Tombstones.creation(store, own::fenced, row.key(), row.value())
+        .thenCompose(store::settle)
         .whenComplete(
             (outcome, failure) -> {
               if (failure != null) {
@@ -181,7 +208,7 @@
 
   private void read(String name, Consumer<Answer> done, Consumer<ScheduleRow> then) {
     String key = ScheduleRow.ROWS + name;
-    node.store
+    store
         .getForUser(key)
         .whenComplete(
             (entry, failure) -> {
@@ -204,7 +231,7 @@
     if (m.has("name") && !m.get("name").asText().equals(name)) {
       throw new Refused(422, "name", "is not the name in the request's path");
     }
-    if (node.types().isEmpty()) {
+    if (machineTypes.isEmpty()) {
       done.accept(error(503, "the machine types are not known yet"));
       return;
     }
@@ -220,7 +247,7 @@
                     v -> {
                       v.set("def", kept(m));
                       v.put("version", version + 1);
-                      v.put("cursor", Math.max(row.cursorMs(), node.loop.wallMillis()));
+                      v.put("cursor", Math.max(row.cursorMs(), loop.wallMillis()));
                     }),
         TRIES);
   }
@@ -236,7 +263,7 @@
                 : row.with(
                     v -> {
                       v.put("paused", paused);
-                      v.put("cursor", Math.max(row.cursorMs(), node.loop.wallMillis()));
+                      v.put("cursor", Math.max(row.cursorMs(), loop.wallMillis()));
                     }),
         TRIES);
   }
@@ -257,7 +284,7 @@
             done.accept(json(200, shown(row)));
             return;
           }
-          node.store
+          store
               .settle(new Txn().when(row.key(), row.stamp()).set(row.key(), next.value()))
               .whenComplete(
                   (outcome, failure) -> {
@@ -301,19 +328,19 @@
         name,
         done,
         row ->
-            node.store
+            store
                 .settle(
                     Tombstones.mark(
                         new Txn().when(row.key(), row.stamp()).drop(row.key()),
                         row.key(),
-                        node.loop.wallMillis()))
+                        loop.wallMillis()))
                 .whenComplete(
                     (outcome, failure) -> {
                       if (failure != null) {
                         done.accept(error(503, "the state service does not answer"));
                       } else if (outcome.applied()) {
                         LOG.info("schedule {} deleted", name);
-                        blocks(row).forEach(k -> node.store.settleLast(new Txn().drop(k)));
+                        blocks(row).forEach(k -> store.settleLast(new Txn().drop(k)));
                         done.accept(json(200, Cbor.map().put("deleted", name)));
                       } else if (tries > 0) {
                         delete(name, done, tries - 1);
@@ -338,7 +365,7 @@
   private void history(ScheduleRow row, Consumer<Answer> done) {
     List<String> keys = blocks(row);
     List<CompletableFuture<JsonNode>> reads = new ArrayList<>();
-    keys.forEach(k -> reads.add(node.store.getForUser(k).thenApply(e -> e.value())));
+    keys.forEach(k -> reads.add(store.getForUser(k).thenApply(e -> e.value())));
     CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
         .whenComplete(
             (nothing, failure) -> {
@@ -387,7 +414,7 @@
       done.accept(error(400, "after: is no name"));
       return;
     }
-    node.store
+    store
         .pageForUser(ScheduleRow.ROWS, after.isEmpty() ? "" : ScheduleRow.ROWS + after, PAGE)
         .whenComplete(
             (page, failure) -> {
@@ -482,7 +509,7 @@
       }
     }
     // The same again does no harm: whole sets of days replace one another.
-    node.store
+    store
         .txn(txn)
         .whenComplete(
             (outcome, failure) ->
--- a/src/main/java/io/violetrail/calendar/Schedules.java
+++ b/src/main/java/io/violetrail/calendar/Schedules.java
@@ -3,20 +3,26 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.api.Companion;
+import io.violetrail.api.Jobs;
 import io.violetrail.calendar.Firing.Result;
 import io.violetrail.calendar.Firing.Stored;
 import io.violetrail.calendar.Foresight.Outlook;
+import io.violetrail.config.Settings;
 import io.violetrail.fleet.Boots;
+import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.MachineType;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.scheduling.Estimates;
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.Placement;
 import io.violetrail.state.FirstListing;
 import io.violetrail.state.RowFeed;
+import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateWire.Change;
 import io.violetrail.wire.StateWire.Entry;
@@ -48,7 +54,13 @@
    */
   private static final int MAY_WAIT = 1;
 
-  private final Node node;
+  private final Loop loop;
+  private final Settings settings;
+  private final StateStore store;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final Jobs jobs;
+  private final Estimates estimates;
   private final RowFeed feed;
   private final Map<String, Set<LocalDate>> named = new HashMap<>();
   private final Holidays holidays = new Holidays();
@@ -65,14 +77,28 @@
     }
   }
 
-  public Schedules(Node node) {
-    this.node = node;
-    this.feed = new RowFeed(node.store, node.loop, ALL, this);
+  /** Fires the schedules of the entities owned here. */
+  public Schedules(
+      Loop loop,
+      Settings settings,
+      StateStore store,
+      Membership membership,
+      MachineTypes machineTypes,
+      Jobs jobs,
+      Estimates estimates) {
+    this.loop = loop;
+    this.settings = settings;
+    this.store = store;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.jobs = jobs;
+    this.estimates = estimates;
+    this.feed = new RowFeed(store, loop, ALL, this);
   }
 
   public void start() {
     feed.start();
-    node.loop.every(TICK_S, this::tick);
+    loop.every(TICK_S, this::tick);
   }
 
   Days days() {
@@ -139,11 +165,11 @@
   }
 
   private void tick() {
-    owned.keySet().retainAll(node.membership.holdings());
-    if (!node.membership.valid() || !feed.ready()) {
+    owned.keySet().retainAll(membership.holdings());
+    if (!membership.valid() || !feed.ready()) {
       return;
     }
-    for (OwnedEntity h : node.membership.holdings()) {
+    for (OwnedEntity h : membership.holdings()) {
       Own own = owned.computeIfAbsent(h, this::own);
       if (!own.listing.done()) {
         load(h, own);
@@ -154,13 +180,13 @@
   }
 
   private Own own(OwnedEntity h) {
-    return new Own(new Firing(new Port(h), () -> days, node.settings.timeBoundS()));
+    return new Own(new Firing(new Port(h), () -> days, settings.timeBoundS()));
   }
 
   /** Rows as of after the move: what a former owner settled stands in them. */
   private void load(OwnedEntity h, Own own) {
     own.listing.read(
-        node.store,
+        store,
         ScheduleRow.ROWS,
         e -> {
           ScheduleRow row = ScheduleRow.of(e.key(), e.value(), e.stamp());
@@ -182,25 +208,24 @@
 
     @Override
     public long wallMs() {
-      return node.loop.wallMillis();
+      return loop.wallMillis();
     }
 
     @Override
     public long steadyMs() {
-      return node.loop.nanos() / 1_000_000;
+      return loop.nanos() / 1_000_000;
     }
 
     @Override
     public int room() {
-      return h.active() && node.membership.valid() ? MAY_WAIT - node.jobs.waiting(h) : 0;
+      return h.active() && membership.valid() ? MAY_WAIT - jobs.waiting(h) : 0;
     }
 
     @Override
     public CompletableFuture<Stored> fire(ScheduleRow before, ScheduleRow next, JobSpec spec) {
       int bytes = Cbor.bytes(next.value()).length;
       Companion with = new Companion(before.key(), before.stamp(), next.value(), bytes);
-      return node.jobs
-          .store(h, spec, with)
+      return jobs.store(h, spec, with)
           .thenCompose(
               stored -> {
                 if (stored.fresh() && stored.revision() > 0) {
@@ -229,8 +254,7 @@
           txn.drop(next.blockKey(number - Firing.MOST_BLOCKS));
         }
       }
-      CompletableFuture<Outcome> outcome =
-          urgent ? node.store.settle(txn) : node.store.settleLast(txn);
+      CompletableFuture<Outcome> outcome = urgent ? store.settle(txn) : store.settleLast(txn);
       return outcome.thenApply(
           o -> new Stored(o.applied() ? Result.APPLIED : Result.CHANGED, o.revision()));
     }
@@ -241,9 +265,9 @@
       if (job != null && job.phase != Job.Phase.OVER) {
         return job.view();
       }
-      JobView over = node.jobs.terminalView(id);
+      JobView over = jobs.terminalView(id);
       if (over == null && asking.add(id)) {
-        node.jobs.lookUp(id).whenComplete((found, failure) -> asking.remove(id));
+        jobs.lookUp(id).whenComplete((found, failure) -> asking.remove(id));
       }
       return over;
     }
@@ -254,7 +278,7 @@
       if (job == null) {
         return null;
       }
-      double now = node.loop.seconds();
+      double now = loop.seconds();
       double age = 0;
       int running = 0;
       for (Placement p : job.placements()) {
@@ -268,13 +292,13 @@
           job.doneCount(),
           running,
           running == 0 ? 0 : age / running,
-          node.estimates.runS(job.spec),
+          estimates.runS(job.spec),
           startS(job.spec));
     }
 
     private double startS(JobSpec spec) {
       double boot = 0;
-      for (MachineType t : node.types().values()) {
+      for (MachineType t : machineTypes.all()) {
         if (t.size().count(spec.task()) > 0) {
           boot = Math.max(boot, t.bootS() + spec.imageGb() / t.fetchGbPerS());
         }
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -1,12 +1,10 @@
 package io.violetrail.cli;
 
 import io.undertow.server.DefaultByteBufferPool;
-import io.violetrail.calendar.ScheduleApi;
-import io.violetrail.calendar.Schedules;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
-import io.violetrail.kubernetes.Kubernetes;
+import io.violetrail.controller.Controller;
 import io.violetrail.kubernetes.Listener;
 import io.violetrail.net.Http;
 import io.violetrail.net.Loop;
@@ -14,8 +12,8 @@
 import io.violetrail.net.UndertowHttp;
 import io.violetrail.net.UndertowLoop;
 import io.violetrail.net.UndertowServer;
-import io.violetrail.node.Node;
 import io.violetrail.tracing.SpanTraces;
+import io.violetrail.tracing.Traces;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -225,35 +223,40 @@
             UndertowServer.start(settings.listen(), script, loop, worker, buffers);
             return;
           }
-          Node node = new Node(settings, options, loop, http, new Random());
-          if (options.traceSpans() != null) {
-            node.traces = new SpanTraces(loop, options.traceSpans());
-          }
-          // The first calls are on their way while the servers come up.
-          node.start();
-          UndertowServer.start(settings.api(), node.api, loop, worker, buffers);
-          UndertowServer.start(settings.listen(), node.peerService(), loop, worker, buffers);
-          if (options.calendar()) {
-            Schedules schedules = new Schedules(node);
-            schedules.start();
-            node.optionalService = new ScheduleApi(node, schedules);
-          }
-          if (options.configuration()) {
-            node.serveConfiguration();
-          }
-          if (options.kubernetesPort() != null) {
-            Kubernetes kubernetes = new Kubernetes(node, http, options.kubernetesPort());
-            kubernetes.start();
-            Listener.start(
-                new HostPort(settings.api().host(), options.kubernetesPort()),
-                kubernetes.api(),
-                loop,
-                worker,
-                buffers);
-          }
+          startController(settings, options, loop, http, worker, buffers);
           LoggerFactory.getLogger(Main.class)
               .info("{} serves at {}", settings.self(), settings.api());
         });
     return new Running(loop, http);
   }
+
+  private static void startController(
+      Settings settings,
+      Options options,
+      UndertowLoop loop,
+      UndertowHttp http,
+      XnioWorker worker,
+      DefaultByteBufferPool buffers) {
+    Traces traces =
+        options.traceSpans() == null ? Traces.NONE : new SpanTraces(loop, options.traceSpans());
+    Controller controller = new Controller(settings, options, loop, http, new Random(), traces);
+    // The first calls are on their way while the servers come up.
+    controller.start();
+    UndertowServer.start(settings.api(), controller.api(), loop, worker, buffers);
+    UndertowServer.start(settings.listen(), controller.peerService(), loop, worker, buffers);
+    if (options.calendar()) {
+      controller.serveSchedules();
+    }
+    if (options.configuration()) {
+      controller.serveConfiguration();
+    }
+    if (options.kubernetesPort() != null) {
+      Listener.start(
+          new HostPort(settings.api().host(), options.kubernetesPort()),
+          controller.startKubernetes(options.kubernetesPort()),
+          loop,
+          worker,
+          buffers);
+    }
+  }
 }
--- a/src/main/java/io/violetrail/cli/Rehearsal.java
+++ b/src/main/java/io/violetrail/cli/Rehearsal.java
@@ -10,7 +10,7 @@
 import io.violetrail.model.Priority;
 import io.violetrail.model.Shape;
 import io.violetrail.net.Service;
-import io.violetrail.peer.Peers;
+import io.violetrail.peer.PeerClient;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobWire;
 import java.net.InetAddress;
@@ -116,7 +116,7 @@
             0,
             0,
             null);
-    Peers.rehearse(spec);
+    PeerClient.exerciseCodec(spec);
     controller
         .loop()
         .after(
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -53,7 +53,7 @@
 
   /**
    * @param states asks every controller for its state
-   * @param others serves all other paths; null if nobody does
+   * @param others serves all other paths
    */
   public ConfigurationApi(
       Loop loop,
@@ -71,11 +71,7 @@
   @Override
   public void handle(String method, String path, byte[] body, Consumer<Answer> done) {
     if (!path.equals(PATH) && !path.startsWith(PATH + "/")) {
-      if (others == null) {
-        done.accept(Answer.empty(404));
-      } else {
-        others.handle(method, path, body, done);
-      }
+      others.handle(method, path, body, done);
       return;
     }
     Consumer<Answer> inTime = inTime(done);
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -107,8 +107,7 @@
     if (machine != null) {
       // A machine is passed over empty, so it hides nothing.
       machine.heard = true;
-      LOG.info(
-          "machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since);
+      LOG.info("machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since);
       schedulingLoop.requestPass();
     }
   }
--- a/src/main/java/io/violetrail/fleet/Hires.java
+++ b/src/main/java/io/violetrail/fleet/Hires.java
@@ -1,15 +1,15 @@
 package io.violetrail.fleet;
 
-import io.violetrail.cloud.CloudClient.Rental;
 import io.violetrail.cloud.CloudClient;
+import io.violetrail.cloud.CloudClient.Rental;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.MachineRow;
 import io.violetrail.ownership.Rows;
+import io.violetrail.ownership.Rows.MachineRow;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -142,7 +142,8 @@
   private boolean passable(Machine m, ResourceRequest request) {
     // Too dear for the request, a machine only passed to and fro, idle and paid for.
     double ratio =
-        machineTypes.prices()
+        machineTypes
+            .prices()
             .ratio(request.task(), request.typeList(), m.type, m.row.spot(), request.tasks());
     return m.open()
         && ratio <= request.worth()
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -54,7 +54,8 @@
   void refresh() {
     double now = loop.seconds();
     boolean known = !machineTypes.isEmpty();
-    if (now - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS) || !cloud.mayCall()) {
+    if (now - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
+        || !cloud.mayCall()) {
       return;
     }
     refreshedAtSeconds = now;
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -1,7 +1,7 @@
 package io.violetrail.fleet;
 
-import io.violetrail.cloud.CloudClient.Return;
 import io.violetrail.cloud.CloudClient;
+import io.violetrail.cloud.CloudClient.Return;
 import io.violetrail.config.Settings;
 import io.violetrail.model.JobSpec;
 import io.violetrail.net.Loop;
@@ -127,7 +127,8 @@
         .wanted(machineTypes.all(), now)
         .forEach(
             (spec, tasks) ->
-                surplus.put(spec, Spares.room(spec, h.machines.values(), machineTypes.prices()) - tasks));
+                surplus.put(
+                    spec, Spares.room(spec, h.machines.values(), machineTypes.prices()) - tasks));
     return surplus;
   }
 
@@ -147,8 +148,7 @@
 
   /** How long a worker may need to find a new owner, trying dead controllers on its way. */
   private double findsUsS() {
-    long dead =
-        settings.peers().keySet().stream().filter(p -> !directory.isAlive(p)).count();
+    long dead = settings.peers().keySet().stream().filter(p -> !directory.isAlive(p)).count();
     return UNHEARD_S * Math.max(1, dead) + 2 * settings.workers().reportS();
   }
 
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -114,9 +114,7 @@
       }
       boolean urgent = spares.urgent(job.spec, machineTypes.all());
       boolean peersFirst =
-          !urgent
-              && now - job.arrivedS < TransferRequests.FIRST_S
-              && directory.aliveCount() > 1;
+          !urgent && now - job.arrivedS < TransferRequests.FIRST_S && directory.aliveCount() > 1;
       boolean probe = job.trial.suspect() && placeable(h, job);
       if (job.mayStart(now) == 0 || job.recovered && uncertain || peersFirst || probe) {
         continue;
--- a/src/main/java/io/violetrail/kubernetes/DeploymentSteps.java
+++ b/src/main/java/io/violetrail/kubernetes/DeploymentSteps.java
@@ -2,10 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.api.Jobs;
 import io.violetrail.kubernetes.KubeObject.Part;
 import io.violetrail.kubernetes.Rollout.Plan;
 import io.violetrail.kubernetes.Rollout.Replica;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
 import io.violetrail.wire.Cbor;
@@ -22,19 +23,21 @@
   /** New replicas that one write announces; a row holds at most 8 KiB. */
   private static final int AT_ONCE = 20;
 
-  private final Node node;
+  private final Loop loop;
+  private final Jobs jobs;
   private final Keeper keeper;
   private final Translation translation;
 
-  DeploymentSteps(Node node, Keeper keeper, Translation translation) {
-    this.node = node;
+  DeploymentSteps(Loop loop, Jobs jobs, Keeper keeper, Translation translation) {
+    this.loop = loop;
+    this.jobs = jobs;
     this.keeper = keeper;
     this.translation = translation;
   }
 
   /** The object's next state if it is to be stored, otherwise null. */
   KubeObject step(OwnedEntity h, KubeObject object) {
-    if (h.uncertain(node.loop.seconds())) {
+    if (h.uncertain(loop.seconds())) {
       // After a move replicas are seen one by one. Those that had not been seen yet were taken for
       // not running, and a rollout ended all of them at once.
       return null;
@@ -51,7 +54,7 @@
         boolean ending = job.phase != Job.Phase.OPEN;
         boolean ready = !ending && job.view().running() > 0;
         replicas.add(new Replica(part.number(), current, ready, ending));
-      } else if (node.jobs.terminalView(part.id()) != null || keeper.never(h, part.id())) {
+      } else if (jobs.terminalView(part.id()) != null || keeper.never(h, part.id())) {
         over.add(part.number());
       } else if (keeper.busy(h, part.id())) {
         replicas.add(new Replica(part.number(), current, false, true));
@@ -125,9 +128,7 @@
         .put("message", available ? "all replicas run" : "some replicas do not run")
         .put(
             "lastTransitionTime",
-            same
-                ? before.path("lastTransitionTime").asText()
-                : KubeObject.time(node.loop.wallMillis()));
+            same ? before.path("lastTransitionTime").asText() : KubeObject.time(loop.wallMillis()));
     return s;
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/Feed.java
+++ b/src/main/java/io/violetrail/kubernetes/Feed.java
@@ -2,8 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
 import io.violetrail.state.RowFeed;
+import io.violetrail.state.StateStore;
 import io.violetrail.wire.StateWire.Change;
 import io.violetrail.wire.StateWire.Entry;
 import java.util.ArrayDeque;
@@ -60,8 +61,8 @@
     void dropped(String key);
   }
 
-  Feed(Node node, Bookkeeper bookkeeper) {
-    this.rows = new RowFeed(node.store, node.loop, KubeObject.ROWS, this);
+  Feed(StateStore store, Loop loop, Bookkeeper bookkeeper) {
+    this.rows = new RowFeed(store, loop, KubeObject.ROWS, this);
     this.bookkeeper = bookkeeper;
   }
 
--- a/src/main/java/io/violetrail/kubernetes/JobSteps.java
+++ b/src/main/java/io/violetrail/kubernetes/JobSteps.java
@@ -1,10 +1,11 @@
 package io.violetrail.kubernetes;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.api.Jobs;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
 import io.violetrail.wire.Cbor;
@@ -14,12 +15,14 @@
   /** Counts alone are written down this often; beginnings and ends at once. */
   private static final long COUNTS_MS = 10_000;
 
-  private final Node node;
+  private final Loop loop;
+  private final Jobs jobs;
   private final Keeper keeper;
   private final Translation translation;
 
-  JobSteps(Node node, Keeper keeper, Translation translation) {
-    this.node = node;
+  JobSteps(Loop loop, Jobs jobs, Keeper keeper, Translation translation) {
+    this.loop = loop;
+    this.jobs = jobs;
     this.keeper = keeper;
     this.translation = translation;
   }
@@ -35,8 +38,7 @@
     }
     JobId id = object.parts().get(0).id();
     Job job = h.jobs.get(id);
-    JobView view =
-        job != null && job.phase != Job.Phase.OVER ? job.view() : node.jobs.terminalView(id);
+    JobView view = job != null && job.phase != Job.Phase.OVER ? job.view() : jobs.terminalView(id);
     if (view == null) {
       if (!object.deleting()) {
         keeper.ensure(h, object, translation.spec(object, id.value()));
@@ -91,7 +93,7 @@
 
   private boolean pastDeadline(KubeObject object) {
     long seconds = object.spec().path("activeDeadlineSeconds").asLong();
-    return seconds > 0 && node.loop.wallMillis() > object.startedMs() + seconds * 1000;
+    return seconds > 0 && loop.wallMillis() > object.startedMs() + seconds * 1000;
   }
 
   /** Written once the native job's end is stored, which nothing changes any more. */
@@ -105,7 +107,7 @@
             s.put("failed", failed);
           }
           if (view.status() == Status.DONE) {
-            s.put("completionTime", KubeObject.time(node.loop.wallMillis()));
+            s.put("completionTime", KubeObject.time(loop.wallMillis()));
             condition(s, "Complete", "CompletionsReached", "all tasks are done");
           } else if (failed > object.spec().path("backoffLimit").asInt()) {
             condition(
@@ -120,7 +122,7 @@
   }
 
   private KubeObject counts(OwnedEntity h, KubeObject object, Job job, JobView view, int failed) {
-    if (job.recovered && h.uncertain(node.loop.seconds())) {
+    if (job.recovered && h.uncertain(loop.seconds())) {
       // Tasks that have not been seen since a move would be counted as not running.
       return null;
     }
@@ -137,13 +139,13 @@
     }
     boolean begins = (view.running() > 0) != (object.status().path("ready").asInt() > 0);
     boolean failures = failed != object.status().path("failed").asInt();
-    boolean due = node.loop.wallMillis() - object.value().path("wrote").asLong() > COUNTS_MS;
+    boolean due = loop.wallMillis() - object.value().path("wrote").asLong() > COUNTS_MS;
     if (!begins && !failures && !due) {
       return null;
     }
     return object.with(
         v -> {
-          v.put("wrote", node.loop.wallMillis());
+          v.put("wrote", loop.wallMillis());
           v.put("failed", failed)
               .put("base", failedBefore(h, object))
               .put("by", h.row.version().value());
@@ -163,6 +165,6 @@
         .put("status", "True")
         .put("reason", reason)
         .put("message", message)
-        .put("lastTransitionTime", KubeObject.time(node.loop.wallMillis()));
+        .put("lastTransitionTime", KubeObject.time(loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/Keeper.java
+++ b/src/main/java/io/violetrail/kubernetes/Keeper.java
@@ -1,14 +1,17 @@
 package io.violetrail.kubernetes;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.api.Jobs;
 import io.violetrail.kubernetes.KubeObject.Part;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
 import io.violetrail.state.FirstListing;
+import io.violetrail.state.StateStore;
 import io.violetrail.state.Tombstones;
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -39,9 +42,12 @@
   /** Rows written for statuses in one turn: native work has the budget first. */
   private static final int WRITES_A_TURN = 5;
 
-  private final Node node;
-  private final JobSteps jobs;
-  private final DeploymentSteps deployments;
+  private final Loop loop;
+  private final StateStore store;
+  private final Membership membership;
+  private final Jobs jobs;
+  private final JobSteps jobReconciler;
+  private final DeploymentSteps deploymentReconciler;
   private final Map<OwnedEntity, Own> owned = new HashMap<>();
 
   /** What is kept of one held entity. */
@@ -57,14 +63,17 @@
   /** A deleted object whose tasks may still run. */
   private record Gone(KubeObject last, long stamp) {}
 
-  Keeper(Node node, Translation translation) {
-    this.node = node;
-    this.jobs = new JobSteps(node, this, translation);
-    this.deployments = new DeploymentSteps(node, this, translation);
+  Keeper(Loop loop, StateStore store, Membership membership, Jobs jobs, Translation translation) {
+    this.loop = loop;
+    this.store = store;
+    this.membership = membership;
+    this.jobs = jobs;
+    this.jobReconciler = new JobSteps(loop, jobs, this, translation);
+    this.deploymentReconciler = new DeploymentSteps(loop, jobs, this, translation);
   }
 
   void start() {
-    node.loop.every(TICK_S, this::tick);
+    loop.every(TICK_S, this::tick);
   }
 
   @Override
@@ -121,11 +130,11 @@
   }
 
   private void tick() {
-    owned.keySet().retainAll(node.membership.holdings());
-    if (!node.membership.valid()) {
+    owned.keySet().retainAll(membership.holdings());
+    if (!membership.valid()) {
       return;
     }
-    for (OwnedEntity h : node.membership.holdings()) {
+    for (OwnedEntity h : membership.holdings()) {
       Own own = owned.computeIfAbsent(h, x -> new Own());
       if (!own.listing.done()) {
         load(h, own);
@@ -138,7 +147,7 @@
   /** Rows as of after the move: from here on the feed tells of every change. */
   private void load(OwnedEntity h, Own own) {
     own.listing.read(
-        node.store,
+        store,
         KubeObject.ROWS,
         e -> {
           KubeObject object = KubeObject.of(e.key(), e.value(), e.stamp());
@@ -165,7 +174,9 @@
         continue;
       }
       KubeObject next =
-          object.kind() == Kind.JOB ? jobs.step(h, object) : deployments.step(h, object);
+          object.kind() == Kind.JOB
+              ? jobReconciler.step(h, object)
+              : deploymentReconciler.step(h, object);
       if (next != null) {
         writes--;
         write(h, own, object, next);
@@ -183,12 +194,12 @@
     var txn = h.fenced().when(key, before.stamp());
     if (next.value().has("over")) {
       // Its tasks are gone, and so is what was kept of them in this process.
-      txn.drop(key).set(next.goneKey(), next.gone(node.loop.wallMillis()));
-      Tombstones.mark(txn, key, node.loop.wallMillis());
+      txn.drop(key).set(next.goneKey(), next.gone(loop.wallMillis()));
+      Tombstones.mark(txn, key, loop.wallMillis());
     } else {
       txn.set(key, next.value());
     }
-    node.store
+    store
         .settleLast(txn)
         .whenComplete(
             (outcome, failure) -> {
@@ -213,7 +224,7 @@
     if (left || !own.writing.add(key)) {
       return;
     }
-    node.store
+    store
         .settleLast(h.fenced().when(key, gone.stamp()).drop(key))
         .whenComplete(
             (outcome, failure) -> {
@@ -228,7 +239,7 @@
   void end(OwnedEntity h, Job job) {
     if (job.phase == Job.Phase.OPEN) {
       LOG.info("job {} of entity {} is cancelled for its object", job.spec.id(), h.entity());
-      node.jobs.cancel(h, job);
+      jobs.cancel(h, job);
     }
   }
 
@@ -253,7 +264,7 @@
             done.run();
             return;
           }
-          node.jobs.store(h, spec, null).whenComplete((stored, f) -> done.run());
+          jobs.store(h, spec, null).whenComplete((stored, f) -> done.run());
         });
   }
 
@@ -280,11 +291,10 @@
       return;
     }
     Runnable done = () -> own.writing.remove(id.value());
-    node.jobs
-        .lookUp(id)
+    jobs.lookUp(id)
         .whenComplete(
             (found, failure) -> {
-              boolean sure = failure == null && h.active() && node.membership.valid();
+              boolean sure = failure == null && h.active() && membership.valid();
               if (sure && found.absent()) {
                 absent.accept(own, done);
               } else {
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -1,9 +1,10 @@
 package io.violetrail.kubernetes;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.configuration.Configuration;
 import io.violetrail.kubernetes.Exchange.Request;
 import io.violetrail.model.ControllerId;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
 import io.violetrail.wire.kubernetes.KubeJson;
 import io.violetrail.wire.kubernetes.KubeJson.Malformed;
 import io.violetrail.wire.kubernetes.KubeStatus;
@@ -23,13 +24,15 @@
 
   private static final Set<String> JSON = Set.of("", "application/json");
 
-  private final Node node;
+  private final Loop loop;
+  private final Configuration configuration;
   private final Objects objects;
   private final Pods pods;
   private final Feed feed;
 
-  KubernetesApi(Node node, Objects objects, Pods pods, Feed feed) {
-    this.node = node;
+  KubernetesApi(Loop loop, Configuration configuration, Objects objects, Pods pods, Feed feed) {
+    this.loop = loop;
+    this.configuration = configuration;
     this.objects = objects;
     this.pods = pods;
     this.feed = feed;
@@ -131,8 +134,8 @@
       to.answer(KubeStatus.notAllowed(t.plural() + " are shown only"));
     } else if (t.plural().equals("namespaces")) {
       if (t.name() == null) {
-        to.answer(200, Discovery.namespaces(node.configuration.teams()), 0);
-      } else if (node.configuration.team(t.name()) != null) {
+        to.answer(200, Discovery.namespaces(configuration.teams()), 0);
+      } else if (configuration.team(t.name()) != null) {
         to.answer(200, Discovery.namespace(t.name()), 0);
       } else {
         to.answer(KubeStatus.notFound("namespaces \"" + t.name() + "\""));
@@ -153,7 +156,7 @@
     Kind kind = Kind.of(t.group(), t.plural());
     if (kind == null) {
       to.answer(KubeStatus.notFound("the path"));
-    } else if (t.namespace() != null && node.configuration.team(t.namespace()) == null) {
+    } else if (t.namespace() != null && configuration.team(t.namespace()) == null) {
       to.answer(KubeStatus.notFound("namespaces \"" + t.namespace() + "\""));
     } else if (t.name() == null) {
       collection(r, kind, t, to);
@@ -260,7 +263,7 @@
       to.answer(KubeStatus.tooMany("this controller has " + MAX_WATCHES + " watches already"));
       return;
     }
-    Watch watch = new Watch(kind, query.in(namespace), node.loop, feed, query.bookmarks());
+    Watch watch = new Watch(kind, query.in(namespace), loop, feed, query.bookmarks());
     if (!query.version().isEmpty()) {
       watch.begin(to, List.of(), Long.parseLong(query.version()), query.forS());
       return;
--- a/src/main/java/io/violetrail/kubernetes/Objects.java
+++ b/src/main/java/io/violetrail/kubernetes/Objects.java
@@ -3,11 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.api.Companion;
+import io.violetrail.api.Intake;
 import io.violetrail.api.Intake.Verdict;
+import io.violetrail.config.Settings;
+import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
-import io.violetrail.node.Node;
+import io.violetrail.net.Loop;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.state.StateStore;
 import io.violetrail.state.StateStore.Unavailable;
 import io.violetrail.state.Tombstones;
 import io.violetrail.wire.Cbor;
@@ -17,6 +22,7 @@
 import io.violetrail.wire.kubernetes.Refusal.Cause;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Random;
 import java.util.Set;
 import java.util.UUID;
 import java.util.function.BiConsumer;
@@ -37,12 +43,33 @@
   private static final Set<String> DELETE_FIELDS =
       Set.of("kind", "apiVersion", "propagationPolicy", "preconditions");
 
-  private final Node node;
+  private final Loop loop;
+  private final Random random;
+  private final Settings settings;
+  private final StateStore store;
+  private final Membership membership;
+  private final MachineTypes machineTypes;
+  private final Intake intake;
   private final Translation translation;
   private final Feed feed;
 
-  Objects(Node node, Translation translation, Feed feed) {
-    this.node = node;
+  Objects(
+      Loop loop,
+      Random random,
+      Settings settings,
+      StateStore store,
+      Membership membership,
+      MachineTypes machineTypes,
+      Intake intake,
+      Translation translation,
+      Feed feed) {
+    this.loop = loop;
+    this.random = random;
+    this.settings = settings;
+    this.store = store;
+    this.membership = membership;
+    this.machineTypes = machineTypes;
+    this.intake = intake;
     this.translation = translation;
     this.feed = feed;
   }
@@ -58,25 +85,25 @@
       to.answer(KubeStatus.badRequest("resourceVersion must not be set on objects to be created"));
       return;
     }
-    String closed = node.intake.closed();
+    String closed = intake.closed();
     if (!feed.ready() || closed != null) {
       to.answer(KubeStatus.unavailable(closed == null ? "the objects are not read yet" : closed));
       return;
     }
-    OwnedEntity own = node.membership.own();
+    OwnedEntity own = membership.own();
     if (feed.count(kind, namespace) >= MOST_OBJECTS) {
       to.answer(KubeStatus.tooMany("the namespace holds " + MOST_OBJECTS + " " + kind.plural()));
       return;
     }
     KubeObject object = fresh(kind, namespace, given, manifest, own);
     int bytes = Cbor.bytes(object.value()).length;
-    if (bytes > node.settings.stateLimits().valueBytes() / 2) {
+    if (bytes > settings.stateLimits().valueBytes() / 2) {
       to.answer(KubeStatus.tooLarge("the object is too long to be kept"));
       return;
     }
     JobId id = KubeObject.nativeId(object.uid(), 1);
     JobSpec spec = translation.spec(object, id.value());
-    String never = node.intake.neverRuns(spec);
+    String never = intake.neverRuns(spec);
     if (never != null) {
       to.answer(impossible(object, never));
     } else if (kind == Kind.JOB && !object.spec().path("suspend").asBoolean()) {
@@ -100,7 +127,7 @@
     String begins = meta.path("generateName").asText("");
     UUID uid =
         request.isEmpty()
-            ? new UUID(node.random.nextLong(), node.random.nextLong())
+            ? new UUID(random.nextLong(), random.nextLong())
             : UUID.nameUUIDFromBytes(
                 (kind + "/" + namespace + "/" + begins + given + "/" + request)
                     .getBytes(StandardCharsets.UTF_8));
@@ -108,7 +135,7 @@
         given.isEmpty() ? begins + KubeObject.hash(uid.toString()).substring(0, 7) : given;
     KubeObject object =
         KubeObject.fresh(
-            kind, namespace, name, manifest, own.entity(), uid.toString(), node.loop.wallMillis());
+            kind, namespace, name, manifest, own.entity(), uid.toString(), loop.wallMillis());
     if (kind == Kind.JOB) {
       KubeObject.addPart(object.value(), 1, "");
     }
@@ -117,7 +144,7 @@
 
   /** The Job and its native job are stored by one transaction, through the one intake. */
   private void withJob(KubeObject object, JobSpec spec, int bytes, Exchange to) {
-    node.intake
+    intake
         .admit(spec, new Companion(object.key(), 0, object.value(), bytes))
         .thenAccept(
             decision -> {
@@ -134,8 +161,8 @@
   }
 
   private void alone(KubeObject object, OwnedEntity own, Exchange to) {
-    Tombstones.creation(node.store, own::fenced, object.key(), object.value())
-        .thenCompose(node.store::settle)
+    Tombstones.creation(store, own::fenced, object.key(), object.value())
+        .thenCompose(store::settle)
         .whenComplete(
             (outcome, failure) -> {
               if (failure != null) {
@@ -173,7 +200,7 @@
 
   /** A fresh read, whoever owns the object: no answer is older than one given before. */
   void read(Ref at, Exchange to, Consumer<KubeObject> then) {
-    node.store
+    store
         .getForUser(at.key())
         .whenComplete(
             (entry, failure) -> {
@@ -208,7 +235,7 @@
       to.answer(KubeStatus.badRequest("continue: is not a token of this listing"));
       return;
     }
-    node.store
+    store
         .pageForUser(prefix, query.after(), query.limit())
         .whenComplete(
             (page, failure) -> {
@@ -236,7 +263,7 @@
   /** All objects there are now with their revision, for a watch that begins with them. */
   void all(Kind kind, String namespace, Exchange to, BiConsumer<List<KubeObject>, Long> then) {
     String prefix = KubeObject.rows(kind, namespace);
-    node.store
+    store
         .pageForUser(prefix, "", 2 * MOST_OBJECTS)
         .whenComplete(
             (page, failure) -> {
@@ -271,7 +298,7 @@
         meta.path("uid").asText(""),
         meta.path("resourceVersion").asText(""),
         to,
-        found -> Updates.replaced(found, meta, spec, node.loop.wallMillis()));
+        found -> Updates.replaced(found, meta, spec, loop.wallMillis()));
   }
 
   void scale(Ref at, ObjectNode scale, Exchange to) {
@@ -341,22 +368,21 @@
             to.answer(200, found.json(), 0);
             return;
           }
-          if (Cbor.bytes(next.value()).length > node.settings.stateLimits().valueBytes() * 3 / 4) {
+          if (Cbor.bytes(next.value()).length > settings.stateLimits().valueBytes() * 3 / 4) {
             to.answer(KubeStatus.tooLarge("the object is too long to be kept"));
             return;
           }
-          if (node.types().isEmpty()) {
+          if (machineTypes.isEmpty()) {
             to.answer(KubeStatus.unavailable("the machine types are not known yet"));
             return;
           }
           String never =
-              node.intake.neverRuns(
-                  translation.spec(next, KubeObject.nativeId(next.uid(), 1).value()));
+              intake.neverRuns(translation.spec(next, KubeObject.nativeId(next.uid(), 1).value()));
           if (never != null) {
             to.answer(impossible(next, never));
             return;
           }
-          node.store
+          store
               .settle(new Txn().when(found.key(), found.stamp()).set(found.key(), next.value()))
               .whenComplete(
                   (outcome, failure) -> {
@@ -423,7 +449,7 @@
             to.answer(KubeStatus.conflict(at.said()));
             return;
           }
-          long now = node.loop.wallMillis();
+          long now = loop.wallMillis();
           Txn txn = new Txn().when(found.key(), found.stamp());
           KubeObject marked = found.with(v -> v.put("deleting", now));
           boolean background = policy.equals("Background");
@@ -436,7 +462,7 @@
           } else {
             txn.set(found.key(), marked.value());
           }
-          node.store
+          store
               .settle(txn)
               .whenComplete(
                   (outcome, failure) -> {
--- a/src/main/java/io/violetrail/kubernetes/Pods.java
+++ b/src/main/java/io/violetrail/kubernetes/Pods.java
@@ -2,11 +2,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.kubernetes.KubeObject.Part;
 import io.violetrail.model.ControllerId;
 import io.violetrail.net.Http;
-import io.violetrail.node.Node;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.Placement;
@@ -27,13 +29,23 @@
 final class Pods {
   private static final double PEER_S = 1.5;
 
-  private final Node node;
+  private final Settings settings;
+  private final Directory directory;
+  private final Membership membership;
   private final Keeper keeper;
   private final Http http;
   private final int port;
 
-  Pods(Node node, Keeper keeper, Http http, int port) {
-    this.node = node;
+  Pods(
+      Settings settings,
+      Directory directory,
+      Membership membership,
+      Keeper keeper,
+      Http http,
+      int port) {
+    this.settings = settings;
+    this.directory = directory;
+    this.membership = membership;
     this.keeper = keeper;
     this.http = http;
     this.port = port;
@@ -52,7 +64,7 @@
   /** All pods that are asked for, of all entities. */
   void list(String namespace, Query query, Exchange to) {
     List<CompletableFuture<List<ObjectNode>>> all = new ArrayList<>();
-    for (ControllerId entity : node.settings.controllers()) {
+    for (ControllerId entity : settings.controllers()) {
       all.add(of(entity, namespace, query));
     }
     CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
@@ -105,9 +117,9 @@
     if (own != null) {
       return CompletableFuture.completedFuture(own);
     }
-    ControllerId owner = node.directory.ownerOf(entity);
-    var peer = owner == null ? null : node.settings.peers().get(owner);
-    if (peer == null || !node.directory.isAlive(owner)) {
+    ControllerId owner = directory.ownerOf(entity);
+    var peer = owner == null ? null : settings.peers().get(owner);
+    if (peer == null || !directory.isAlive(owner)) {
       return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
     }
     String path =
@@ -144,7 +156,7 @@
 
   /** One more than asked for, so that the end of a page shows; null if the entity is not held. */
   private List<ObjectNode> held(ControllerId entity, String namespace, Query query) {
-    OwnedEntity h = node.membership.valid() ? node.membership.holding(entity) : null;
+    OwnedEntity h = membership.valid() ? membership.holding(entity) : null;
     List<KubeObject> objects = h == null ? null : keeper.held(entity, namespace);
     if (objects == null) {
       return null;
--- a/src/main/java/io/violetrail/peer/BudgetLending.java
+++ b/src/main/java/io/violetrail/peer/BudgetLending.java
@@ -25,27 +25,24 @@
   /** A message carries an amount as an integer. */
   private static final double UNITS = 1_000;
 
-  /** Asks a peer for changes; whatever it answers or does not answer is given to the store. */
-  interface Lender {
-    void ask(ControllerId peer, long units);
-  }
-
   private final Settings settings;
   private final Loop loop;
   private final StateStore store;
   private final Directory directory;
-  private final Lender lender;
+  private final PeerClient peerClient;
 
-  BudgetLending(
-      Settings settings, Loop loop, StateStore store, Directory directory, Lender lender) {
+  /** Lends and borrows what the store may write. */
+  public BudgetLending(
+      Settings settings, Loop loop, StateStore store, Directory directory, PeerClient peerClient) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
     this.directory = directory;
-    this.lender = lender;
+    this.peerClient = peerClient;
   }
 
-  void start() {
+  /** Begins to ask peers whenever there is more to write than this controller's part allows. */
+  public void start() {
     loop.every(ASK_S, this::askIfShort);
   }
 
@@ -57,7 +54,7 @@
       return;
     }
     long units = (long) Math.ceil(UNITS * Math.max(1, shortage / peers.size()));
-    peers.forEach(p -> lender.ask(p, units));
+    peers.forEach(peer -> peerClient.borrowBudget(peer, units).thenAccept(this::borrowed));
   }
 
   /** A peer asks; returns what it is given. */
@@ -66,7 +63,7 @@
   }
 
   /** A peer has given so much. */
-  void borrowed(long units) {
+  private void borrowed(long units) {
     if (units > 0) {
       store.borrowedChanges(units / UNITS);
     }
--- /dev/null
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -0,0 +1,158 @@
+package io.violetrail.peer;
+
+import com.esotericsoftware.kryo.KryoException;
+import io.violetrail.config.Settings;
+import io.violetrail.config.Settings.HostPort;
+import io.violetrail.configuration.ConfigurationState;
+import io.violetrail.model.ControllerId;
+import io.violetrail.model.JobId;
+import io.violetrail.model.JobSpec;
+import io.violetrail.model.JobView;
+import io.violetrail.net.Http;
+import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.peer.PeerMessages.JobStatus;
+import io.violetrail.peer.PeerMessages.Kind;
+import io.violetrail.peer.PeerMessages.Reply;
+import io.violetrail.peer.PeerMessages.Request;
+import io.violetrail.state.StateStore.Unavailable;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.stream.Collectors;
+
+/**
+ * Sends requests to the other controllers: Kryo messages over HTTP. All of them may fail without
+ * harm.
+ */
+public final class PeerClient {
+  static final String PATH = "/peer";
+  private static final double TIMEOUT_SECONDS = 1.2;
+  private static final double CANCEL_TIMEOUT_SECONDS = 3;
+
+  private final Settings settings;
+  private final Directory directory;
+  private final Http http;
+  private final PeerCodec codec;
+
+  /** Sends to the peers that the settings name. */
+  public PeerClient(Settings settings, Directory directory, Http http, PeerCodec codec) {
+    this.settings = settings;
+    this.directory = directory;
+    this.http = http;
+    this.codec = codec;
+  }
+
+  /** Writes and reads a message of each form, so that the classes for it are loaded. */
+  public static void exerciseCodec(JobSpec spec) {
+    PeerCodec codec = new PeerCodec();
+    ArrayList<ResourceRequest> requests =
+        new ArrayList<>(List.of(ResourceRequest.machines(spec, 1, 0, 1, false, true)));
+    codec.decode(codec.encode(new Request(Kind.RESOURCES, "a", "b", 0, requests)), Request.class);
+    codec.decode(codec.encode(Reply.of(new JobView("a", JobView.Status.DONE, 1, 0))), Reply.class);
+  }
+
+  /** Asks the owner of jobs for what it knows of them. */
+  CompletableFuture<List<JobStatus>> jobStatuses(ControllerId owner, List<JobId> jobs) {
+    String ids = jobs.stream().map(JobId::value).collect(Collectors.joining(" "));
+    return call(owner, request(Kind.VIEW, ids, 0), TIMEOUT_SECONDS).thenApply(Reply::views);
+  }
+
+  /** Asks the owner of a job to cancel it; fails if the owner does not know the job. */
+  public CompletableFuture<JobView> cancel(ControllerId owner, JobId id) {
+    return call(owner, request(Kind.CANCEL, id.value(), 0), CANCEL_TIMEOUT_SECONDS)
+        .thenApply(
+            reply -> {
+              if (!reply.known() || reply.views().isEmpty()) {
+                throw new Unavailable("the owner does not know", 404);
+              }
+              return reply.views().get(0).toView();
+            });
+  }
+
+  /** Whether a peer hears workers. */
+  public CompletableFuture<Boolean> hears(ControllerId peer) {
+    return call(peer, request(Kind.HEARS, "", 0), TIMEOUT_SECONDS).thenApply(Reply::known);
+  }
+
+  /**
+   * Every other controller's state of the configuration; one that does not answer, or does not
+   * follow it, has gone by it since never.
+   */
+  public List<CompletableFuture<ConfigurationState>> configurationStates() {
+    List<CompletableFuture<ConfigurationState>> asked = new ArrayList<>();
+    for (ControllerId peer : settings.peers().keySet()) {
+      ConfigurationState none = new ConfigurationState(peer.value(), 0, -1, 0, false);
+      asked.add(
+          call(peer, request(Kind.CONFIGURATION, peer.value(), 0), TIMEOUT_SECONDS)
+              .thenApply(
+                  reply -> reply.configuration().isEmpty() ? none : reply.configuration().get(0))
+              .exceptionally(failure -> none));
+    }
+    return asked;
+  }
+
+  /** Asks the current owner of this controller's own entity to hand it back. */
+  public void askBack(ControllerId owner) {
+    call(owner, request(Kind.HAND_BACK, settings.self().value(), 0), TIMEOUT_SECONDS);
+  }
+
+  /** Tells all peers what is owned here, so that a former owner in doubt stops at once. */
+  public void announce(Collection<OwnedEntity> entities) {
+    entities.forEach(this::announce);
+  }
+
+  /** Tells all peers of one entity that is owned here. */
+  public void announce(OwnedEntity entity) {
+    Request moved = request(Kind.MOVED, entity.entity().value(), entity.row.version().value());
+    settings.peers().keySet().forEach(peer -> call(peer, moved, TIMEOUT_SECONDS));
+  }
+
+  /** Asks all peers for machines or slices that an entity owned here lacks. */
+  public void askFor(ControllerId entity, List<ResourceRequest> requests) {
+    callAllAlive(
+        new Request(
+            Kind.RESOURCES, settings.self().value(), entity.value(), 0, new ArrayList<>(requests)));
+  }
+
+  /** Saves the peers a call to the cloud. */
+  public void soldOut(String type, String zone, boolean spot) {
+    callAllAlive(request(Kind.SOLD_OUT, type + " " + zone + " " + spot, 0));
+  }
+
+  /** Asks a peer to lend a part of its budget; completes with what it lends. */
+  CompletableFuture<Long> borrowBudget(ControllerId peer, long units) {
+    return call(peer, request(Kind.BUDGET, "", units), TIMEOUT_SECONDS).thenApply(Reply::number);
+  }
+
+  private Request request(Kind kind, String subject, long number) {
+    return new Request(kind, settings.self().value(), subject, number);
+  }
+
+  private void callAllAlive(Request request) {
+    settings.peers().keySet().stream()
+        .filter(directory::isAlive)
+        .forEach(peer -> call(peer, request, TIMEOUT_SECONDS));
+  }
+
+  private CompletableFuture<Reply> call(ControllerId peer, Request request, double timeoutSeconds) {
+    HostPort address = settings.peers().get(peer);
+    if (address == null) {
+      return CompletableFuture.failedFuture(new Unavailable("no such peer", 404));
+    }
+    return http.call(address, "POST", PATH, codec.encode(request), timeoutSeconds)
+        .thenApply(this::decode);
+  }
+
+  private Reply decode(Http.Reply reply) {
+    if (!reply.ok()) {
+      throw new Unavailable("the peer answered " + reply.status(), reply.status());
+    }
+    try {
+      return codec.decode(reply.body(), Reply.class);
+    } catch (KryoException e) {
+      throw new Unavailable("the peer's answer is unclear", 0);
+    }
+  }
+}
--- a/src/main/java/io/violetrail/peer/PeerCodec.java
+++ b/src/main/java/io/violetrail/peer/PeerCodec.java
@@ -4,10 +4,10 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import io.violetrail.configuration.ConfigurationState;
-import io.violetrail.peer.Peers.Kind;
-import io.violetrail.peer.Peers.Question;
-import io.violetrail.peer.Peers.Reply;
-import io.violetrail.peer.Peers.View;
+import io.violetrail.peer.PeerMessages.JobStatus;
+import io.violetrail.peer.PeerMessages.Kind;
+import io.violetrail.peer.PeerMessages.Reply;
+import io.violetrail.peer.PeerMessages.Request;
 import java.util.ArrayList;
 
 /**
@@ -38,9 +38,9 @@
       kryo.register(ArrayList.class);
       kryo.register(ResourceRequest.class);
       kryo.register(Kind.class);
-      kryo.register(Question.class);
+      kryo.register(Request.class);
       kryo.register(Reply.class);
-      kryo.register(View.class);
+      kryo.register(JobStatus.class);
       kryo.register(ConfigurationState.class);
     }
     return kryo;
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -34,10 +34,7 @@
    * @param periodSeconds the interval at which {@link #check} is called
    */
   public MachineLivenessMonitor(
-      Directory directory,
-      Timing timing,
-      double heartbeatSeconds,
-      double periodSeconds) {
+      Directory directory, Timing timing, double heartbeatSeconds, double periodSeconds) {
     this.directory = directory;
     this.timing = timing;
     this.heartbeatSeconds = heartbeatSeconds;
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -31,7 +31,8 @@
   /**
    * @param halted told of each task that is to stop
    */
-  Preemption(Consumer<Placement> halted) {
+  /** Stops placements through the given consumer, which sends the commands. */
+  public Preemption(Consumer<Placement> halted) {
     this.halted = halted;
   }
 
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -37,8 +37,7 @@
         Blame.failed(machine, job, ranSeconds, now);
         job.notBefore.put(index, (Double) job.trial.againS());
       }
-      case NO_ROOM, BUSY ->
-          job.notBefore.put(index, (Double) (now + RETRY_AFTER_REFUSAL_SECONDS));
+      case NO_ROOM, BUSY -> job.notBefore.put(index, (Double) (now + RETRY_AFTER_REFUSAL_SECONDS));
       case UNKNOWN -> job.notBefore.put(index, (Double) (now + RETRY_AFTER_UNKNOWN_SECONDS));
       default -> job.notBefore.remove(index);
     }
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -42,23 +42,19 @@
         }
       } else if (shouldHalt(placement)) {
         commands.add(
-            new Command(
-                Verb.HALT, placement.task(), placement.attempt, placement.haltGraceS));
+            new Command(Verb.HALT, placement.task(), placement.attempt, placement.haltGraceS));
       }
     }
   }
 
   private boolean mayLaunch(Machine machine, List<Command> commands) {
-    return machine.open()
-        && commands.size() < LeaseRenewal.MAX_COMMANDS
-        && configuration.fresh();
+    return machine.open() && commands.size() < LeaseRenewal.MAX_COMMANDS && configuration.fresh();
   }
 
   private void launch(Machine machine, Placement placement, List<Command> commands) {
     commands.add(new Command(Verb.LAUNCH, placement.task(), placement.attempt, 0));
     placement.sent = new Placement.Sent(machine.session, machine.sequence);
-    LOG.debug(
-        "task {} try {} launched on {}", placement.task(), placement.attempt, machine.id());
+    LOG.debug("task {} try {} launched on {}", placement.task(), placement.attempt, machine.id());
     traces.launched(placement.job.spec.id(), machine.id());
     Departure from = placement.job.takeDeparture(placement.index);
     if (from != null) {
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -2,7 +2,6 @@
 
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.Machine;
-import io.violetrail.model.MachineId;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Service.Answer;
 import io.violetrail.ownership.Directory;
@@ -131,9 +130,7 @@
     HeartbeatReply reply = ownedMachine.process(entity, machine, report, commands);
     if (mayWaitForWork(entity, machine, report, commands)) {
       longPolls.park(
-          machine.id(),
-          done,
-          () -> done.accept(answerParked(machine, report, commands)));
+          machine.id(), done, () -> done.accept(answerParked(machine, report, commands)));
     } else {
       done.accept(reply);
     }
--- a/src/main/java/io/violetrail/worker/LongPolls.java
+++ b/src/main/java/io/violetrail/worker/LongPolls.java
@@ -20,8 +20,7 @@
   private static final double MAX_WAIT_SECONDS = 2;
 
   /** A heartbeat whose answer is kept open. */
-  private record Parked(
-      Consumer<HeartbeatReply> done, Runnable answer, Loop.Cancellable timer) {}
+  private record Parked(Consumer<HeartbeatReply> done, Runnable answer, Loop.Cancellable timer) {}
 
   private final Loop loop;
   private final double waitSeconds;
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -128,11 +128,7 @@
         orders.add(new Command(Verb.HALT, p.task(), p.attempt, p.haltGraceS));
       }
     }
-    if (!mine
-        || !membership.valid()
-        || m.endpoint == null
-        || m.session == 0
-        || orders.isEmpty()) {
+    if (!mine || !membership.valid() || m.endpoint == null || m.session == 0 || orders.isEmpty()) {
       done.run();
       return;
     }
--- a/src/main/java/io/violetrail/worker/WorkerRouter.java
+++ b/src/main/java/io/violetrail/worker/WorkerRouter.java
@@ -46,8 +46,7 @@
    */
   HeartbeatReply route(MachineRow row, OwnedEntity entity, WorkerReport report) {
     ControllerId owner = directory.ownerOf(row.entity());
-    boolean elsewhere =
-        owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
+    boolean elsewhere = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
     // While the entity has no owner, its workers stay here, where the next one is soon known.
     // Sent away, each came back only after all dead controllers, and a second failure soon after
     // the first then ended the leases of a whole fleet.
--- a/src/test/java/io/violetrail/cli/ConfigCommandTest.java
+++ b/src/test/java/io/violetrail/cli/ConfigCommandTest.java
@@ -51,7 +51,7 @@
     live.serve(
         port,
         (method, path, body, done) ->
-            (instead != null ? instead : world.nodes.get("c0").api)
+            (instead != null ? instead : world.nodes.get("c0").api())
                 .handle(method, path, body, done));
     live.start();
   }
--- a/src/test/java/io/violetrail/compatibility/PeerMessagesCompatibilityTest.java
+++ b/src/test/java/io/violetrail/compatibility/PeerMessagesCompatibilityTest.java
@@ -11,10 +11,10 @@
 import io.violetrail.model.Priority;
 import io.violetrail.model.Shape;
 import io.violetrail.peer.PeerCodec;
-import io.violetrail.peer.Peers.Kind;
-import io.violetrail.peer.Peers.Question;
-import io.violetrail.peer.Peers.Reply;
-import io.violetrail.peer.Peers.View;
+import io.violetrail.peer.PeerMessages.JobStatus;
+import io.violetrail.peer.PeerMessages.Kind;
+import io.violetrail.peer.PeerMessages.Reply;
+import io.violetrail.peer.PeerMessages.Request;
 import io.violetrail.peer.ResourceRequest;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -98,16 +98,16 @@
     return all;
   }
 
-  private static Question question(Kind kind, long number) {
-    return new Question(kind, "c1", "subject", number, list());
+  private static Request question(Kind kind, long number) {
+    return new Request(kind, "c1", "subject", number, list());
   }
 
   private static Reply reply(JobView.Status status) {
     return new Reply(true, list(view("job-1", status)), list(), 0);
   }
 
-  private static Question resources(ResourceRequest... requests) {
-    return new Question(Kind.RESOURCES, "c1", "c2", 0, list(requests));
+  private static Request resources(ResourceRequest... requests) {
+    return new Request(Kind.RESOURCES, "c1", "c2", 0, list(requests));
   }
 
   private static ResourceRequest machines(boolean spot, boolean starving, boolean mayEvict) {
@@ -182,8 +182,8 @@
         .from(new ControllerId("c2"), new Amounts(2.75, 3.75, 4.75));
   }
 
-  private static View view(String job, JobView.Status status) {
-    return new View(job, status.name(), 3, 13, "c2");
+  private static JobStatus view(String job, JobView.Status status) {
+    return new JobStatus(job, status.name(), 3, 13, "c2");
   }
 
   private static ConfigurationState state(boolean fresh) {
@@ -194,7 +194,7 @@
   void everyKindOfQuestionHasAnExample() {
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
     for (Record example : EXAMPLES.values()) {
-      if (example instanceof Question question) {
+      if (example instanceof Request question) {
         kinds.add(question.kind());
       }
     }
--- a/src/test/java/io/violetrail/configuration/ConfigurationChecker.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationChecker.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings.Team;
+import io.violetrail.controller.Controller;
 import io.violetrail.fakes.World;
-import io.violetrail.node.Node;
 import io.violetrail.ownership.Rows;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateWire.Entry;
@@ -109,14 +109,14 @@
     return new Team(name, 0, 0, cpus, gpus);
   }
 
-  private void checkFreshness(Node node) {
-    if (!node.configuration.fresh()) {
+  private void checkFreshness(Controller node) {
+    if (!node.configuration().fresh()) {
       return;
     }
     long oldest = couldBeInForce().get(0).number();
     broken(
-        node.settings.self() + " starts by revision " + node.configuration.revision(),
-        node.configuration.revision() < oldest);
+        node.settings().self() + " starts by revision " + node.configuration().revision(),
+        node.configuration().revision() < oldest);
   }
 
   private void checkSum(String key) {
--- a/src/test/java/io/violetrail/configuration/ConfigurationTest.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationTest.java
@@ -87,7 +87,8 @@
         ConfigurationFollower.IN_FORCE_S,
         () ->
             world.nodes.values().stream()
-                .allMatch(n -> n.configuration.revision() == revision && n.configuration.fresh()));
+                .allMatch(
+                    n -> n.configuration().revision() == revision && n.configuration().fresh()));
   }
 
   private long running() {
@@ -246,12 +247,12 @@
     up(10, 30);
     world.state.refusedFor.add("c1");
     world.run(ConfigurationFollower.STALE_S + 0.1);
-    assertFalse(world.nodes.get("c1").configuration.fresh());
+    assertFalse(world.nodes.get("c1").configuration().fresh());
     assertEquals(200, apply("c0", change(0, "r1", team("red", 6))).status());
     world.run(10);
-    assertEquals(0, world.nodes.get("c1").configuration.revision());
+    assertEquals(0, world.nodes.get("c1").configuration().revision());
     world.state.refusedFor.clear();
-    world.until(10, () -> world.nodes.get("c1").configuration.revision() == 1);
+    world.until(10, () -> world.nodes.get("c1").configuration().revision() == 1);
     untilAllGoBy(1);
   }
 
@@ -273,7 +274,7 @@
                   Cbor.bytes(User.job("job-" + number, 20))));
     }
     world.run(10);
-    assertFalse(world.nodes.get("c0").configuration.fresh());
+    assertFalse(world.nodes.get("c0").configuration().fresh());
     world.run(30);
     assertTrue(running() <= 3);
     untilAllGoBy(1);
@@ -288,7 +289,7 @@
     world.options = Options.DEFAULTS;
     world.start("c2");
     world.run(15);
-    assertFalse(world.nodes.get("c2").configuration.fresh());
+    assertFalse(world.nodes.get("c2").configuration().fresh());
   }
 
   @Test
--- a/src/test/java/io/violetrail/fakes/FleetCost.java
+++ b/src/test/java/io/violetrail/fakes/FleetCost.java
@@ -34,7 +34,7 @@
     world.kill("c1");
     world.run(25);
     var node = world.nodes.get("c2");
-    long looked = node.dispatcher.looked();
+    long looked = node.machinesExamined();
     int launched = world.launches.size();
     int writes = world.state.writes;
     double programBefore = world.controllerCpuS("c2");
@@ -58,7 +58,7 @@
           machines,
           1e6 * program / reports,
           1e6 * (total - program) / reports,
-          (node.dispatcher.looked() - looked) / (double) Math.max(1, placed),
+          (node.machinesExamined() - looked) / (double) Math.max(1, placed),
           placed,
           (world.state.writes - writes) / (double) jobs,
           machines);
--- a/src/test/java/io/violetrail/fakes/World.java
+++ b/src/test/java/io/violetrail/fakes/World.java
@@ -1,8 +1,6 @@
 package io.violetrail.fakes;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.violetrail.calendar.ScheduleApi;
-import io.violetrail.calendar.Schedules;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.CloudLimits;
@@ -12,13 +10,14 @@
 import io.violetrail.config.Settings.StateLimits;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.config.Settings.Workers;
-import io.violetrail.kubernetes.Kubernetes;
+import io.violetrail.controller.Controller;
 import io.violetrail.kubernetes.KubernetesApi;
 import io.violetrail.model.ControllerId;
 import io.violetrail.net.Http;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Service;
-import io.violetrail.node.Node;
+import io.violetrail.tracing.SpanTraces;
+import io.violetrail.tracing.Traces;
 import io.violetrail.wire.Cbor;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -53,7 +52,7 @@
   public final Random random;
   public final FakeState state = new FakeState(this);
   public final FakeCloud cloud = new FakeCloud(this);
-  public final Map<String, Node> nodes = new LinkedHashMap<>();
+  public final Map<String, Controller> nodes = new LinkedHashMap<>();
   public final List<String> broken = new ArrayList<>();
 
   /** Jobs that were submitted with a mistake: they fail on every machine. */
@@ -193,44 +192,38 @@
     events.add(new Event(now + inSeconds, order++, task));
   }
 
-  public Node start(String name) {
+  public Controller start(String name) {
     int life = lives.merge(name, 1, Integer::sum);
     Settings settings = settings(name);
     NodeLoop loop = new NodeLoop(name, life);
-    Node node =
-        new Node(
-            settings,
-            options,
-            loop,
-            (to, method, path, body, timeout) -> call(name, life, to, method, path, body, timeout),
-            new Random(random.nextLong()));
+    Http http =
+        (to, method, path, body, timeout) -> call(name, life, to, method, path, body, timeout);
+    Controller node =
+        new Controller(settings, options, loop, http, new Random(random.nextLong()), traces(loop));
     nodes.put(name, node);
-    places.put(settings.api(), guarded(name, life, node.api));
+    places.put(settings.api(), guarded(name, life, node.api()));
     places.put(settings.listen(), guarded(name, life, node.peerService()));
     node.start();
     if (calendar) {
-      Schedules schedules = new Schedules(node);
-      schedules.start();
-      node.optionalService = new ScheduleApi(node, schedules);
+      node.serveSchedules();
     }
     if (options.configuration()) {
       node.serveConfiguration();
     }
     if (kubernetes) {
-      Kubernetes k =
-          new Kubernetes(
-              node,
-              (to, method, path, body, timeout) ->
-                  call(name, life, to, method, path, body, timeout),
-              KUBERNETES_PORT);
-      k.start();
-      kubernetesApis.put(name, k.api());
+      KubernetesApi kubernetesApi = node.startKubernetes(KUBERNETES_PORT);
+      kubernetesApis.put(name, kubernetesApi);
       places.put(
-          new HostPort(name, KUBERNETES_PORT), guarded(name, life, KubeClient.served(k.api())));
+          new HostPort(name, KUBERNETES_PORT),
+          guarded(name, life, KubeClient.served(kubernetesApi)));
     }
     return node;
   }
 
+  private Traces traces(Loop loop) {
+    return options.traceSpans() == null ? Traces.NONE : new SpanTraces(loop, options.traceSpans());
+  }
+
   public void kill(String name) {
     lives.merge(name, 1, Integer::sum);
     nodes.remove(name);
--- a/src/test/java/io/violetrail/stories/AnswersTest.java
+++ b/src/test/java/io/violetrail/stories/AnswersTest.java
@@ -202,7 +202,7 @@
     world.cloud.runS = 60;
     List<String> jobs = jobs(12);
     var node = world.nodes.get("c0");
-    node.membership.release(node.membership.own(), new ControllerId("c1"));
+    node.membership().release(node.membership().own(), new ControllerId("c1"));
     world.run(after);
     cancelledByAll(jobs);
   }
@@ -233,7 +233,7 @@
     List<String> jobs = jobs(6);
     var node = world.nodes.get("c0");
     world.network.hold(m -> m.startsWith("c0 state POST /txn"));
-    node.membership.release(node.membership.own(), new ControllerId("c1"));
+    node.membership().release(node.membership().own(), new ControllerId("c1"));
     for (String id : jobs) {
       abort("c0", id);
     }
@@ -242,7 +242,7 @@
     world.kill("c1");
     world.run(0.2);
     world.start("c1");
-    world.until(10, () -> world.nodes.get("c1").membership.valid());
+    world.until(10, () -> world.nodes.get("c1").membership().valid());
     world.network.release();
     cancelledByAll(jobs);
   }
--- a/src/test/java/io/violetrail/stories/FailureTest.java
+++ b/src/test/java/io/violetrail/stories/FailureTest.java
@@ -126,7 +126,7 @@
     world.network.hold(
         m -> m.startsWith("c0 c") && m.contains("/peer") || m.contains(" c0 POST /peer"));
     world.run(45);
-    assertNull(world.nodes.get("c0").membership.own());
+    assertNull(world.nodes.get("c0").membership().own());
   }
 
   @Test
@@ -327,7 +327,7 @@
     assertEquals(200, user.send("c0", "GET", "/ready", null).status());
     world.run(40);
     assertEquals(503, user.send("c0", "GET", "/ready", null).status());
-    assertEquals(new ControllerId("c0"), world.nodes.get("c0").settings.self());
+    assertEquals(new ControllerId("c0"), world.nodes.get("c0").settings().self());
   }
 
   @Test
--- a/src/test/java/io/violetrail/stories/FaultCombinationsTest.java
+++ b/src/test/java/io/violetrail/stories/FaultCombinationsTest.java
@@ -429,8 +429,8 @@
     String second = first.equals("c1") ? "c2" : "c1";
     var node = world.nodes.get(first);
     var entity = new ControllerId("c0");
-    world.until(5, () -> node.membership.holding(entity).active());
-    node.membership.release(node.membership.holding(entity), new ControllerId(second));
+    world.until(5, () -> node.membership().holding(entity).active());
+    node.membership().release(node.membership().holding(entity), new ControllerId(second));
     world.until(5, () -> owner("c0") == Integer.parseInt(second.substring(1)));
     world.run(60);
     world.cloud.down = false;
@@ -483,16 +483,16 @@
   void aHandOverThatIsRefusedWhileAJobIsStoredLeavesNoJobBehind() {
     world.up();
     var node = world.nodes.get("c0");
-    var h = node.membership.own();
+    var h = node.membership().own();
     world.network.hold(m -> m.startsWith("c0 state POST /txn"));
     world.ask("user", "c0", "POST", "/work", Cbor.bytes(User.job("job-1", 1)));
     world.run(0.3);
-    node.membership.release(h, new ControllerId("c1"));
+    node.membership().release(h, new ControllerId("c1"));
     // The target ends and comes back before the hand-over arrives: its alive key is another one.
     world.kill("c1");
     world.run(0.2);
     world.start("c1");
-    world.until(10, () -> world.nodes.get("c1").membership.valid());
+    world.until(10, () -> world.nodes.get("c1").membership().valid());
     world.network.release();
     done(120, "job-1");
   }
--- a/src/test/java/io/violetrail/stories/FleetTest.java
+++ b/src/test/java/io/violetrail/stories/FleetTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.violetrail.config.Settings.StateLimits;
+import io.violetrail.controller.Controller;
 import io.violetrail.fakes.FakeWorker;
 import io.violetrail.fakes.User;
 import io.violetrail.fakes.World;
-import io.violetrail.node.Node;
 import io.violetrail.wire.Cbor;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,7 +37,7 @@
   }
 
   private long looked() {
-    return world.nodes.values().stream().mapToLong(n -> n.dispatcher.looked()).sum();
+    return world.nodes.values().stream().mapToLong(n -> n.machinesExamined()).sum();
   }
 
   @Test
@@ -55,13 +55,13 @@
     world.kill("c0");
     world.kill("c1");
     // Every worker hears a valid term within its lease, before all jobs and machines are settled.
-    world.until(30, () -> world.nodes.get("c2").membership.holdings().size() == 3);
+    world.until(30, () -> world.nodes.get("c2").membership().holdings().size() == 3);
     world.run(20);
     long lost = world.cloud.workers.values().stream().mapToLong(FakeWorker::sessionsLost).sum();
     assertEquals(0, lost, "leases lost");
-    Node last = world.nodes.get("c2");
+    Controller last = world.nodes.get("c2");
     assertTrue(
-        last.membership.holdings().stream().allMatch(h -> h.active()), "all entities are served");
+        last.membership().holdings().stream().allMatch(h -> h.active()), "all entities are served");
     // A takeover is a move for each entity, and nothing for each machine.
     int moves = world.state.writes - writesBefore;
     assertTrue(moves < MACHINES / 4, "writes of the takeover and its progress: " + moves);
@@ -93,7 +93,7 @@
       }
       w.run(4 + 0.13 * step);
       var frozen = w.nodes.get("c0");
-      var before = frozen.membership.own().row.version();
+      var before = frozen.membership().own().row.version();
       // What it had written but not sent leaves only when it goes on, and then comes too late.
       w.network.hold(m -> m.startsWith("c0 state POST /txn") || m.startsWith("c0 vm-"));
       w.run(0.02);
@@ -103,8 +103,8 @@
       w.run(0.3);
       // It knows at once that its time was over, before anything that waited is acted upon.
       assertTrue(
-          frozen.membership.own() == null
-              || frozen.membership.own().row.version().compareTo(before) > 0,
+          frozen.membership().own() == null
+              || frozen.membership().own().row.version().compareTo(before) > 0,
           "it still believes in its old version");
       for (int i = 0; i < 6; i++) {
         String id = "job-" + i;
@@ -119,13 +119,13 @@
     world.up();
     world.cloud.capacity = 20;
     user.submit("c0", User.job("job-1", 40));
-    var rows = world.nodes.get("c1").membership.holdings().stream().map(h -> h.row).toList();
+    var rows = world.nodes.get("c1").membership().holdings().stream().map(h -> h.row).toList();
     world.network.hold(m -> m.matches("c[0-2] c[0-2] .*"));
     world.run(60);
     world.network.release();
     assertEquals(
         rows,
-        world.nodes.get("c1").membership.holdings().stream().map(h -> h.row).toList(),
+        world.nodes.get("c1").membership().holdings().stream().map(h -> h.row).toList(),
         "nothing moves to and fro");
     world.until(120, () -> user.poll("c2", "job-1").equals("done"));
   }
--- a/src/test/java/io/violetrail/stories/GrownTest.java
+++ b/src/test/java/io/violetrail/stories/GrownTest.java
@@ -5,12 +5,12 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings.StateLimits;
+import io.violetrail.controller.Controller;
 import io.violetrail.fakes.FakeWorker;
 import io.violetrail.fakes.User;
 import io.violetrail.fakes.World;
 import io.violetrail.model.Amounts;
 import io.violetrail.model.MachineType;
-import io.violetrail.node.Node;
 import io.violetrail.wire.Cbor;
 import java.util.ArrayList;
 import java.util.List;
@@ -57,7 +57,7 @@
     }
     int machines = world.cloud.hires.values().stream().mapToInt(List::size).sum();
     assertTrue(machines > 100, "machines " + machines);
-    long looked = world.nodes.values().stream().mapToLong(n -> n.dispatcher.looked()).sum();
+    long looked = world.nodes.values().stream().mapToLong(n -> n.machinesExamined()).sum();
     // A look at all machines for each task would be some 400,000.
     assertTrue(looked < 25L * tasks, "looked at " + looked + " machines for " + tasks + " tasks");
     // Four a job and two a machine; a write for each step and each job in progress were twice that.
@@ -79,7 +79,7 @@
     }
     world.run(5);
     world.start("c0");
-    world.until(10, () -> world.nodes.get("c0").membership.own() != null);
+    world.until(10, () -> world.nodes.get("c0").membership().own() != null);
   }
 
   @Test
@@ -144,12 +144,12 @@
             .filter(key -> world.state.value(key).has("vm-900000"))
             .count();
     assertEquals(1, records);
-    for (Node n : world.nodes.values()) {
+    for (Controller n : world.nodes.values()) {
       assertEquals(
           "c1",
-          n.directory.machinesOf(n.membership.own().entity()).isEmpty()
+          n.directory().machinesOf(n.membership().own().entity()).isEmpty()
               ? "c1"
-              : n.settings.self().value());
+              : n.settings().self().value());
     }
   }
 
--- a/src/test/java/io/violetrail/stories/KeepAliveGraceTest.java
+++ b/src/test/java/io/violetrail/stories/KeepAliveGraceTest.java
@@ -51,7 +51,7 @@
         world.workers.leaseS(),
         () -> world.state.value("c/entity/c0").get("version").asLong() % 10 != 0);
     String name = World.name((int) (world.state.value("c/entity/c0").get("version").asLong() % 10));
-    world.until(10, () -> world.nodes.get(name).membership.holdings().size() == 2);
+    world.until(10, () -> world.nodes.get(name).membership().holdings().size() == 2);
     world.until(10, () -> "cancelled".equals(user.abort(name, "job-1")));
     return name;
   }
@@ -127,7 +127,8 @@
     String first = successor();
     world.kill(first);
     String second = first.equals("c1") ? "c2" : "c1";
-    world.until(workers.leaseS(), () -> world.nodes.get(second).membership.holdings().size() == 3);
+    world.until(
+        workers.leaseS(), () -> world.nodes.get(second).membership().holdings().size() == 3);
     outageBeyondCancelS();
   }
 
@@ -161,7 +162,7 @@
     world.network.hold(m -> m.contains("GET /keys?under=open/c0"));
     world.run(workers.cancelS() * 2);
     assertEquals(List.of(), world.broken);
-    assertTrue(world.nodes.get(second).membership.holdings().size() > 1);
+    assertTrue(world.nodes.get(second).membership().holdings().size() > 1);
     world.network.rejoin();
     world.network.release();
   }
--- a/src/test/java/io/violetrail/stories/KubernetesTest.java
+++ b/src/test/java/io/violetrail/stories/KubernetesTest.java
@@ -6,14 +6,16 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Options;
 import io.violetrail.fakes.FakeWorker;
-import io.violetrail.fakes.KubeClient;
 import io.violetrail.fakes.KubeClient.Events;
 import io.violetrail.fakes.KubeClient.Reply;
+import io.violetrail.fakes.KubeClient;
 import io.violetrail.fakes.User;
 import io.violetrail.fakes.World;
-import io.violetrail.tracing.SpanTraces;
+import io.violetrail.net.Http;
 import io.violetrail.wire.kubernetes.KubeJson;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -442,18 +444,21 @@
   @Test
   void aJobsWayIsTracedFromRequestToEndWithinABound() {
     up();
-    var node = world.nodes.get("c0");
     assertEquals(404, new User(world).send("c0", "GET", "/traces", null).status());
-    node.traces = new SpanTraces(node.loop, 6);
+    world.kill("c0");
+    world.options = new Options(null, Options.DEFAULTS.idleS(), 8, null, 6, false, false);
+    world.start("c0");
+    world.until(30, () -> new User(world).send("c0", "GET", "/ready", null).status() == 200);
     for (int i = 0; i < 3; i++) {
       client.send("c0", "POST", JOBS, job("j" + i, 1));
     }
     world.until(120, () -> condition("c0", JOBS + "/j2").equals("Complete"));
-    String text = node.traces.text();
+    Http.Reply traces = new User(world).send("c0", "GET", "/traces", null);
+    String text = new String(traces.body(), StandardCharsets.UTF_8);
     assertEquals(6, text.lines().count(), text);
     assertTrue(text.contains("\"name\":\"run\""), text);
     assertTrue(text.contains("\"violetrail.verdict\":\"DONE\""), text);
-    assertEquals(200, new User(world).send("c0", "GET", "/traces", null).status());
+    assertEquals(200, traces.status());
   }
 
   @Test
--- a/src/test/java/io/violetrail/stories/NightTest.java
+++ b/src/test/java/io/violetrail/stories/NightTest.java
@@ -310,7 +310,7 @@
     }
     world.until(60, () -> user.poll("c2", "job-1").equals("done"));
     world.until(60, () -> user.poll("c2", "job-2").equals("done"));
-    assertFalse(world.nodes.get("c0").reachability.deaf());
+    assertFalse(world.nodes.get("c0").reachability().deaf());
   }
 
   @Test
@@ -339,7 +339,7 @@
     world.network.release();
     world.run(2);
     for (int i = 0; i < 3; i++) {
-      assertTrue(world.nodes.get("c" + i).directory.machine(new MachineId(w.id)) == null);
+      assertTrue(world.nodes.get("c" + i).directory().machine(new MachineId(w.id)) == null);
     }
   }
 
@@ -355,7 +355,7 @@
     world.kill("c1");
     world.run(6);
     world.start("c1");
-    world.until(10, () -> world.nodes.get("c1").membership.own() != null);
+    world.until(10, () -> world.nodes.get("c1").membership().own() != null);
     world.run(1);
     List<Integer> answers = new ArrayList<>();
     for (int i = 0; i < 120; i++) {
