--- a/src/main/java/io/violetrail/api/Intake.java
+++ b/src/main/java/io/violetrail/api/Intake.java
@@ -82,7 +82,7 @@
     if (never != null) {
       return refuse(spec, never);
     }
-    if (own.jobs.size() >= MAX_OPEN_JOBS || store.overloaded(jobs.waiting(own))) {
+    if (own.jobs().size() >= MAX_OPEN_JOBS || store.overloaded(jobs.waiting(own))) {
       // Said at once: who waits in vain for a place in the queue comes back later than who is told.
       return later("too many jobs at once");
     }
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -31,14 +31,14 @@
       return ended;
     }
     OwnedEntity entity = entityOfOpenJob(id);
-    Job job = entity == null ? null : entity.jobs.get(id);
+    Job job = entity == null ? null : entity.jobs().get(id);
     return job == null || job.endUndecided() ? null : job.view();
   }
 
   /** The owned entity that has the job open; null if there is none. */
   public OwnedEntity entityOfOpenJob(JobId id) {
     for (OwnedEntity entity : membership.holdings()) {
-      if (entity.active() && entity.jobs.containsKey(id)) {
+      if (entity.active() && entity.jobs().containsKey(id)) {
         return entity;
       }
     }
--- a/src/main/java/io/violetrail/api/Jobs.java
+++ b/src/main/java/io/violetrail/api/Jobs.java
@@ -129,10 +129,10 @@
    * asked for by its user, or it is none of the entity's open jobs, of which the owner knows all.
    */
   public boolean over(OwnedEntity h, JobId id) {
-    Job job = h.jobs.get(id);
+    Job job = h.jobs().get(id);
     return job == null
         ? ledger(h).stored(id) == null
-        : job.phase == Job.Phase.CANCELLING || job.phase == Job.Phase.OVER;
+        : job.phase() == Job.Phase.CANCELLING || job.phase() == Job.Phase.OVER;
   }
 
   /**
@@ -250,8 +250,8 @@
                 // Also while the entity is being handed over: if that comes to nothing it stays
                 // here,
                 // and a job that was not taken up would never run.
-                if (h.phase != OwnedEntity.Phase.LOST) {
-                  h.jobs.putIfAbsent(spec.id(), job(spec, nowMs, nowS, false));
+                if (h.phase() != OwnedEntity.Phase.LOST) {
+                  h.addJobIfAbsent(job(spec, nowMs, nowS, false));
                   spares.arrived(spec, nowS);
                   pendingJobs.jobsChanged(h);
                 }
@@ -259,7 +259,7 @@
                     "job {} accepted by entity {} version {}: {} tasks",
                     spec.id(),
                     h.entity(),
-                    h.row.version(),
+                    h.row().version(),
                     spec.tasks());
                 result.complete(stored);
               } else {
@@ -276,7 +276,7 @@
 
   /** A job of the entity that was stored without being taken up here. */
   private void reload(OwnedEntity h, JobId id) {
-    Ledger.Stored stored = h.active() && !h.jobs.containsKey(id) ? ledger(h).stored(id) : null;
+    Ledger.Stored stored = h.active() && !h.jobs().containsKey(id) ? ledger(h).stored(id) : null;
     if (stored != null) {
       take(h, stored);
       pendingJobs.jobsChanged(h);
@@ -294,13 +294,13 @@
   public void load(OwnedEntity h, List<Ledger.Stored> open, List<Entry> progress) {
     open.forEach(stored -> take(h, stored));
     progress(h).load(progress);
-    List.copyOf(h.jobs.values()).forEach(job -> progressed(h, job));
+    List.copyOf(h.jobs().values()).forEach(job -> progressed(h, job));
   }
 
   private void take(OwnedEntity h, Ledger.Stored stored) {
     double age = Math.max(0, loop.wallMillis() - stored.arrivedMs()) / 1000.0;
     JobSpec spec = stored.spec();
-    h.jobs.put(spec.id(), job(spec, stored.arrivedMs(), loop.seconds() - age, true));
+    h.addJob(job(spec, stored.arrivedMs(), loop.seconds() - age, true));
     bound.put(spec.id(), h.entity());
   }
 
@@ -309,17 +309,17 @@
   }
 
   private Ledger ledger(OwnedEntity h) {
-    ledgers.keySet().removeIf(other -> other.phase == OwnedEntity.Phase.LOST && other != h);
+    ledgers.keySet().removeIf(other -> other.phase() == OwnedEntity.Phase.LOST && other != h);
     return ledgers.computeIfAbsent(h, this::newLedger);
   }
 
   /** Tasks of the job may be done: store that, in time, and close the job after the last one. */
   public void progressed(OwnedEntity h, Job job) {
-    if (job.phase != Job.Phase.OPEN) {
+    if (job.phase() != Job.Phase.OPEN) {
       return;
     }
     if (job.complete()) {
-      job.phase = Job.Phase.CLOSING;
+      job.startClosing();
       job.write(() -> end(h, job, Status.DONE));
     } else if (!job.allStored()) {
       progress(h).changed(job);
@@ -339,16 +339,16 @@
 
   /** Stores the end of a job. Only afterwards is anybody told of it. */
   private CompletableFuture<Boolean> end(OwnedEntity h, Job job, Status status) {
-    if (job.phase == Job.Phase.OVER) {
+    if (job.phase() == Job.Phase.OVER) {
       return CompletableFuture.completedFuture(true);
     }
     return ledger(h)
-        .end(job.spec.id(), status, job.doneCount())
+        .end(job.spec().id(), status, job.doneCount())
         .handle(
             (stored, failure) -> {
               if (failure != null) {
                 membership.suspect();
-                if (h.phase != OwnedEntity.Phase.LOST) {
+                if (h.phase() != OwnedEntity.Phase.LOST) {
                   // Refused for a reason that may pass: nobody else would ever store this end.
                   loop.after(END_AGAIN_S, () -> job.write(() -> end(h, job, status)));
                 }
@@ -360,18 +360,16 @@
   }
 
   private void ended(OwnedEntity h, Job job, Status status) {
-    job.phase = Job.Phase.OVER;
-    job.end = status;
-    job.stored.or(job.done());
+    job.ended(status);
     remember(
-        new JobView(job.spec.id().value(), status, job.doneCount(), 0),
+        new JobView(job.spec().id().value(), status, job.doneCount(), 0),
         h.entity(),
-        job.spec.task());
-    LOG.info("job {} of entity {} is {}", job.spec.id(), h.entity(), status);
-    traces.ended(job.spec.id(), status);
+        job.spec().task());
+    LOG.info("job {} of entity {} is {}", job.spec().id(), h.entity(), status);
+    traces.ended(job.spec().id(), status);
     stop(h, job);
     if (job.nothingPlaced()) {
-      h.jobs.remove(job.spec.id(), job);
+      h.removeJob(job);
     }
   }
 
@@ -391,18 +389,18 @@
    */
   public CompletableFuture<JobView> cancel(OwnedEntity h, Job job) {
     CompletableFuture<JobView> told = new CompletableFuture<>();
-    if (job.phase == Job.Phase.OPEN) {
+    if (job.phase() == Job.Phase.OPEN) {
       // Its user does not want it any more: nothing of it is started or kept running from now on.
-      job.phase = Job.Phase.CANCELLING;
+      job.startCancelling();
       stop(h, job);
     }
-    Status status = job.phase == Job.Phase.CLOSING ? Status.DONE : Status.CANCELLED;
+    Status status = job.phase() == Job.Phase.CLOSING ? Status.DONE : Status.CANCELLED;
     job.write(
         () ->
             end(h, job, status)
                 .whenComplete(
                     (stored, failure) -> {
-                      JobView view = terminalView(job.spec.id());
+                      JobView view = terminalView(job.spec().id());
                       if (failure == null && view != null) {
                         told.complete(view);
                       } else {
--- a/src/main/java/io/violetrail/api/Ledger.java
+++ b/src/main/java/io/violetrail/api/Ledger.java
@@ -290,7 +290,7 @@
   }
 
   private Draft draft() {
-    if (h.phase == OwnedEntity.Phase.LOST) {
+    if (h.phase() == OwnedEntity.Phase.LOST) {
       fail();
       return null;
     }
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -61,23 +61,23 @@
 
   private void entityGauges(Membership membership) {
     gauge("entities.held", membership, m -> m.holdings().size());
-    gauge("jobs.open", membership, m -> sum(m, entity -> entity.jobs.size()));
-    gauge("machines", membership, m -> sum(m, entity -> entity.machines.size()));
+    gauge("jobs.open", membership, m -> sum(m, entity -> entity.jobs().size()));
+    gauge("machines", membership, m -> sum(m, entity -> entity.machines().size()));
     gauge("machines.silent", membership, m -> sum(m, Metrics::silentMachines));
     gauge("tasks.placed", membership, m -> sum(m, Metrics::placedTasks));
     gauge("tasks.waiting", membership, m -> sum(m, Metrics::pendingTasks));
   }
 
   private static double silentMachines(OwnedEntity entity) {
-    return entity.machines.values().stream().filter(machine -> machine.silent).count();
+    return entity.machines().values().stream().filter(machine -> machine.silent()).count();
   }
 
   private static double placedTasks(OwnedEntity entity) {
-    return entity.machines.values().stream().mapToInt(machine -> machine.tasks().size()).sum();
+    return entity.machines().values().stream().mapToInt(machine -> machine.tasks().size()).sum();
   }
 
   private static double pendingTasks(OwnedEntity entity) {
-    return entity.jobs.values().stream().mapToInt(Job::unplaced).sum();
+    return entity.jobs().values().stream().mapToInt(Job::unplaced).sum();
   }
 
   private void evidenceGauges(EvidenceLog evidence) {
--- a/src/main/java/io/violetrail/api/Progress.java
+++ b/src/main/java/io/violetrail/api/Progress.java
@@ -59,7 +59,7 @@
   /** The tasks of a job from {@code from} to before {@code to}. */
   private record Part(Job job, int from, int to) {
     String name() {
-      return job.spec.id() + "/" + from;
+      return job.spec().id() + "/" + from;
     }
 
     int chars() {
@@ -79,11 +79,9 @@
 
   /** Tasks of the job are done that are not stored. */
   void changed(Job job) {
-    for (int from = 0; from < job.spec.tasks(); from += chunk) {
-      Part part = new Part(job, from, Math.min(job.spec.tasks(), from + chunk));
-      BitSet fresh = job.done().get(part.from(), part.to());
-      fresh.andNot(job.stored.get(part.from(), part.to()));
-      if (!fresh.isEmpty()) {
+    for (int from = 0; from < job.spec().tasks(); from += chunk) {
+      Part part = new Part(job, from, Math.min(job.spec().tasks(), from + chunk));
+      if (!job.doneNotStored(part.from(), part.to()).isEmpty()) {
         slotOf.computeIfAbsent(part.name(), n -> slotFor(part)).dirty = true;
       }
     }
@@ -114,7 +112,7 @@
   void flush(double now) {
     for (Slot slot : slots) {
       for (Part p : List.copyOf(slot.parts.values())) {
-        if (p.job().phase == Job.Phase.OVER) {
+        if (p.job().phase() == Job.Phase.OVER) {
           slot.parts.remove(p.name());
           slotOf.remove(p.name());
           slot.chars -= p.chars();
@@ -149,7 +147,7 @@
               } else if (outcome.applied()) {
                 slot.stamp = outcome.revision();
                 written.forEach(
-                    (p, bits) -> bits.stream().forEach(i -> p.job().stored.set(p.from() + i)));
+                    (p, bits) -> bits.stream().forEach(i -> p.job().markStored(p.from() + i)));
               } else if (outcome.failed().contains(Rows.entity(h.entity()))) {
                 membership.suspect();
               } else {
@@ -191,18 +189,18 @@
 
   private void take(Slot slot, String name, String text) {
     int slash = name.indexOf('/');
-    Job job = h.jobs.get(new JobId(name.substring(0, slash)));
+    Job job = h.jobs().get(new JobId(name.substring(0, slash)));
     int from = Integer.parseInt(name.substring(slash + 1));
-    if (job == null || from >= job.spec.tasks()) {
+    if (job == null || from >= job.spec().tasks()) {
       return;
     }
     BitSet.valueOf(Base64.getDecoder().decode(text)).stream()
         .forEach(
             i -> {
               job.markDone(from + i);
-              job.stored.set(from + i);
+              job.markStored(from + i);
             });
-    Part part = new Part(job, from, Math.min(job.spec.tasks(), from + chunk));
+    Part part = new Part(job, from, Math.min(job.spec().tasks(), from + chunk));
     put(slot, part);
     slotOf.put(part.name(), slot);
   }
--- a/src/main/java/io/violetrail/api/Sheets.java
+++ b/src/main/java/io/violetrail/api/Sheets.java
@@ -102,7 +102,7 @@
   /** The page for the end of a job that begins now. Its name was never given before. */
   Page pageForNext() {
     if (current == null || current.promised >= pageJobs) {
-      current = new Page(h.row.version() + "-" + ++pagesBegun);
+      current = new Page(h.row().version() + "-" + ++pagesBegun);
       pages.put(current.name, current);
     }
     current.promised++;
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -339,7 +339,7 @@
     }
     OwnedEntity h = jobStates.entityOfOpenJob(id);
     if (h != null && membership.valid()) {
-      answer(jobs.cancel(h, h.jobs.get(id)), done);
+      answer(jobs.cancel(h, h.jobs().get(id)), done);
       return;
     }
     ControllerId bound = jobs.boundTo(id);
--- a/src/main/java/io/violetrail/calendar/Schedules.java
+++ b/src/main/java/io/violetrail/calendar/Schedules.java
@@ -261,8 +261,8 @@
 
     @Override
     public JobView view(JobId id) {
-      Job job = h.jobs.get(id);
-      if (job != null && job.phase != Job.Phase.OVER) {
+      Job job = h.jobs().get(id);
+      if (job != null && job.phase() != Job.Phase.OVER) {
         return job.view();
       }
       JobView over = jobs.terminalView(id);
@@ -274,7 +274,7 @@
 
     @Override
     public Outlook outlook(JobId id) {
-      Job job = h.jobs.get(id);
+      Job job = h.jobs().get(id);
       if (job == null) {
         return null;
       }
@@ -282,18 +282,18 @@
       double age = 0;
       int running = 0;
       for (Placement p : job.placements()) {
-        if (p.runningS > 0) {
+        if (p.runningS() > 0) {
           running++;
-          age += now - p.runningS;
+          age += now - p.runningS();
         }
       }
       return new Outlook(
-          job.spec.tasks(),
+          job.spec().tasks(),
           job.doneCount(),
           running,
           running == 0 ? 0 : age / running,
-          estimates.runS(job.spec),
-          startS(job.spec));
+          estimates.runS(job.spec()),
+          startS(job.spec()));
     }
 
     private double startS(JobSpec spec) {
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -438,8 +438,8 @@
    */
   private void announceSeizedEntities() {
     for (OwnedEntity entity : membership.holdings()) {
-      double ownedSeconds = loop.seconds() - entity.gainedS;
-      if (!entity.calm && ownedSeconds < timing.ttlS() + timing.graceS()) {
+      double ownedSeconds = loop.seconds() - entity.gainedS();
+      if (!entity.calm() && ownedSeconds < timing.ttlS() + timing.graceS()) {
         peers.announce(entity);
       }
     }
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -60,7 +60,7 @@
 
   /** Begins to read; the entity becomes active later, unless it is lost before. */
   void recover(OwnedEntity entity) {
-    if (entity.phase != OwnedEntity.Phase.LOADING) {
+    if (entity.phase() != OwnedEntity.Phase.LOADING) {
       return;
     }
     var openJobs =
@@ -87,7 +87,7 @@
   }
 
   private void activate(OwnedEntity entity, EntityRows rows) {
-    if (entity.phase != OwnedEntity.Phase.LOADING) {
+    if (entity.phase() != OwnedEntity.Phase.LOADING) {
       return;
     }
     if (!machines.addAllRecorded(entity, unheardTasksGoneSeconds(entity))) {
@@ -95,15 +95,15 @@
       loop.after(RETRY_MACHINE_TYPES_SECONDS, () -> recover(entity));
       return;
     }
-    entity.phase = OwnedEntity.Phase.ACTIVE;
+    entity.activate();
     jobs.load(entity, rows.openJobs(), rows.progress());
     hires.resume(entity, rows.requests());
     LOG.info(
         "entity {} version {} active: {} jobs, {} machines",
         entity.entity(),
-        entity.row.version(),
-        entity.jobs.size(),
-        entity.machines.size());
+        entity.row().version(),
+        entity.jobs().size(),
+        entity.machines().size());
     schedulingLoop.requestPass();
   }
 
@@ -114,9 +114,9 @@
   private double unheardTasksGoneSeconds(OwnedEntity entity) {
     double now = loop.seconds();
     double afterMove =
-        entity.gainedS + (entity.calm ? timing.goneAfterAnswerS() : timing.goneAfterSeizureS());
+        entity.gainedS() + (entity.calm() ? timing.goneAfterAnswerS() : timing.goneAfterSeizureS());
     double gone = Math.max(afterMove, now + timing.goneAfterAnswerS());
     // Handed on soon after a seizure: the owner that it was seized from may still be in its grace.
-    return Math.max(gone, now + timing.goneAfterLastSeizureS(entity.row.past(), loop.wallMillis()));
+    return Math.max(gone, now + timing.goneAfterLastSeizureS(entity.row().past(), loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -52,7 +52,7 @@
 
   /** The machine of an owned entity; null while its type is not known. */
   public Machine findOrAdd(OwnedEntity entity, MachineRow row) {
-    Machine machine = entity.machines.get(row.id());
+    Machine machine = entity.machines().get(row.id());
     if (machine != null) {
       return machine;
     }
@@ -66,10 +66,11 @@
     if (type == null) {
       return null;
     }
-    Machine machine = new Machine(row, type, entity.fencingToken(row), loop.seconds());
-    machine.unheardGoneS = unheardGoneS;
-    machine.rentedS = loop.seconds() - Math.max(0, loop.wallMillis() - row.rentedMs()) / 1000.0;
-    entity.machines.put(row.id(), machine);
+    double now = loop.seconds();
+    double rentedS = now - Math.max(0, loop.wallMillis() - row.rentedMs()) / 1000.0;
+    Machine machine =
+        new Machine(row, type, entity.fencingToken(row), now, rentedS, unheardGoneS);
+    entity.addMachine(machine);
     return machine;
   }
 
@@ -83,7 +84,7 @@
   public boolean addAllRecorded(OwnedEntity entity, double unheardGoneS) {
     for (MachineRow row : directory.machinesOf(entity.entity())) {
       if (add(entity, row, unheardGoneS) == null) {
-        entity.machines.clear();
+        entity.removeAllMachines();
         return false;
       }
     }
@@ -100,14 +101,14 @@
   }
 
   private void addTransferred(OwnedEntity entity, MachineRow row) {
-    if (entity.machines.containsKey(row.id()) || returned.contains(row.id())) {
+    if (entity.machines().containsKey(row.id()) || returned.contains(row.id())) {
       return;
     }
     Machine machine = add(entity, row, loop.seconds());
     if (machine != null) {
       // A machine is passed over empty, so it hides nothing.
-      machine.heard = true;
-      LOG.info("machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since);
+      machine.joinedEmpty();
+      LOG.info("machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since());
       schedulingLoop.requestPass();
     }
   }
@@ -115,31 +116,31 @@
   /** Records that a machine has reported, before anything may be launched on it. */
   public void markUp(OwnedEntity entity, Machine machine) {
     if (mayRewrite(entity, machine)) {
-      rewrite(entity, machine, machine.row.nowUp());
+      rewrite(entity, machine, machine.row().nowUp());
     }
   }
 
   /** The worker has seen a higher token than ours: its term is raised above that. */
   public void raiseTerm(OwnedEntity entity, Machine machine, Version seen) {
     if (mayRewrite(entity, machine)) {
-      Version term = seen.nextFor(entity.row.version().owner());
+      Version term = seen.nextFor(entity.row().version().owner());
       LOG.info("machine {} has seen {}: its term becomes {}", machine.id(), seen, term);
-      rewrite(entity, machine, machine.row.raised(term));
+      rewrite(entity, machine, machine.row().raised(term));
     }
   }
 
   private boolean mayRewrite(OwnedEntity entity, Machine machine) {
-    return !machine.marking && entity.active() && membership.valid();
+    return !machine.marking() && entity.active() && membership.valid();
   }
 
   private void rewrite(OwnedEntity entity, Machine machine, MachineRow next) {
-    machine.marking = true;
+    machine.startRewrite();
     entity
-        .register
-        .change(machine.row, next)
+        .register()
+        .change(machine.row(), next)
         .whenComplete(
             (stored, failure) -> {
-              machine.marking = false;
+              machine.endRewrite();
               if (failure == null) {
                 rewritten(machine, stored);
               } else {
@@ -150,12 +151,12 @@
 
   private void rewritten(Machine machine, MachineRow stored) {
     double now = loop.seconds();
-    if (!machine.row.up()) {
-      bootTimes.up(machine.type, now - machine.rentedS, now);
+    if (!machine.row().up()) {
+      bootTimes.up(machine.type(), now - machine.rentedS(), now);
       // Its boot is not idleness: dear machines were returned the moment they came up.
-      machine.idleSinceS = now;
+      machine.becameIdle(now);
     }
-    machine.row = stored;
+    machine.rewritten(stored);
     schedulingLoop.requestPass();
   }
 
@@ -164,7 +165,7 @@
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       entity.unplace(placement, loop.seconds(), GoneProof.RETURNED);
     }
-    entity.machines.remove(machine.id());
+    entity.removeMachine(machine);
     returned.add(machine.id());
     schedulingLoop.requestPass();
   }
@@ -185,10 +186,9 @@
         () -> {
           MachineRow row = directory.machine(machine.id());
           if (row == null || !row.entity().equals(entity.entity())) {
-            entity.machines.remove(machine.id(), machine);
+            entity.removeMachine(machine);
           } else {
-            machine.row = row;
-            machine.promised = false;
+            machine.promiseFailed(row);
           }
         });
   }
--- a/src/main/java/io/violetrail/fleet/Hires.java
+++ b/src/main/java/io/violetrail/fleet/Hires.java
@@ -130,7 +130,7 @@
 
   /** Lets go of what concerns nobody here any more. */
   void tick(double now) {
-    hires.values().removeIf(hire -> hire.holding.phase == OwnedEntity.Phase.LOST);
+    hires.values().removeIf(hire -> hire.holding.phase() == OwnedEntity.Phase.LOST);
     refused.values().removeIf(until -> until < now);
   }
 
@@ -202,13 +202,13 @@
                 loop.wallMillis()));
       }
     }
-    h.register
+    h.register()
         .addAll(rows)
         .whenComplete(
             (nothing, failure) -> {
               hire.recorded = true;
               membership.rowsChanged();
-              if (h.phase == OwnedEntity.Phase.LOST) {
+              if (h.phase() == OwnedEntity.Phase.LOST) {
                 hires.remove(hire.name);
                 return;
               }
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -67,13 +67,13 @@
       return;
     }
     int left = request.tasks();
-    for (Machine m : List.copyOf(h.machines.values())) {
+    for (Machine m : List.copyOf(h.machines().values())) {
       if (left <= 0) {
         return;
       }
-      int fit = m.type.size().count(request.task());
+      int fit = m.type().size().count(request.task());
       // What was emptied for such a request passes, though what was stopped for it waits here now.
-      boolean free = request.starving() && now <= m.evictedUntilS || !wantedHere(first, m);
+      boolean free = request.starving() && now <= m.evictedUntilS() || !wantedHere(first, m);
       if (fit > 0 && m.empty() && passable(m, request) && free) {
         left -= fit;
         pass(h, m, target);
@@ -82,8 +82,8 @@
     if (!first.isEmpty()) {
       return;
     }
-    for (Machine m : h.machines.values()) {
-      int fit = m.type.size().count(request.task());
+    for (Machine m : h.machines().values()) {
+      int fit = m.type().size().count(request.task());
       if (left > 0 && fit > 0 && !m.empty() && m.spare() && passable(m, request)) {
         // It passes at the next asking, once what runs there in spare room has saved.
         left -= fit;
@@ -105,15 +105,15 @@
   private void evict(OwnedEntity h, ResourceRequest request, int tasks, double now) {
     List<Machine> used = new ArrayList<>();
     int left = tasks;
-    for (Machine m : h.machines.values()) {
-      boolean useful = passable(m, request) && m.type.size().count(request.task()) > 0;
-      if (useful && now <= m.evictedUntilS) {
-        left -= m.type.size().count(request.task());
+    for (Machine m : h.machines().values()) {
+      boolean useful = passable(m, request) && m.type().size().count(request.task()) > 0;
+      if (useful && now <= m.evictedUntilS()) {
+        left -= m.type().size().count(request.task());
       } else if (useful
           && !m.empty()
           && m.share() <= HALF
           && m.room().count(request.task()) > 0
-          && now - m.joinedS > SETTLED_S) {
+          && now - m.joinedS() > SETTLED_S) {
         used.add(m);
       }
     }
@@ -123,7 +123,7 @@
     used.sort(Comparator.comparingDouble(m -> Preemption.loss(m, now)));
     for (Machine m : used) {
       if (left > 0) {
-        left -= m.type.size().count(request.task());
+        left -= m.type().size().count(request.task());
         LOG.info("machine {} is emptied for {} of another entity", m.id(), request.job());
         drainer.evictAll(h, m, EVICTED_S);
       }
@@ -131,8 +131,8 @@
   }
 
   private static boolean waitsHere(OwnedEntity h) {
-    for (Job job : h.jobs.values()) {
-      if (job.phase == Job.Phase.OPEN && job.unplaced() > 0 && !job.spareWork) {
+    for (Job job : h.jobs().values()) {
+      if (job.phase() == Job.Phase.OPEN && job.unplaced() > 0 && !job.spareWork()) {
         return true;
       }
     }
@@ -144,32 +144,32 @@
     double ratio =
         machineTypes
             .prices()
-            .ratio(request.task(), request.typeList(), m.type, m.row.spot(), request.tasks());
+            .ratio(request.task(), request.typeList(), m.type(), m.row().spot(), request.tasks());
     return m.open()
         && ratio <= request.worth()
         && suits(m, request.gpus())
-        && request.allows(m.row.type(), m.row.zone(), m.row.spot());
+        && request.allows(m.row().type(), m.row().zone(), m.row().spot());
   }
 
   /** Accelerators do not go to work that needs none. */
   static boolean suits(Machine m, double gpus) {
-    return m.type.size().gpus() == 0 || gpus > 0;
+    return m.type().size().gpus() == 0 || gpus > 0;
   }
 
   /**
    * Whether an own job that is more urgent, or has waited longer, waits for the same kind of room.
    */
   private static boolean wantedHere(OwnedEntity h, ResourceRequest request) {
-    return h.jobs.values().stream().anyMatch(job -> waitsBefore(job, request));
+    return h.jobs().values().stream().anyMatch(job -> waitsBefore(job, request));
   }
 
   private static boolean waitsBefore(Job job, ResourceRequest request) {
-    return job.phase == Job.Phase.OPEN
+    return job.phase() == Job.Phase.OPEN
         && job.unplaced() > 0
-        && !job.spareWork
-        && !job.trial.suspect()
+        && !job.spareWork()
+        && !job.trial().suspect()
         && RequestOrder.before(job, request)
-        && (job.spec.task().gpus() > 0) == (request.gpus() > 0);
+        && (job.spec().task().gpus() > 0) == (request.gpus() > 0);
   }
 
   /**
@@ -179,12 +179,12 @@
   private List<Job> wantingBefore(
       OwnedEntity h, ResourceRequest request, Map<String, Amounts> freeQuotas, double now) {
     List<Job> first = new ArrayList<>();
-    for (Job job : h.jobs.values()) {
+    for (Job job : h.jobs().values()) {
       if (waitsBefore(job, request)
           && job.gathers(now)
           && freeQuotas
-                  .computeIfAbsent(job.spec.team(), t -> quotas.free(h, t, now))
-                  .count(job.spec.task())
+                  .computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now))
+                  .count(job.spec().task())
               > 0) {
         first.add(job);
       }
@@ -195,8 +195,8 @@
   /** Whether one of the jobs may and could start on the machine. */
   private static boolean wantedHere(List<Job> jobs, Machine m) {
     for (Job job : jobs) {
-      if (job.spec.allows(m.row.type(), m.row.zone(), m.row.spot())
-          && m.type.size().count(job.spec.task()) > 0) {
+      if (job.spec().allows(m.row().type(), m.row().zone(), m.row().spot())
+          && m.type().size().count(job.spec().task()) > 0) {
         return true;
       }
     }
@@ -205,11 +205,11 @@
 
   /** One conditional write gives the machine to the other entity and raises its term. */
   private void pass(OwnedEntity h, Machine m, EntityRow target) {
-    m.promised = true;
+    m.promise();
     Version above = h.token(m).compareTo(target.version()) > 0 ? h.token(m) : target.version();
-    MachineRow next = m.row.passedTo(target.entity(), above.nextFor(target.version().owner()));
-    h.register
-        .pass(m.row, next, target)
+    MachineRow next = m.row().passedTo(target.entity(), above.nextFor(target.version().owner()));
+    h.register()
+        .pass(m.row(), next, target)
         .whenComplete(
             (row, failure) -> {
               if (failure == null) {
@@ -219,7 +219,7 @@
                     h.entity(),
                     next.entity(),
                     next.term());
-                h.machines.remove(m.id(), m);
+                h.removeMachine(m);
                 membership.rowsChanged();
                 longPolls.answer(m.id());
               } else {
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -185,12 +185,12 @@
   /** What jobs here that go before the request still wait for. */
   private static Amounts waiting(OwnedEntity h, ResourceRequest request, double now) {
     Amounts sum = Amounts.NONE;
-    for (Job job : h.jobs.values()) {
-      if (job.phase == Job.Phase.OPEN
+    for (Job job : h.jobs().values()) {
+      if (job.phase() == Job.Phase.OPEN
           && RequestOrder.before(job, request)
-          && job.spec.team().equals(request.team())
+          && job.spec().team().equals(request.team())
           && job.gathers(now)) {
-        sum = sum.plus(job.spec.task().times(job.mayStart(now)));
+        sum = sum.plus(job.spec().task().times(job.mayStart(now)));
       }
     }
     return new Amounts(sum.cpus(), sum.gpus(), 0);
@@ -260,10 +260,10 @@
   public void dropUnsent(Collection<OwnedEntity> holdings) {
     double now = loop.seconds();
     for (OwnedEntity h : holdings) {
-      h.machines.values().stream()
+      h.machines().values().stream()
           .flatMap(m -> List.copyOf(m.tasks().values()).stream())
           .filter(Placement::revocable)
-          .filter(p -> exceeded(p.job.spec.team()))
+          .filter(p -> exceeded(p.job().spec().team()))
           .toList()
           .forEach(p -> h.unplace(p, now, GoneProof.NEVER_SENT));
     }
--- a/src/main/java/io/violetrail/fleet/RentPlan.java
+++ b/src/main/java/io/violetrail/fleet/RentPlan.java
@@ -115,8 +115,8 @@
    * @param urgent it does not wait for others to end: only machines on their way count
    */
   void demand(Job job, int tasks, boolean urgent) {
-    if (job.spec.shape() == Shape.GANG && job.spec.oneZone()) {
-      if (tasks >= job.spec.tasks()) {
+    if (job.spec().shape() == Shape.GANG && job.spec().oneZone()) {
+      if (tasks >= job.spec().tasks()) {
         gang(job, urgent);
       }
       return;
@@ -132,7 +132,7 @@
     String best = null;
     double bestCost = Double.POSITIVE_INFINITY;
     for (String zone : zones) {
-      int missing = job.spec.tasks() - room(job, urgent, zone);
+      int missing = job.spec().tasks() - room(job, urgent, zone);
       Offer offer = missing > 0 ? cheapest(job, missing, zone) : null;
       if (missing > 0 && offer == null) {
         continue;
@@ -146,7 +146,7 @@
     if (best == null) {
       return;
     }
-    int left = job.spec.tasks() - fill(job, job.spec.tasks(), urgent, best);
+    int left = job.spec().tasks() - fill(job, job.spec().tasks(), urgent, best);
     rentRest(job, left, best);
   }
 
@@ -167,17 +167,17 @@
     Bin bin = new Bin(offer, type.size(), Amounts.NONE, true);
     bins.add(bin);
     wanted.merge(offer, 1, Integer::sum);
-    urgency.merge(offer, job.spec.priority(), (a, b) -> a.compareTo(b) < 0 ? a : b);
+    urgency.merge(offer, job.spec().priority(), (a, b) -> a.compareTo(b) < 0 ? a : b);
     mayRent--;
     return take(job, bin, tasks);
   }
 
   private static int take(Job job, Bin bin, int tasks) {
-    int n = Math.min(tasks, bin.room.count(job.spec.task()));
-    bin.room = bin.room.minus(job.spec.task().times(n));
-    if (n < tasks && job.spec.shape() == Shape.ARRAY) {
-      int more = Math.min(tasks - n, bin.later.count(job.spec.task()));
-      bin.later = bin.later.minus(job.spec.task().times(more));
+    int n = Math.min(tasks, bin.room.count(job.spec().task()));
+    bin.room = bin.room.minus(job.spec().task().times(n));
+    if (n < tasks && job.spec().shape() == Shape.ARRAY) {
+      int more = Math.min(tasks - n, bin.later.count(job.spec().task()));
+      bin.later = bin.later.minus(job.spec().task().times(more));
       n += more;
     }
     return n;
@@ -187,7 +187,7 @@
     return (bin.coming || !urgent)
         && suits(job, type(bin.offer))
         && (zone == null || zone.equals(bin.offer.zone()))
-        && job.spec.allows(bin.offer.type(), bin.offer.zone(), bin.offer.spot());
+        && job.spec().allows(bin.offer.type(), bin.offer.zone(), bin.offer.spot());
   }
 
   /**
@@ -195,7 +195,7 @@
    * placed there: one in seven hours of a day's cost.
    */
   private boolean suits(Job job, MachineType type) {
-    return job.spec.task().gpus() > 0 || type.size().gpus() == 0 || !acceleratorsWanted;
+    return job.spec().task().gpus() > 0 || type.size().gpus() == 0 || !acceleratorsWanted;
   }
 
   private int fill(Job job, int tasks, boolean urgent, String zone) {
@@ -211,7 +211,7 @@
   private int room(Job job, boolean urgent, String zone) {
     int n = 0;
     for (Bin bin : bins) {
-      n += usable(job, bin, urgent, zone) ? bin.room.count(job.spec.task()) : 0;
+      n += usable(job, bin, urgent, zone) ? bin.room.count(job.spec().task()) : 0;
     }
     return n;
   }
@@ -236,9 +236,9 @@
   /** What a task costs on the offer, counting boot and fetch. */
   private double perTask(Job job, Offer offer, int tasks) {
     MachineType t = type(offer);
-    double run = Math.max(30, job.spec.estimateS());
-    double time = (run + t.bootS() + job.spec.imageGb() / t.fetchGbPerS()) / run;
-    int sharers = Math.min(t.size().count(job.spec.task()), tasks);
+    double run = Math.max(30, job.spec().estimateS());
+    double time = (run + t.bootS() + job.spec().imageGb() / t.fetchGbPerS()) / run;
+    int sharers = Math.min(t.size().count(job.spec().task()), tasks);
     return t.price(offer.spot()) * time / sharers * (1 + 0.01 * taste(offer));
   }
 
@@ -248,7 +248,7 @@
     double bestCost = Double.POSITIVE_INFINITY;
     double worth = worthOf.applyAsDouble(job);
     for (MachineType t : types) {
-      if (t.size().count(job.spec.task()) == 0 || !suits(job, t)) {
+      if (t.size().count(job.spec().task()) == 0 || !suits(job, t)) {
         continue;
       }
       for (String zone : t.zones()) {
@@ -257,9 +257,9 @@
         }
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(t.name(), zone, spot);
-          if (!job.spec.allows(t.name(), zone, spot)
+          if (!job.spec().allows(t.name(), zone, spot)
               || refused.test(offer)
-              || !prices.worth(job.spec, t, spot, tasks, worth)) {
+              || !prices.worth(job.spec(), t, spot, tasks, worth)) {
             continue;
           }
           double cost = perTask(job, offer, tasks);
--- a/src/main/java/io/violetrail/fleet/RequestOrder.java
+++ b/src/main/java/io/violetrail/fleet/RequestOrder.java
@@ -14,11 +14,11 @@
    * and neither job started; where both sides saw themselves first, neither gave its part.
    */
   static boolean before(Job job, ResourceRequest request) {
-    int priority = job.spec.priority().ordinal();
-    if (priority != request.priority() || job.arrivedMs != request.arrivedMs()) {
+    int priority = job.spec().priority().ordinal();
+    if (priority != request.priority() || job.arrivedMs() != request.arrivedMs()) {
       return priority < request.priority()
-          || priority == request.priority() && job.arrivedMs < request.arrivedMs();
+          || priority == request.priority() && job.arrivedMs() < request.arrivedMs();
     }
-    return job.spec.id().value().compareTo(request.job()) < 0;
+    return job.spec().id().value().compareTo(request.job()) < 0;
   }
 }
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -72,8 +72,8 @@
   void returnUseless(OwnedEntity h, double now) {
     List<Machine> out = new ArrayList<>();
     Map<JobSpec, Integer> surplus = null;
-    for (Machine m : h.machines.values()) {
-      if (m.returning) {
+    for (Machine m : h.machines().values()) {
+      if (m.returning()) {
         out.add(m);
       } else if (ofNoUse(m, now)) {
         if (surplus == null) {
@@ -91,11 +91,11 @@
 
   private static void takeOutOfUse(Machine m, List<Machine> out) {
     if (m.empty() || !idle(m)) {
-      m.returning = true;
+      m.startReturn();
       out.add(m);
     } else {
       // Only spare work is left here: it saves, and the machine goes.
-      m.draining = true;
+      m.setDraining(true);
     }
   }
 
@@ -110,14 +110,14 @@
               returning = false;
               switch (failure == null ? answer : Return.UNCERTAIN) {
                 case GONE -> batch.forEach(m -> forget(h, m));
-                case REFUSED -> batch.forEach(m -> m.returning = m.returnUncertain);
-                default -> batch.forEach(m -> m.returnUncertain = true);
+                case REFUSED -> batch.forEach(Machine::returnRefused);
+                default -> batch.forEach(Machine::returnUnclear);
               }
             });
   }
 
   private static boolean idle(Machine m) {
-    return m.row.up() && m.heard && !m.silent && !m.draining;
+    return m.row().up() && m.heard() && !m.silent() && !m.draining();
   }
 
   /** How much more room there is than is kept ahead of need, for each class that it is kept for. */
@@ -128,7 +128,7 @@
         .forEach(
             (spec, tasks) ->
                 surplus.put(
-                    spec, Spares.room(spec, h.machines.values(), machineTypes.prices()) - tasks));
+                    spec, Spares.room(spec, h.machines().values(), machineTypes.prices()) - tasks));
     return surplus;
   }
 
@@ -153,45 +153,45 @@
   }
 
   private boolean ofNoUse(Machine m, double now) {
-    if (m.promised) {
+    if (m.promised()) {
       return false;
     }
-    if (!m.row.up()) {
-      return bootTimes.givenUp(m.type, m.rentedS, now);
+    if (!m.row().up()) {
+      return bootTimes.givenUp(m.type(), m.rentedS(), now);
     }
-    if (m.uncertain(now) && now - m.heardS > findsUsS()) {
+    if (m.uncertain(now) && now - m.heardS() > findsUsS()) {
       // Everything recovered waits for what it may hold, and the cloud's answer settles that.
       return true;
     }
-    if (m.silent) {
-      return m.empty() && now - m.heardS > timing.goneAfterAnswerS() + 5;
+    if (m.silent()) {
+      return m.empty() && now - m.heardS() > timing.goneAfterAnswerS() + 5;
     }
-    if (m.draining) {
+    if (m.draining()) {
       return m.empty();
     }
-    return m.heard
-        && (m.empty() || m.spare() && !m.row.spot())
-        && now - m.idleSinceS > machineTypes.prices().idleS(m.type, m.row.spot(), idleSeconds);
+    return m.heard()
+        && (m.empty() || m.spare() && !m.row().spot())
+        && now - m.idleSinceS() > machineTypes.prices().idleS(m.type(), m.row().spot(), idleSeconds);
   }
 
   private void forget(OwnedEntity h, Machine m) {
-    if (h.machines.get(m.id()) != m) {
+    if (h.machines().get(m.id()) != m) {
       return;
     }
-    double age = loop.seconds() - m.rentedS;
-    if (!m.row.up()) {
-      bootTimes.never(m.type, m.rentedS);
+    double age = loop.seconds() - m.rentedS();
+    if (!m.row().up()) {
+      bootTimes.never(m.type(), m.rentedS());
     }
     LOG.info(
         "machine {} ({}, spot {}) returned after {} s, used {} s",
         m.id(),
-        m.row.type(),
-        m.row.spot(),
+        m.row().type(),
+        m.row().spot(),
         Math.round(age),
-        Math.round(m.usedS));
+        Math.round(m.usedS()));
     entityMachines.remove(h, m);
-    h.register
-        .remove(m.row)
+    h.register()
+        .remove(m.row())
         .whenComplete(
             (row, failure) -> {
               if (failure != null) {
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -81,16 +81,16 @@
             placer.acceleratorsWanted(now),
             machineTypes.prices(),
             hires::refused,
-            job -> aims.worth(job, now, estimates.runS(job.spec)),
+            job -> aims.worth(job, now, estimates.runS(job.spec())),
             mayBoot(),
             tasteSeed);
     int replaced = maxReplaced(h);
-    for (Machine m : h.machines.values()) {
-      if (!m.row.up() && !m.returning) {
-        if (replaced > 0 && bootTimes.late(m.type, m.rentedS, now)) {
+    for (Machine m : h.machines().values()) {
+      if (!m.row().up() && !m.returning()) {
+        if (replaced > 0 && bootTimes.late(m.type(), m.rentedS(), now)) {
           replaced--;
         } else {
-          plan.coming(offer(m), m.type.size());
+          plan.coming(offer(m), m.type().size());
         }
       } else if (m.open()) {
         plan.there(offer(m), roomSoon(m, now), later(m, now));
@@ -108,27 +108,27 @@
     Map<String, Amounts> left = new HashMap<>();
     List<Job> spareWork = new ArrayList<>();
     for (Job job : pendingJobs.inOrder(h)) {
-      if (job.spareWork) {
+      if (job.spareWork()) {
         spareWork.add(job);
         continue;
       }
-      boolean urgent = spares.urgent(job.spec, machineTypes.all());
+      boolean urgent = spares.urgent(job.spec(), machineTypes.all());
       boolean peersFirst =
-          !urgent && now - job.arrivedS < TransferRequests.FIRST_S && directory.aliveCount() > 1;
-      boolean probe = job.trial.suspect() && placeable(h, job);
-      if (job.mayStart(now) == 0 || job.recovered && uncertain || peersFirst || probe) {
+          !urgent && now - job.arrivedS() < TransferRequests.FIRST_S && directory.aliveCount() > 1;
+      boolean probe = job.trial().suspect() && placeable(h, job);
+      if (job.mayStart(now) == 0 || job.recovered() && uncertain || peersFirst || probe) {
         continue;
       }
-      Amounts quota = left.computeIfAbsent(job.spec.team(), t -> quotas.free(h, t, now));
-      int tasks = Math.min(wanted(job, now), quota.count(job.spec.task()));
-      left.put(job.spec.team(), quota.minus(job.spec.task().times(tasks)));
+      Amounts quota = left.computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now));
+      int tasks = Math.min(wanted(job, now), quota.count(job.spec().task()));
+      left.put(job.spec().team(), quota.minus(job.spec().task().times(tasks)));
       plan.demand(job, tasks, urgent);
     }
     if (plan.wanted().isEmpty() && pending.isEmpty()) {
       keepSpares(h, plan, now);
     }
     for (Job job : spareWork) {
-      if (!job.trial.suspect() && !(job.recovered && uncertain)) {
+      if (!job.trial().suspect() && !(job.recovered() && uncertain)) {
         plan.demand(job, job.unplaced(), false);
       }
     }
@@ -141,8 +141,8 @@
    */
   private static int maxReplaced(OwnedEntity h) {
     int up = 0;
-    for (Machine m : h.machines.values()) {
-      up += m.row.up() ? 1 : 0;
+    for (Machine m : h.machines().values()) {
+      up += m.row().up() ? 1 : 0;
     }
     return Math.max(2, up / 4);
   }
@@ -150,12 +150,12 @@
   /** Whether a probe of a job that fails everywhere finds a machine that is there anyway. */
   private static boolean placeable(OwnedEntity h, Job job) {
     int room = 0;
-    for (Machine m : h.machines.values()) {
-      if (m.open() && job.spec.allows(m.row.type(), m.row.zone(), m.row.spot())) {
-        room += m.type.size().count(job.spec.task());
+    for (Machine m : h.machines().values()) {
+      if (m.open() && job.spec().allows(m.row().type(), m.row().zone(), m.row().spot())) {
+        room += m.type().size().count(job.spec().task());
       }
     }
-    return room >= (job.spec.shape() == Shape.GANG ? job.spec.tasks() : 1);
+    return room >= (job.spec().shape() == Shape.GANG ? job.spec().tasks() : 1);
   }
 
   /**
@@ -172,7 +172,7 @@
         .wanted(machineTypes.all(), now)
         .forEach(
             (spec, tasks) -> {
-              int have = Spares.room(spec, h.machines.values(), machineTypes.prices());
+              int have = Spares.room(spec, h.machines().values(), machineTypes.prices());
               if (have < tasks && h.entity().equals(settings.self())) {
                 plan.spare(new Job(spec, 0, now, false));
               }
@@ -184,15 +184,15 @@
   }
 
   private static Offer offer(Machine m) {
-    return new Offer(m.row.type(), m.row.zone(), m.row.spot());
+    return new Offer(m.row().type(), m.row().zone(), m.row().spot());
   }
 
   /** What a machine will have free by the time that another of its type would be up. */
   private Amounts roomSoon(Machine m, double now) {
     Amounts room = m.room();
     for (Placement p : m.tasks().values()) {
-      if (endsInS(p, now) < m.type.bootS()) {
-        room = room.plus(p.job.spec.task());
+      if (endsInS(p, now) < m.type().bootS()) {
+        room = room.plus(p.job().spec().task());
       }
     }
     return room;
@@ -206,10 +206,10 @@
   private Amounts later(Machine m, double now) {
     Amounts room = Amounts.NONE;
     for (Placement p : m.tasks().values()) {
-      double left = m.type.bootS() - endsInS(p, now);
-      int turns = (int) (left / estimates.runS(p.job.spec));
-      if (left > 0 && turns > 0 && p.job.spec.shape() == Shape.ARRAY) {
-        room = room.plus(p.job.spec.task().times((int) Math.min(MAX_TURNS, turns)));
+      double left = m.type().bootS() - endsInS(p, now);
+      int turns = (int) (left / estimates.runS(p.job().spec()));
+      if (left > 0 && turns > 0 && p.job().spec().shape() == Shape.ARRAY) {
+        room = room.plus(p.job().spec().task().times((int) Math.min(MAX_TURNS, turns)));
       }
     }
     return room;
@@ -217,22 +217,22 @@
 
   private double endsInS(Placement p, double now) {
     double began =
-        p.runningS > 0 ? p.runningS : now + p.job.spec.imageGb() / p.machine.type.fetchGbPerS();
-    return Math.max(0, began + estimates.runS(p.job.spec) - now);
+        p.runningS() > 0 ? p.runningS() : now + p.job().spec().imageGb() / p.machine().type().fetchGbPerS();
+    return Math.max(0, began + estimates.runS(p.job().spec()) - now);
   }
 
   /** How many of a job's waiting tasks are worth machines of their own, the rest taking turns. */
   private int wanted(Job job, double now) {
     int waiting = job.mayStart(now);
-    if (job.spec.shape() != Shape.ARRAY) {
+    if (job.spec().shape() != Shape.ARRAY) {
       return waiting;
     }
-    double run = estimates.runS(job.spec);
+    double run = estimates.runS(job.spec());
     double due = aims.nextDueS(job, now, run);
     if (Double.isInfinite(due)) {
       return waiting;
     }
-    double left = due - now - spares.startsInS(job.spec, machineTypes.all());
+    double left = due - now - spares.startsInS(job.spec(), machineTypes.all());
     double turns = Math.max(1, Math.min(MAX_TURNS, Math.floor(left / run)));
     return (int) Math.ceil(waiting / turns);
   }
--- a/src/main/java/io/violetrail/fleet/Spares.java
+++ b/src/main/java/io/violetrail/fleet/Spares.java
@@ -124,13 +124,13 @@
     int n = 0;
     for (Machine m : machines) {
       boolean usable =
-          (m.open() || !m.row.up() && !m.returning)
-              && job.allows(m.row.type(), m.row.zone(), m.row.spot());
-      if (usable && prices.worth(job, m.type, m.row.spot(), job.tasks(), SPARE_WORTH)) {
+          (m.open() || !m.row().up() && !m.returning())
+              && job.allows(m.row().type(), m.row().zone(), m.row().spot());
+      if (usable && prices.worth(job, m.type(), m.row().spot(), job.tasks(), SPARE_WORTH)) {
         Amounts room = m.room();
         for (Placement p : m.tasks().values()) {
-          if (p.job.spec.priority().compareTo(job.priority()) > 0) {
-            room = room.plus(p.job.spec.task());
+          if (p.job().spec().priority().compareTo(job.priority()) > 0) {
+            room = room.plus(p.job().spec().task());
           }
         }
         n += room.count(job.task());
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -90,14 +90,14 @@
     boolean uncertain = h.uncertain(now);
     for (Job job : pendingJobs.inOrder(h)) {
       // Nothing is gathered for what fails wherever it goes.
-      if (job.unplaced() == 0 || job.trial.suspect() || job.recovered && uncertain) {
+      if (job.unplaced() == 0 || job.trial().suspect() || job.recovered() && uncertain) {
         continue;
       }
       if (kinds.merge(kind(job, now), 1, Integer::sum) <= MAX_OF_A_KIND) {
         ask(h, job, now, requests);
       }
     }
-    askedSome.removeIf(id -> !h.jobs.containsKey(id));
+    askedSome.removeIf(id -> !h.jobs().containsKey(id));
     if (!requests.isEmpty()) {
       askedS = now;
       peers.askFor(h.entity(), requests);
@@ -108,23 +108,23 @@
   private static String kind(Job job, double now) {
     return String.join(
         " ",
-        String.valueOf(job.spec.task().gpus() > 0),
-        String.valueOf(job.spec.shape()),
-        String.valueOf(job.spareWork),
+        String.valueOf(job.spec().task().gpus() > 0),
+        String.valueOf(job.spec().shape()),
+        String.valueOf(job.spareWork()),
         // Who asked in vain for long lets others of its kind ask beside it for a while.
         String.valueOf(job.gathers(now)));
   }
 
   private void ask(OwnedEntity h, Job job, double now, List<ResourceRequest> requests) {
     int waiting = job.unplaced();
-    Amounts quota = quotas.free(h, job.spec.team(), now);
-    int allowed = quota.count(job.spec.task());
+    Amounts quota = quotas.free(h, job.spec().team(), now);
+    int allowed = quota.count(job.spec().task());
     if (allowed < waiting && job.gathers(now)) {
-      Amounts lacking = job.spec.task().times(waiting).minus(quota).notNegative();
-      ResourceRequest all = ResourceRequest.slice(job.spec, lacking, job.arrivedMs);
-      if (quotas.claim(h, job.spec.team(), lacking)) {
-        askedSome.remove(job.spec.id());
-      } else if (askedSome.add(job.spec.id())) {
+      Amounts lacking = job.spec().task().times(waiting).minus(quota).notNegative();
+      ResourceRequest all = ResourceRequest.slice(job.spec(), lacking, job.arrivedMs());
+      if (quotas.claim(h, job.spec().team(), lacking)) {
+        askedSome.remove(job.spec().id());
+      } else if (askedSome.add(job.spec().id())) {
         requests.addAll(quotas.split(all, h.entity()));
       } else {
         requests.add(all);
@@ -132,7 +132,7 @@
     }
     // What runs in spare room alone needs its part of a limit all the same, and in the end a
     // machine of its own.
-    if (allowed > 0 && (!job.spareWork || job.starving(now))) {
+    if (allowed > 0 && (!job.spareWork() || job.starving(now))) {
       requests.add(machinesFor(h, job, Math.min(waiting, allowed)));
     }
   }
@@ -142,20 +142,20 @@
    * missing there: machines of several zones would lie idle in parts.
    */
   private ResourceRequest machinesFor(OwnedEntity h, Job job, int tasks) {
-    if (!job.spec.oneZone() || job.spec.zone() != null) {
+    if (!job.spec().oneZone() || job.spec().zone() != null) {
       return request(job, tasks);
     }
     Map<String, Integer> rooms = new HashMap<>();
     for (MachineType t : machineTypes.all()) {
-      if (t.size().count(job.spec.task()) > 0) {
+      if (t.size().count(job.spec().task()) > 0) {
         t.zones().forEach(z -> rooms.put(z, 0));
       }
     }
-    for (Machine m : h.machines.values()) {
+    for (Machine m : h.machines().values()) {
       if (m.open()
-          && MachineTransfer.suits(m, job.spec.task().gpus())
-          && job.spec.allows(m.row.type(), m.row.zone(), m.row.spot())) {
-        rooms.merge(m.row.zone(), m.room().count(job.spec.task()), Integer::sum);
+          && MachineTransfer.suits(m, job.spec().task().gpus())
+          && job.spec().allows(m.row().type(), m.row().zone(), m.row().spot())) {
+        rooms.merge(m.row().zone(), m.room().count(job.spec().task()), Integer::sum);
       }
     }
     List<String> zones = new ArrayList<>(rooms.keySet());
@@ -172,12 +172,12 @@
 
   private ResourceRequest request(Job job, int tasks) {
     double now = loop.seconds();
-    boolean mayEvict = !job.spareWork && job.nothingPlaced();
+    boolean mayEvict = !job.spareWork() && job.nothingPlaced();
     return ResourceRequest.machines(
-        job.spec,
+        job.spec(),
         tasks,
-        job.arrivedMs,
-        aims.worth(job, now, estimates.runS(job.spec)),
+        job.arrivedMs(),
+        aims.worth(job, now, estimates.runS(job.spec())),
         job.starving(now),
         mayEvict);
   }
--- a/src/main/java/io/violetrail/kubernetes/DeploymentSteps.java
+++ b/src/main/java/io/violetrail/kubernetes/DeploymentSteps.java
@@ -49,9 +49,9 @@
     Set<Long> over = new HashSet<>();
     for (Part part : object.parts()) {
       boolean current = part.template().equals(template);
-      Job job = h.jobs.get(part.id());
+      Job job = h.jobs().get(part.id());
       if (job != null) {
-        boolean ending = job.phase != Job.Phase.OPEN;
+        boolean ending = job.phase() != Job.Phase.OPEN;
         boolean ready = !ending && job.view().running() > 0;
         replicas.add(new Replica(part.number(), current, ready, ending));
       } else if (jobs.terminalView(part.id()) != null || keeper.never(h, part.id())) {
@@ -77,7 +77,7 @@
     }
     Plan plan = Rollout.plan(wanted, replicas, surge, missing, recreate || object.deleting());
     for (Part part : object.parts()) {
-      Job job = plan.end().contains(part.number()) ? h.jobs.get(part.id()) : null;
+      Job job = plan.end().contains(part.number()) ? h.jobs().get(part.id()) : null;
       if (job != null) {
         keeper.end(h, job);
       }
--- a/src/main/java/io/violetrail/kubernetes/JobSteps.java
+++ b/src/main/java/io/violetrail/kubernetes/JobSteps.java
@@ -30,15 +30,15 @@
   /** The object's next state if it is to be stored, otherwise null. */
   KubeObject step(OwnedEntity h, KubeObject object) {
     if (ended(object)) {
-      boolean over = object.deleting() && !h.jobs.containsKey(object.parts().get(0).id());
+      boolean over = object.deleting() && !h.jobs().containsKey(object.parts().get(0).id());
       return over ? object.with(v -> v.put("over", true)) : null;
     }
     if (object.spec().path("suspend").asBoolean()) {
       return suspended(object);
     }
     JobId id = object.parts().get(0).id();
-    Job job = h.jobs.get(id);
-    JobView view = job != null && job.phase != Job.Phase.OVER ? job.view() : jobs.terminalView(id);
+    Job job = h.jobs().get(id);
+    JobView view = job != null && job.phase() != Job.Phase.OVER ? job.view() : jobs.terminalView(id);
     if (view == null) {
       if (!object.deleting()) {
         keeper.ensure(h, object, translation.spec(object, id.value()));
@@ -52,7 +52,7 @@
     if (view.status().terminal()) {
       return over(object, view);
     }
-    int failed = failedBefore(h, object) + job.errors;
+    int failed = failedBefore(h, object) + job.errors();
     if (object.deleting()
         || failed > object.spec().path("backoffLimit").asInt()
         || pastDeadline(object)) {
@@ -66,7 +66,7 @@
    * not get to write down is lost with it, which grants a few more tries.
    */
   private static int failedBefore(OwnedEntity h, KubeObject object) {
-    boolean own = object.value().path("by").asLong(-1) == h.row.version().value();
+    boolean own = object.value().path("by").asLong(-1) == h.row().version().value();
     return object.value().path(own ? "base" : "failed").asInt();
   }
 
@@ -122,12 +122,12 @@
   }
 
   private KubeObject counts(OwnedEntity h, KubeObject object, Job job, JobView view, int failed) {
-    if (job.recovered && h.uncertain(loop.seconds())) {
+    if (job.recovered() && h.uncertain(loop.seconds())) {
       // Tasks that have not been seen since a move would be counted as not running.
       return null;
     }
     ObjectNode s = begun(object);
-    s.put("active", job.spec.tasks() - view.done()).put("ready", view.running());
+    s.put("active", job.spec().tasks() - view.done()).put("ready", view.running());
     if (view.done() > 0) {
       s.put("succeeded", view.done());
     }
@@ -148,7 +148,7 @@
           v.put("wrote", loop.wallMillis());
           v.put("failed", failed)
               .put("base", failedBefore(h, object))
-              .put("by", h.row.version().value());
+              .put("by", h.row().version().value());
           v.set("status", s);
         });
   }
--- a/src/main/java/io/violetrail/kubernetes/Keeper.java
+++ b/src/main/java/io/violetrail/kubernetes/Keeper.java
@@ -215,7 +215,7 @@
   private void bury(OwnedEntity h, Own own, String key, Gone gone) {
     boolean left = false;
     for (Part part : gone.last().parts()) {
-      Job job = h.jobs.get(part.id());
+      Job job = h.jobs().get(part.id());
       left |= job != null || busy(h, part.id());
       if (job != null) {
         end(h, job);
@@ -237,8 +237,8 @@
 
   /** Cancels a native job for good; repeated until that is stored. */
   void end(OwnedEntity h, Job job) {
-    if (job.phase == Job.Phase.OPEN) {
-      LOG.info("job {} of entity {} is cancelled for its object", job.spec.id(), h.entity());
+    if (job.phase() == Job.Phase.OPEN) {
+      LOG.info("job {} of entity {} is cancelled for its object", job.spec().id(), h.entity());
       jobs.cancel(h, job);
     }
   }
--- a/src/main/java/io/violetrail/kubernetes/Pods.java
+++ b/src/main/java/io/violetrail/kubernetes/Pods.java
@@ -172,11 +172,11 @@
   }
 
   private void of(OwnedEntity h, KubeObject object, Part part, Query query, List<ObjectNode> pods) {
-    Job job = h.jobs.get(part.id());
+    Job job = h.jobs().get(part.id());
     boolean complete =
         object.status().path("conditions").path(0).path("type").asText().equals("Complete");
     int tasks =
-        job != null ? job.spec.tasks() : complete ? object.status().path("succeeded").asInt() : 0;
+        job != null ? job.spec().tasks() : complete ? object.status().path("succeeded").asInt() : 0;
     ObjectNode labels = Cbor.map();
     JsonNode own = object.spec().path("template").path("metadata").path("labels");
     own.properties().forEach(e -> labels.set(e.getKey(), e.getValue()));
@@ -204,7 +204,7 @@
       KubeObject object, Part part, Job job, int index, String name, ObjectNode labels) {
     Placement p = job == null ? null : job.placed(index);
     boolean done = job == null || job.isDone(index);
-    boolean runs = p != null && p.runningS > 0;
+    boolean runs = p != null && p.runningS() > 0;
     ObjectNode m = Cbor.map().put("apiVersion", "v1").put("kind", "Pod");
     ObjectNode meta = m.putObject("metadata");
     meta.put("name", name).put("namespace", object.namespace());
@@ -223,7 +223,7 @@
         .put("controller", true);
     ObjectNode spec = ((ObjectNode) object.spec().path("template").path("spec")).deepCopy();
     if (p != null) {
-      spec.put("nodeName", p.machine.id().value());
+      spec.put("nodeName", p.machine().id().value());
     }
     m.set("spec", spec);
     m.putObject("status").put("phase", done ? "Succeeded" : runs ? "Running" : "Pending");
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -176,7 +176,7 @@
           .set(Rows.entity(me), Rows.value(next, me.value()));
     }
     for (OwnedEntity h : holdings.values()) {
-      txn.when(Rows.entity(h.entity()), h.row.stamp());
+      txn.when(Rows.entity(h.entity()), h.row().stamp());
     }
     EntityRow retaken = next;
     store
@@ -214,7 +214,7 @@
 
   /** Whether workers' leases may be renewed while the entity's rows are still being read. */
   public boolean mayRenewUnknowing(OwnedEntity h) {
-    return timing.mayRenewUnknowing(h.row.past(), loop.wallMillis());
+    return timing.mayRenewUnknowing(h.row().past(), loop.wallMillis());
   }
 
   private void doubt(String key) {
@@ -332,7 +332,7 @@
       OwnedEntity held = holdings.get(row.entity());
       ControllerId owner = directory.owner(row);
       if (held != null) {
-        if (row.stamp() > held.row.stamp()) {
+        if (row.stamp() > held.row().stamp()) {
           drop(held, "version " + row.version() + " belongs to " + owner);
           held = null;
         } else {
@@ -421,16 +421,16 @@
 
   /** Hands an entity to its home controller. Nothing is launched for it from here on. */
   public void release(OwnedEntity h, ControllerId to) {
-    if (h.phase != OwnedEntity.Phase.ACTIVE || !valid() || !directory.isAlive(to)) {
+    if (h.phase() != OwnedEntity.Phase.ACTIVE || !valid() || !directory.isAlive(to)) {
       return;
     }
-    h.phase = OwnedEntity.Phase.RELEASING;
+    h.startRelease();
     EntityRow next =
         new EntityRow(
             h.entity(),
-            aboveTerms(h.entity(), h.row.version()).nextFor(settings.indexOf(to)),
+            aboveTerms(h.entity(), h.row().version()).nextFor(settings.indexOf(to)),
             true,
-            past(h.row, false),
+            past(h.row(), false),
             0);
     Txn txn =
         h.fenced()
@@ -448,7 +448,7 @@
                     new Change(
                         Rows.entity(h.entity()), Rows.value(next, to.value()), outcome.revision()));
               } else if (failure == null && !outcome.failed().contains(Rows.entity(h.entity()))) {
-                h.phase = OwnedEntity.Phase.ACTIVE;
+                h.releaseFailed();
               } else {
                 relist();
               }
@@ -460,7 +460,7 @@
         new Change(
             Rows.entity(row.entity()), Rows.value(row, settings.self().value()), row.stamp()));
     OwnedEntity h = new OwnedEntity(row, calm, loop.seconds());
-    h.register = new Register(loop, store, directory, this, settings, h);
+    h.setRegister(new Register(loop, store, directory, this, settings, h));
     holdings.put(row.entity(), h);
     LOG.info(
         "entity {} held with version {} since revision {}; {}",
@@ -474,8 +474,8 @@
   /** Gives up an entity that another controller owns by now. */
   public void drop(OwnedEntity h, String why) {
     if (holdings.remove(h.entity(), h)) {
-      h.phase = OwnedEntity.Phase.LOST;
-      LOG.info("entity {} version {} given up: {}; {}", h.entity(), h.row.version(), why, basis());
+      h.markLost();
+      LOG.info("entity {} version {} given up: {}; {}", h.entity(), h.row().version(), why, basis());
       listener.lost(h);
     }
   }
@@ -489,7 +489,7 @@
   public void told(ControllerId entity, Version version) {
     directory.told(entity, version);
     OwnedEntity h = holdings.get(entity);
-    if (h != null && version.compareTo(h.row.version()) > 0) {
+    if (h != null && version.compareTo(h.row().version()) > 0) {
       drop(h, "a peer knows version " + version);
       relist();
     }
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -14,6 +14,7 @@
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.Placement;
 import io.violetrail.wire.StateWire.Txn;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -22,18 +23,24 @@
 public final class OwnedEntity {
   /** From the move's transaction to the next one. */
   public enum Phase {
+    /** Its rows are being read; nothing is decided for it. */
     LOADING,
+    /** It is led from here. */
     ACTIVE,
+    /** It is being handed over; nothing is launched for it any more. */
     RELEASING,
+    /** Another controller owns it, or may. */
     LOST
   }
 
-  public final EntityRow row;
-  public final boolean calm;
-  public final double gainedS;
-  public Phase phase = Phase.LOADING;
-  public final Map<JobId, Job> jobs = new LinkedHashMap<>();
-  public final Map<MachineId, Machine> machines = new LinkedHashMap<>();
+  private final EntityRow row;
+  private final boolean calm;
+  private final double gainedS;
+  private Phase phase = Phase.LOADING;
+  private final Map<JobId, Job> jobs = new LinkedHashMap<>();
+  private final Map<JobId, Job> jobsView = Collections.unmodifiableMap(jobs);
+  private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
+  private final Map<MachineId, Machine> machinesView = Collections.unmodifiableMap(machines);
 
   /** What each team's placed tasks take, kept up to date instead of summed up for each decision. */
   private final Map<String, Usage> usage = new HashMap<>();
@@ -42,10 +49,10 @@
   private final int[] placedByPriority = new int[Priority.values().length];
 
   /** Whether each of its machines has reported since the move, or is known to hold nothing. */
-  public boolean recovered;
+  private boolean recovered;
 
   /** Where its machines are recorded. */
-  public Register register;
+  private Register register;
 
   private long attempts;
   private long hires;
@@ -57,6 +64,110 @@
     this.gainedS = now;
   }
 
+  /** The row under which it is owned here. */
+  public EntityRow row() {
+    return row;
+  }
+
+  /** Whether it was handed over by its former owner, or had none, rather than seized. */
+  public boolean calm() {
+    return calm;
+  }
+
+  /** When it was acquired, in seconds of the steady clock. */
+  public double gainedS() {
+    return gainedS;
+  }
+
+  /** Where it is between the move to this controller and the next one. */
+  public Phase phase() {
+    return phase;
+  }
+
+  /** Its rows were read: it is led from here. */
+  public void activate() {
+    if (phase != Phase.LOADING) {
+      throw new IllegalStateException("entity " + entity() + " is " + phase);
+    }
+    phase = Phase.ACTIVE;
+  }
+
+  /** It is being handed over. */
+  void startRelease() {
+    phase = Phase.RELEASING;
+  }
+
+  /** It was not handed over after all. */
+  void releaseFailed() {
+    phase = Phase.ACTIVE;
+  }
+
+  /** Another controller owns it, or may. */
+  void markLost() {
+    phase = Phase.LOST;
+  }
+
+  /** Its open jobs; not to be changed. */
+  public Map<JobId, Job> jobs() {
+    return jobsView;
+  }
+
+  /** Takes up an open job. */
+  public void addJob(Job job) {
+    jobs.put(job.spec().id(), job);
+  }
+
+  /** Takes up an open job unless it is here already. */
+  public void addJobIfAbsent(Job job) {
+    jobs.putIfAbsent(job.spec().id(), job);
+  }
+
+  /** Lets go of a job that is over. */
+  public void removeJob(Job job) {
+    jobs.remove(job.spec().id(), job);
+  }
+
+  /** Its machines as known here; not to be changed. */
+  public Map<MachineId, Machine> machines() {
+    return machinesView;
+  }
+
+  /** Takes up a machine. */
+  public void addMachine(Machine machine) {
+    machines.put(machine.id(), machine);
+  }
+
+  /** Lets go of a machine that has left the entity. */
+  public void removeMachine(Machine machine) {
+    machines.remove(machine.id(), machine);
+  }
+
+  /** Lets go of all machines. */
+  public void removeAllMachines() {
+    machines.clear();
+  }
+
+  /** Whether each of its machines has reported since the move, or is known to hold nothing. */
+  public boolean recovered() {
+    return recovered;
+  }
+
+  /** Each of its machines has reported since the move, or is known to hold nothing. */
+  public void markRecovered() {
+    recovered = true;
+  }
+
+  /** Where its machines are recorded. */
+  public Register register() {
+    return register;
+  }
+
+  /** Connects it with the records of its machines, once. */
+  void setRegister(Register records) {
+    register = records;
+  }
+
+  /** The entity's name, which is that of its home controller. */
   public ControllerId entity() {
     return row.entity();
   }
@@ -67,7 +178,7 @@
 
   /** The fencing token for a machine's worker. */
   public Version token(Machine m) {
-    return fencingToken(m.row);
+    return fencingToken(m.row());
   }
 
   /** The fencing token for the worker of a machine: the higher of this version and its term. */
@@ -106,7 +217,7 @@
     Amounts sum = placed == null ? Amounts.NONE : placed.sum;
     for (Machine m : machines.values()) {
       if (m.uncertain(now)) {
-        sum = sum.plus(m.type.size());
+        sum = sum.plus(m.type().size());
       }
       for (Amounts a : m.strays().values()) {
         sum = sum.plus(a);
@@ -126,29 +237,29 @@
   }
 
   public void place(Placement p) {
-    if (p.counted) {
+    if (p.counted()) {
       throw new IllegalStateException(p.task() + " is placed twice");
     }
-    Placement former = p.job.placed(p.index);
+    Placement former = p.job().placed(p.index());
     if (former != null) {
       // Seen on another machine than was thought: the older belief no longer counts for the job.
       count(former, -1);
     }
-    p.job.place(p);
-    p.machine.add(p);
+    p.job().place(p);
+    p.machine().add(p);
     count(p, 1);
   }
 
   private void count(Placement p, int by) {
-    if (p.counted == by > 0) {
+    if (p.counted() == by > 0) {
       return;
     }
-    p.counted = by > 0;
-    placedByPriority[p.job.spec.priority().ordinal()] += by;
-    Usage u = usage.computeIfAbsent(p.job.spec.team(), t -> new Usage());
+    p.setCounted(by > 0);
+    placedByPriority[p.job().spec().priority().ordinal()] += by;
+    Usage u = usage.computeIfAbsent(p.job().spec().team(), t -> new Usage());
     u.tasks += by;
     // Nothing placed is exactly nothing: rounding does not pile up.
-    u.sum = u.tasks == 0 ? Amounts.NONE : u.sum.plus(p.job.spec.task().times(by));
+    u.sum = u.tasks == 0 ? Amounts.NONE : u.sum.plus(p.job().spec().task().times(by));
   }
 
   private static final class Usage {
@@ -159,19 +270,19 @@
   /** Takes a placement away, on evidence that the task is gone. */
   public void unplace(Placement p, double now, GoneProof proof) {
     count(p, -1);
-    if (proof != GoneProof.NEVER_SENT && p.job.phase == Job.Phase.OPEN && !p.job.isDone(p.index)) {
-      p.job.departed(
-          p.index, new Departure(p.machine.id(), p.attempt, proof, now, p.machine.answeredS));
+    if (proof != GoneProof.NEVER_SENT && p.job().phase() == Job.Phase.OPEN && !p.job().isDone(p.index())) {
+      p.job().departed(
+          p.index(), new Departure(p.machine().id(), p.attempt(), proof, now, p.machine().answeredS()));
     }
-    p.job.unplace(p);
-    boolean spareBefore = p.machine.spare();
-    p.machine.remove(p);
+    p.job().unplace(p);
+    boolean spareBefore = p.machine().spare();
+    p.machine().remove(p);
     // Spare work does not keep an ordinary machine rented: its idleness began before.
-    if (!spareBefore && p.machine.spare() || p.machine.empty() && p.machine.row.spot()) {
-      p.machine.idleSinceS = now;
+    if (!spareBefore && p.machine().spare() || p.machine().empty() && p.machine().row().spot()) {
+      p.machine().becameIdle(now);
     }
-    if (p.job.phase == Job.Phase.OVER && p.job.nothingPlaced()) {
-      jobs.remove(p.job.spec.id(), p.job);
+    if (p.job().phase() == Job.Phase.OVER && p.job().nothingPlaced()) {
+      removeJob(p.job());
     }
   }
 }
--- a/src/main/java/io/violetrail/ownership/Register.java
+++ b/src/main/java/io/violetrail/ownership/Register.java
@@ -179,7 +179,7 @@
   }
 
   private boolean over() {
-    return h.phase == OwnedEntity.Phase.LOST;
+    return h.phase() == OwnedEntity.Phase.LOST;
   }
 
   /** What one transaction is to write, worked out on the blocks as they are known. */
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -105,7 +105,7 @@
 
   /** Tells all peers of one entity that is owned here. */
   public void announce(OwnedEntity entity) {
-    Request moved = request(Kind.MOVED, entity.entity().value(), entity.row.version().value());
+    Request moved = request(Kind.MOVED, entity.entity().value(), entity.row().version().value());
     settings.peers().keySet().forEach(peer -> call(peer, moved, TIMEOUT_SECONDS));
   }
 
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -145,7 +145,7 @@
     } else if (entity == null || !membership.valid()) {
       done.accept(Reply.UNKNOWN);
     } else {
-      jobs.cancel(entity, entity.jobs.get(id))
+      jobs.cancel(entity, entity.jobs().get(id))
           .whenComplete(
               (view, failure) -> done.accept(failure == null ? Reply.of(view) : Reply.UNKNOWN));
     }
--- a/src/main/java/io/violetrail/scheduling/Aims.java
+++ b/src/main/java/io/violetrail/scheduling/Aims.java
@@ -71,12 +71,12 @@
    */
   double nextAimS(Job job, double now, double runS) {
     double next = nextDueS(job, now, runS);
-    if (job.spec.shape() != Shape.GANG) {
+    if (job.spec().shape() != Shape.GANG) {
       return next;
     }
     for (Objective o : configuration.objectives()) {
-      double start = job.arrivedS + o.withinS();
-      if ("wait".equals(o.kind()) && job.spec.jobClass().equals(o.jobClass()) && now <= start) {
+      double start = job.arrivedS() + o.withinS();
+      if ("wait".equals(o.kind()) && job.spec().jobClass().equals(o.jobClass()) && now <= start) {
         next = Math.min(next, start + runS);
       }
     }
@@ -100,15 +100,15 @@
    */
   public double worth(Job job, double now, double runS) {
     // What may not use spot machines would wait for ever once all others are returned.
-    if (job.spareWork && (job.spec.spot() || !job.starving(now))) {
+    if (job.spareWork() && (job.spec().spot() || !job.starving(now))) {
       return WORTH_SPARE;
     }
-    double waited = now - job.arrivedS;
+    double waited = now - job.arrivedS();
     double due = nextDueS(job, now, runS);
     if (Double.isInfinite(due)) {
       return WORTH + waited / WORTH_EVERY_S;
     }
-    double toStart = Math.max(1, due - runS - job.arrivedS);
+    double toStart = Math.max(1, due - runS - job.arrivedS());
     double pressed = waited / toStart;
     return WORTH_AT_EASE + WORTH_PRESSED * pressed * pressed;
   }
@@ -116,15 +116,15 @@
   private List<Double> duesS(Job job) {
     List<Double> all = new ArrayList<>();
     for (Objective o : configuration.objectives()) {
-      if (job.spec.jobClass().equals(o.jobClass())) {
+      if (job.spec().jobClass().equals(o.jobClass())) {
         if ("finished".equals(o.kind())) {
-          all.add(job.arrivedS + o.withinS());
-        } else if ("deadline".equals(o.kind()) && job.spec.deadlineS() != null) {
-          all.add(job.arrivedS + job.spec.deadlineS() * o.times());
+          all.add(job.arrivedS() + o.withinS());
+        } else if ("deadline".equals(o.kind()) && job.spec().deadlineS() != null) {
+          all.add(job.arrivedS() + job.spec().deadlineS() * o.times());
         }
       }
     }
-    if (all.isEmpty() && job.spec.deadlineS() != null) {
+    if (all.isEmpty() && job.spec().deadlineS() != null) {
       all.add(job.deadlineS());
     }
     return all;
--- a/src/main/java/io/violetrail/scheduling/Blame.java
+++ b/src/main/java/io/violetrail/scheduling/Blame.java
@@ -27,47 +27,47 @@
 
   /** A task has ended with an error. */
   public static void failed(Machine m, Job job, double ranS, double now) {
-    job.trial.failed(m, ranS, now);
-    m.failures.merge(job, 1, Integer::sum);
+    job.trial().failed(m, ranS, now);
+    m.countFailure(job);
     judge(m);
-    if (unproven(job) && !job.trial.suspect() && job.trial.machinesInUse() >= 2) {
-      job.trial.suspect(true);
-      LOG.info("job {} fails wherever it goes: one probe at a time", job.spec.id());
-      job.trial.machines().forEach(Blame::judge);
+    if (unproven(job) && !job.trial().suspect() && job.trial().machinesInUse() >= 2) {
+      job.trial().suspect(true);
+      LOG.info("job {} fails wherever it goes: one probe at a time", job.spec().id());
+      job.trial().machines().forEach(Blame::judge);
     }
   }
 
   /** A task has ended well: that clears its machine, and convicts those on which its job failed. */
   public static void endedWell(Machine m, Job job) {
-    m.failures.clear();
-    if (job.trial.failedAnywhere()) {
+    m.clearFailures();
+    if (job.trial().failedAnywhere()) {
       cleared(job);
     }
   }
 
   /** A task runs: for long enough, that says as much as if it had ended well. */
   public static void runs(Job job, double ranS) {
-    if (job.trial.failedAnywhere() && !job.trial.proven() && job.trial.runsWell(ranS)) {
+    if (job.trial().failedAnywhere() && !job.trial().proven() && job.trial().runsWell(ranS)) {
       cleared(job);
     }
   }
 
   private static void cleared(Job job) {
-    job.trial.endedWell();
-    job.notBefore.clear();
-    job.trial.machines().forEach(Blame::judge);
+    job.trial().endedWell();
+    job.retryAllAtOnce();
+    job.trial().machines().forEach(Blame::judge);
   }
 
   /** Whether nothing of the job has run well anywhere yet. */
   private static boolean unproven(Job job) {
-    return job.doneCount() == 0 && !job.trial.proven();
+    return job.doneCount() == 0 && !job.trial().proven();
   }
 
   private static void judge(Machine m) {
     double evidence = 0;
-    for (var e : m.failures.entrySet()) {
+    for (var e : m.failures().entrySet()) {
       Job job = e.getKey();
-      if (job.trial.suspect()) {
+      if (job.trial().suspect()) {
         evidence += SUSPECT_SAYS;
       } else if (unproven(job)) {
         evidence += UNPROVEN_SAYS;
@@ -76,13 +76,13 @@
       }
     }
     boolean sick = evidence >= SICK - 1e-9;
-    if (sick && !m.sick) {
+    if (sick && !m.sick()) {
       LOG.info("machine {} fails what it starts: out of use", m.id());
-      m.draining = true;
-    } else if (!sick && m.sick && !m.returning) {
+      m.setDraining(true);
+    } else if (!sick && m.sick() && !m.returning()) {
       LOG.info("machine {} is in use again: the jobs that failed there fail everywhere", m.id());
-      m.draining = false;
+      m.setDraining(false);
     }
-    m.sick = sick;
+    m.setSick(sick);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/Dispatcher.java
+++ b/src/main/java/io/violetrail/scheduling/Dispatcher.java
@@ -92,7 +92,7 @@
     double now = loop.seconds();
     placer.with(now, machineTypes.prices(), order);
     List<Machine> open = new ArrayList<>();
-    for (Machine m : h.machines.values()) {
+    for (Machine m : h.machines().values()) {
       if (m.open() && m.room().cpus() > 0) {
         open.add(m);
       }
@@ -100,16 +100,16 @@
     boolean uncertain = h.uncertain(now);
     Map<String, Amounts> left = new HashMap<>();
     for (Job job : order) {
-      placer.seen(job.spec, now);
+      placer.seen(job.spec(), now);
       if (!startable(job, uncertain, now)) {
         continue;
       }
-      Amounts quota = left.computeIfAbsent(job.spec.team(), t -> quotas.free(h, t, now));
+      Amounts quota = left.computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now));
       Amounts used =
           Placer.singly(job)
               ? placeTasks(h, job, open, quota, now)
               : placeGang(h, job, open, quota, now);
-      left.put(job.spec.team(), quota.minus(used));
+      left.put(job.spec().team(), quota.minus(used));
     }
     transfers.ask(h);
   }
@@ -130,19 +130,19 @@
       if (!startable(job, uncertain, now) || !placer.fits(job, m, Placer.perZone(job), now)) {
         continue;
       }
-      Amounts quota = left.computeIfAbsent(job.spec.team(), t -> quotas.free(h, t, now));
+      Amounts quota = left.computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now));
       Amounts used = Amounts.NONE;
       if (Placer.singly(job)) {
-        if (placer.roomOnFuller(job, m, h.machines.values(), now)) {
+        if (placer.roomOnFuller(job, m, h.machines().values(), now)) {
           continue;
         }
         used = placeTasks(h, job, open, quota, now);
       } else if (gangs++ < GANGS_A_REPORT) {
         used =
             placeGang(
-                h, job, h.machines.values().stream().filter(Machine::open).toList(), quota, now);
+                h, job, h.machines().values().stream().filter(Machine::open).toList(), quota, now);
       }
-      left.put(job.spec.team(), quota.minus(used));
+      left.put(job.spec().team(), quota.minus(used));
     }
     answerWaitingWorkers();
   }
@@ -159,20 +159,20 @@
   }
 
   private static boolean startable(Job job, boolean uncertain, double now) {
-    return job.phase == Job.Phase.OPEN && job.mayStart(now) > 0 && !(job.recovered && uncertain);
+    return job.phase() == Job.Phase.OPEN && job.mayStart(now) > 0 && !(job.recovered() && uncertain);
   }
 
   private Amounts placeTasks(
       OwnedEntity h, Job job, Collection<Machine> open, Amounts quota, double now) {
-    Amounts task = job.spec.task();
+    Amounts task = job.spec().task();
     Map<String, Integer> perZone = Placer.perZone(job);
-    boolean zones = job.spec.oneZone() || job.spec.spread();
-    int allowed = Math.min(quota.count(task), job.toBegin ? 1 : job.mayStart(now));
+    boolean zones = job.spec().oneZone() || job.spec().spread();
+    int allowed = Math.min(quota.count(task), job.toBegin() ? 1 : job.mayStart(now));
     int placed = 0;
     List<Machine> fitting = null;
     Machine m = null;
     for (int i = job.nextFree(0); i >= 0 && placed < allowed; i = job.nextFree(i + 1)) {
-      Double notBefore = job.notBefore.get(i);
+      Double notBefore = job.notBefore(i);
       if (notBefore != null && notBefore > now) {
         continue;
       }
@@ -189,11 +189,11 @@
         }
       }
       h.place(new Placement(job, i, m, h.newAttempt(), now));
-      job.toBegin = false;
+      job.setToBegin(false);
       placed(m);
       placed++;
       if (zones) {
-        perZone.merge(m.row.zone(), 1, Integer::sum);
+        perZone.merge(m.row().zone(), 1, Integer::sum);
       }
     }
     return task.times(placed);
@@ -201,7 +201,7 @@
 
   /** Nothing that runs well is stopped for a job that fails wherever it goes. */
   private void makeRoom(OwnedEntity h, Job job, double now) {
-    if (!job.trial.suspect() && !(Placer.singly(job) && displace(h, job, now))) {
+    if (!job.trial().suspect() && !(Placer.singly(job) && displace(h, job, now))) {
       preemption.makeRoom(h, job, now);
     }
   }
@@ -211,13 +211,13 @@
    * on sufferance, and one task a second would be too slow.
    */
   private boolean displace(OwnedEntity h, Job job, double now) {
-    if (job.spareWork || !h.placedBelow(job.spec.priority())) {
+    if (job.spareWork() || !h.placedBelow(job.spec().priority())) {
       return false;
     }
-    Amounts task = job.spec.task();
+    Amounts task = job.spec().task();
     int lacking = job.mayStart(now);
     boolean cleared = false;
-    for (Machine m : h.machines.values()) {
+    for (Machine m : h.machines().values()) {
       int more = m.withoutSpare().count(task) - m.room().count(task);
       if (lacking > 0 && more > 0 && m.open() && placer.suits(job, m, now)) {
         lacking -= more;
@@ -231,14 +231,12 @@
   /** All of a gang's tasks get their places at once, or none does. */
   private Amounts placeGang(
       OwnedEntity h, Job job, Collection<Machine> open, Amounts quota, double now) {
-    Amounts all = job.spec.task().times(job.spec.tasks());
+    Amounts all = job.spec().task().times(job.spec().tasks());
     if (!job.nothingPlaced() || !all.fitsIn(quota)) {
       return Amounts.NONE;
     }
-    for (Double notBefore : job.notBefore.values()) {
-      if (notBefore > now) {
-        return Amounts.NONE;
-      }
+    if (job.anyRetryLater(now)) {
+      return Amounts.NONE;
     }
     List<Machine> plan = placer.gang(job, open, now);
     if (plan == null) {
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -58,10 +58,10 @@
   }
 
   private void maintain(OwnedEntity entity, double now) {
-    for (Machine machine : List.copyOf(entity.machines.values())) {
+    for (Machine machine : List.copyOf(entity.machines().values())) {
       liveness.check(entity, machine, now);
     }
-    for (Job job : List.copyOf(entity.jobs.values())) {
+    for (Job job : List.copyOf(entity.jobs().values())) {
       gangRepair.stopIncomplete(entity, job, now);
       jobs.progressed(entity, job);
     }
@@ -74,16 +74,16 @@
 
   /** From here on tasks start that were open before the move and that no report has shown since. */
   private static void noteRecovery(OwnedEntity entity, double now) {
-    if (entity.recovered || entity.uncertain(now)) {
+    if (entity.recovered() || entity.uncertain(now)) {
       return;
     }
-    entity.recovered = true;
+    entity.markRecovered();
     LOG.info(
         "entity {} version {}: {} s after the move all of {} machines have reported or hold nothing;"
             + " what no report shows may start",
         entity.entity(),
-        entity.row.version(),
-        MachineLivenessMonitor.tenths(now - entity.gainedS),
-        entity.machines.size());
+        entity.row().version(),
+        MachineLivenessMonitor.tenths(now - entity.gainedS()),
+        entity.machines().size());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/GangRepair.java
+++ b/src/main/java/io/violetrail/scheduling/GangRepair.java
@@ -16,12 +16,12 @@
 
   /** Stops what is placed of the job if it is a gang that is not complete any more. */
   void stopIncomplete(OwnedEntity entity, Job job, double now) {
-    if (job.spec.shape() != Shape.GANG || job.nothingPlaced() || job.unplaced() == 0) {
+    if (job.spec().shape() != Shape.GANG || job.nothingPlaced() || job.unplaced() == 0) {
       return;
     }
     // After a move its tasks are seen one by one, as their machines report: what has not been seen
     // yet is not lost. Without this every move of an entity stopped all of its gangs.
-    if (job.recovered && entity.uncertain(now)) {
+    if (job.recovered() && entity.uncertain(now)) {
       return;
     }
     for (Placement placement : job.placements()) {
--- a/src/main/java/io/violetrail/scheduling/InTime.java
+++ b/src/main/java/io/violetrail/scheduling/InTime.java
@@ -25,7 +25,7 @@
   /** The jobs in the order in which they are to be placed. */
   static List<Due> order(List<Due> jobs, double now) {
     List<Due> byDue = new ArrayList<>(jobs);
-    byDue.sort(Comparator.comparingDouble(Due::dueS).thenComparingDouble(d -> d.job().arrivedS));
+    byDue.sort(Comparator.comparingDouble(Due::dueS).thenComparingDouble(d -> d.job().arrivedS()));
     PriorityQueue<Due> largest =
         new PriorityQueue<>(Comparator.comparingDouble(Due::workS).reversed());
     List<Due> late = new ArrayList<>();
@@ -48,7 +48,7 @@
     late.sort(
         Comparator.comparing((Due d) -> Double.isInfinite(d.dueS()))
             .thenComparingDouble(Due::workS)
-            .thenComparingDouble(d -> d.job().arrivedS));
+            .thenComparingDouble(d -> d.job().arrivedS()));
     order.addAll(late);
     return order;
   }
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -20,17 +20,17 @@
 
   /** Saves and stops what runs on a machine that its cloud takes back or that goes out of use. */
   public void drain(Machine machine) {
-    if (machine.noticeS == null && !machine.draining) {
+    if (machine.noticeS() == null && !machine.draining()) {
       return;
     }
     for (Placement placement : List.copyOf(machine.tasks().values())) {
-      if (placement.revocable() || placement.haltGraceS >= 0) {
+      if (placement.revocable() || placement.haltGraceS() >= 0) {
         continue;
       }
-      JobSpec spec = placement.job.spec;
+      JobSpec spec = placement.job().spec();
       if (spec.shape() == Shape.GANG) {
-        placement.job.placements().forEach(other -> other.halt(spec.saveS()));
-      } else if (spec.checkpointS() > 0 || machine.draining) {
+        placement.job().placements().forEach(other -> other.halt(spec.saveS()));
+      } else if (spec.checkpointS() > 0 || machine.draining()) {
         placement.halt(spec.saveS());
       }
     }
@@ -39,16 +39,16 @@
   /** Stops spare work on a machine that others need, and keeps it away for a while. */
   public void clearSpareWork(OwnedEntity entity, Machine machine) {
     double now = loop.seconds();
-    if (now < machine.clearedUntilS) {
+    if (now < machine.clearedUntilS()) {
       return;
     }
     double graceSeconds = 0;
     for (Placement placement : List.copyOf(machine.tasks().values())) {
-      if (placement.job.spareWork) {
+      if (placement.job().spareWork()) {
         graceSeconds = Math.max(graceSeconds, preemption.stop(entity, placement, now));
       }
     }
-    machine.clearedUntilS = now + graceSeconds + Preemption.RESERVED_S;
+    machine.keepSpareWorkAway(now + graceSeconds + Preemption.RESERVED_S);
   }
 
   /** Stops all that runs on a machine and starts nothing there for that many seconds after. */
@@ -58,6 +58,6 @@
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       graceSeconds = Math.max(graceSeconds, preemption.stop(entity, placement, now));
     }
-    machine.evictedUntilS = now + graceSeconds + reservedSeconds;
+    machine.keepEmpty(now + graceSeconds + reservedSeconds);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -6,7 +6,6 @@
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Timing;
 import java.util.List;
-import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -43,20 +42,20 @@
 
   /** Looks at one machine of an active entity at the given second of the steady clock. */
   void check(OwnedEntity entity, Machine machine, double now) {
-    if (!machine.row.up()) {
+    if (!machine.row().up()) {
       return;
     }
-    machine.usedS += periodSeconds * machine.share();
-    if (!machine.silent && now - machine.heardS > silentAfterSeconds()) {
+    machine.countUse(periodSeconds);
+    if (!machine.silent() && now - machine.heardS() > silentAfterSeconds()) {
       markSilent(entity, machine, now);
     }
-    if (!machine.heard && directory.anyAnswersWithoutToken()) {
+    if (!machine.heard() && directory.anyAnswersWithoutToken()) {
       // Its worker may have seen no token yet, and then that controller's answers keep its lease.
       // This ends with the upgrade, or with the machine's return to the cloud.
       double keptUntil = now + periodSeconds + timing.goneAfterAnswerS();
-      machine.unheardGoneS = Math.max(machine.unheardGoneS, keptUntil);
+      machine.mayHoldTasksUntil(keptUntil);
     }
-    if (machine.silent && leaseIsOver(machine, now) && machine.firstSession <= machine.session) {
+    if (machine.silent() && leaseIsOver(machine, now) && machine.firstSession() <= machine.session()) {
       expireLease(entity, machine, now);
     }
   }
@@ -66,19 +65,19 @@
   }
 
   private boolean leaseIsOver(Machine machine, double now) {
-    return machine.heard
-        ? now - machine.answeredS > timing.goneAfterAnswerS()
-        : now > machine.unheardGoneS;
+    return machine.heard()
+        ? now - machine.answeredS() > timing.goneAfterAnswerS()
+        : now > machine.unheardGoneS();
   }
 
   private static void markSilent(OwnedEntity entity, Machine machine, double now) {
-    machine.silent = true;
+    machine.markSilent();
     LOG.info(
         "machine {} of entity {} is silent: last report {} s ago in session {}, {} tasks",
         machine.id(),
         entity.entity(),
-        tenths(now - machine.heardS),
-        machine.session,
+        tenths(now - machine.heardS()),
+        machine.session(),
         machine.tasks().size());
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       if (placement.revocable()) {
@@ -93,11 +92,10 @@
             + " ends after {} s; heard under this version: {}",
         machine.id(),
         machine.tasks().size(),
-        tenths(now - machine.answeredS),
+        tenths(now - machine.answeredS()),
         tenths(timing.goneAfterAnswerS()),
-        machine.heard);
-    machine.firstSession = machine.session + 1;
-    machine.strays(Map.of());
+        machine.heard());
+    machine.leaseExpired();
     for (Placement placement : List.copyOf(machine.tasks().values())) {
       entity.unplace(placement, now, GoneProof.LEASE_OVER);
     }
--- a/src/main/java/io/violetrail/scheduling/Placer.java
+++ b/src/main/java/io/violetrail/scheduling/Placer.java
@@ -62,7 +62,7 @@
   void with(double now, Prices current, List<Job> order) {
     nowS = now;
     prices = current;
-    acceleratedWaits = order.stream().anyMatch(j -> j.spec.task().gpus() > 0);
+    acceleratedWaits = order.stream().anyMatch(j -> j.spec().task().gpus() > 0);
   }
 
   long looked() {
@@ -94,10 +94,10 @@
 
   boolean fits(Job job, Machine m, Map<String, Integer> perZone, double now) {
     looked++;
-    return job.spec.task().fitsIn(m.room())
-        && (m.reservedFor == null || m.reservedFor == job || now > m.reservedUntilS)
-        && now > m.evictedUntilS
-        && !(job.spareWork && now < m.clearedUntilS)
+    return job.spec().task().fitsIn(m.room())
+        && (m.reservedFor() == null || m.reservedFor() == job || now > m.reservedUntilS())
+        && now > m.evictedUntilS()
+        && !(job.spareWork() && now < m.clearedUntilS())
         && allowed(job, m, perZone)
         && leavesAccelerators(job, m, now)
         && affordable(job, m, now);
@@ -105,7 +105,7 @@
 
   /** Whether a task of the job could start there if there were room. */
   boolean suits(Job job, Machine m, double now) {
-    return (m.type.size().gpus() == 0 || job.spec.task().gpus() > 0)
+    return (m.type().size().gpus() == 0 || job.spec().task().gpus() > 0)
         && allowed(job, m, perZone(job))
         && affordable(job, m, now);
   }
@@ -125,7 +125,7 @@
     Map<String, Integer> perZone = perZone(job);
     for (Machine other : machines) {
       if (other != m && other.open() && other.share() > share && fits(job, other, perZone, now)) {
-        room += other.room().count(job.spec.task());
+        room += other.room().count(job.spec().task());
         if (room >= waiting) {
           return true;
         }
@@ -155,11 +155,11 @@
 
   /** How many of the job's placed tasks are in each zone; empty where zones do not matter. */
   static Map<String, Integer> perZone(Job job) {
-    if (!job.spec.oneZone() && !job.spec.spread()) {
+    if (!job.spec().oneZone() && !job.spec().spread()) {
       return Map.of();
     }
     Map<String, Integer> perZone = new HashMap<>();
-    job.placements().forEach(p -> perZone.merge(p.machine.row.zone(), 1, Integer::sum));
+    job.placements().forEach(p -> perZone.merge(p.machine().row().zone(), 1, Integer::sum));
     return perZone;
   }
 
@@ -170,21 +170,21 @@
    */
   List<Machine> gang(Job job, Collection<Machine> open, double now) {
     List<Machine> fitting = fitting(job, open, Map.of(), now);
-    if (!job.spec.oneZone()) {
+    if (!job.spec().oneZone()) {
       return fill(job, fitting);
     }
     Map<String, List<Machine>> zones = new HashMap<>();
     for (Machine m : fitting) {
-      zones.computeIfAbsent(m.row.zone(), z -> new ArrayList<>()).add(m);
+      zones.computeIfAbsent(m.row().zone(), z -> new ArrayList<>()).add(m);
     }
     List<Machine> best = null;
     int bestRoom = Integer.MAX_VALUE;
     for (List<Machine> zone : zones.values()) {
       int room = 0;
       for (Machine m : zone) {
-        room += m.room().count(job.spec.task());
+        room += m.room().count(job.spec().task());
       }
-      if (room >= job.spec.tasks() && room < bestRoom) {
+      if (room >= job.spec().tasks() && room < bestRoom) {
         best = zone;
         bestRoom = room;
       }
@@ -196,44 +196,44 @@
     List<Machine> plan = new ArrayList<>();
     Map<String, Integer> perZone = new HashMap<>();
     Map<Machine, Integer> planned = new HashMap<>();
-    while (plan.size() < job.spec.tasks()) {
+    while (plan.size() < job.spec().tasks()) {
       Machine m = best(job, fitting);
       if (m == null) {
         return null;
       }
       int used = planned.getOrDefault(m, 0);
       boolean zoneFull =
-          job.spec.spread() && perZone.getOrDefault(m.row.zone(), 0) >= job.spec.perZone();
-      if (zoneFull || !job.spec.task().times(used + 1).fitsIn(m.room())) {
+          job.spec().spread() && perZone.getOrDefault(m.row().zone(), 0) >= job.spec().perZone();
+      if (zoneFull || !job.spec().task().times(used + 1).fitsIn(m.room())) {
         fitting.remove(m);
         continue;
       }
       plan.add(m);
       planned.put(m, used + 1);
-      perZone.merge(m.row.zone(), 1, Integer::sum);
+      perZone.merge(m.row().zone(), 1, Integer::sum);
     }
     return plan;
   }
 
   static boolean allowed(Job job, Machine m, Map<String, Integer> perZone) {
-    JobSpec s = job.spec;
-    if (!s.allows(m.row.type(), m.row.zone(), m.row.spot())) {
+    JobSpec s = job.spec();
+    if (!s.allows(m.row().type(), m.row().zone(), m.row().spot())) {
       return false;
     }
-    if (job.trial.avoids(m.id())) {
+    if (job.trial().avoids(m.id())) {
       return false;
     }
     if (s.oneZone()
         && !perZone.isEmpty()
-        && !(perZone.size() == 1 && perZone.containsKey(m.row.zone()))) {
+        && !(perZone.size() == 1 && perZone.containsKey(m.row().zone()))) {
       return false;
     }
-    return !s.spread() || perZone.getOrDefault(m.row.zone(), 0) < s.perZone();
+    return !s.spread() || perZone.getOrDefault(m.row().zone(), 0) < s.perZone();
   }
 
   /** Work without accelerators takes only what work with accelerators seen lately cannot use. */
   private boolean leavesAccelerators(Job job, Machine m, double now) {
-    if (job.spec.task().gpus() > 0 || m.type.size().gpus() == 0) {
+    if (job.spec().task().gpus() > 0 || m.type().size().gpus() == 0) {
       return true;
     }
     if (job.atLastResort(now) && !acceleratedWaits) {
@@ -241,7 +241,7 @@
       return true;
     }
     Amounts room = m.room();
-    Amounts rest = room.minus(job.spec.task());
+    Amounts rest = room.minus(job.spec().task());
     for (Accelerated a : accelerated.values()) {
       if (now - a.seenS() < RECENT_S && rest.count(a.task()) < room.count(a.task())) {
         return false;
@@ -253,23 +253,21 @@
   /** A dear machine is not kept from being returned by work that could run on a cheap one. */
   private boolean affordable(Job job, Machine m, double now) {
     int sharers = job.unplaced() + m.tasks().size();
-    if (job.worthAtS != now) {
-      job.worthAtS = now;
-      job.worth = aims.worth(job, now, estimates.runS(job.spec));
-    }
+    double worth =
+        job.worthAt(now, () -> aims.worth(job, now, estimates.runS(job.spec())));
     // Late small tasks in the processors left over kept dear machines rented that had no other use.
     boolean leftover =
-        job.spec.task().gpus() == 0 && m.type.size().gpus() > 0 && acceleratorsWanted(now);
-    if (!leftover && job.spareWork) {
+        job.spec().task().gpus() == 0 && m.type().size().gpus() > 0 && acceleratorsWanted(now);
+    if (!leftover && job.spareWork()) {
       // It may use what is there; it does not keep an ordinary machine from being returned.
       return true;
     }
-    if (!leftover && prices.worth(job.spec, m.type, m.row.spot(), sharers, job.worth)) {
+    if (!leftover && prices.worth(job.spec(), m.type(), m.row().spot(), sharers, worth)) {
       return true;
     }
     // It is kept by other work anyway.
     for (Placement p : m.tasks().values()) {
-      if (p.job.spec.task().gpus() > job.spec.task().gpus()) {
+      if (p.job().spec().task().gpus() > job.spec().task().gpus()) {
         return true;
       }
     }
@@ -278,29 +276,29 @@
 
   /** Lower is better: little left over, no idle accelerators, the image at hand. */
   private double score(Job job, Machine m) {
-    Amounts size = m.type.size();
-    Amounts rest = m.room().minus(job.spec.task());
+    Amounts size = m.type().size();
+    Amounts rest = m.room().minus(job.spec().task());
     double score =
         rest.cpus() / size.cpus()
-            + 0.6 * prices.ratio(job.spec, m.type, m.row.spot(), Integer.MAX_VALUE);
+            + 0.6 * prices.ratio(job.spec(), m.type(), m.row().spot(), Integer.MAX_VALUE);
     if (size.gpus() > 0) {
-      score += job.spec.task().gpus() > 0 ? rest.gpus() / size.gpus() : 1;
+      score += job.spec().task().gpus() > 0 ? rest.gpus() / size.gpus() : 1;
     }
     if (m.empty()) {
       // The one that fell idle last: taken at random, each of many idle machines was used again
       // just before it would have been returned.
-      score += LONGEST_IDLE * Math.min(1, (nowS - m.idleSinceS) / IDLE_S);
+      score += LONGEST_IDLE * Math.min(1, (nowS - m.idleSinceS()) / IDLE_S);
     }
-    if (!m.images.contains(job.spec.image())) {
-      double fetchS = job.spec.imageGb() / m.type.fetchGbPerS();
+    if (!m.hasImage(job.spec().image())) {
+      double fetchS = job.spec().imageGb() / m.type().fetchGbPerS();
       score +=
-          Math.min(1, fetchS / 20) + URGENT_FETCH * Math.min(1, fetchS / aims.startS(job.spec));
+          Math.min(1, fetchS / 20) + URGENT_FETCH * Math.min(1, fetchS / aims.startS(job.spec()));
     }
     return score;
   }
 
   /** Whether the job's tasks start one by one. */
   static boolean singly(Job job) {
-    return job.spec.shape() != Shape.GANG;
+    return job.spec().shape() != Shape.GANG;
   }
 }
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -45,22 +45,22 @@
    * stopped tasks are gone; until then the room is reserved for it.
    */
   void makeRoom(OwnedEntity h, Job job, double now) {
-    if (now < job.makeRoomS || !h.placedBelow(job.spec.priority())) {
+    if (now < job.makeRoomS() || !h.placedBelow(job.spec().priority())) {
       return;
     }
-    job.makeRoomS = now + AGAIN_S;
+    job.makeRoomNotBefore(now + AGAIN_S);
     Map<String, List<Offer>> zones = new HashMap<>();
-    for (Machine m : h.machines.values()) {
-      if (m.reservedFor == job && now <= m.reservedUntilS) {
+    for (Machine m : h.machines().values()) {
+      if (m.reservedFor() == job && now <= m.reservedUntilS()) {
         return;
       }
       Offer offer = offer(job, m, now);
       if (offer != null) {
-        String zone = job.spec.oneZone() ? m.row.zone() : "";
+        String zone = job.spec().oneZone() ? m.row().zone() : "";
         zones.computeIfAbsent(zone, z -> new ArrayList<>()).add(offer);
       }
     }
-    int tasks = job.spec.shape() == Shape.GANG ? job.spec.tasks() : 1;
+    int tasks = job.spec().shape() == Shape.GANG ? job.spec().tasks() : 1;
     List<Offer> best = null;
     double bestLoss = Double.POSITIVE_INFINITY;
     for (List<Offer> zone : zones.values()) {
@@ -104,18 +104,17 @@
       }
     }
     for (Offer o : offers) {
-      o.machine().reservedFor = job;
-      o.machine().reservedUntilS = now + grace + RESERVED_S;
+      o.machine().reserve(job, now + grace + RESERVED_S);
     }
     LOG.info(
-        "job {}: {} less urgent tasks stop on {} machines", job.spec.id(), stopped, offers.size());
+        "job {}: {} less urgent tasks stop on {} machines", job.spec().id(), stopped, offers.size());
   }
 
   /** Stops a task, letting it save if it can; returns how long that may take. */
   double stop(OwnedEntity h, Placement p, double now) {
-    double save = p.job.spec.checkpointS() > 0 ? p.job.spec.saveS() : 0;
-    if (p.job.spec.shape() == Shape.GANG) {
-      for (Placement q : p.job.placements()) {
+    double save = p.job().spec().checkpointS() > 0 ? p.job().spec().saveS() : 0;
+    if (p.job().spec().shape() == Shape.GANG) {
+      for (Placement q : p.job().placements()) {
         q.halt(save);
         halted.accept(q);
       }
@@ -130,20 +129,20 @@
 
   /** What the machine could hold of the job; null if nothing. */
   private static Offer offer(Job job, Machine m, double now) {
-    Amounts task = job.spec.task();
-    boolean taken = m.reservedFor != null && now <= m.reservedUntilS;
-    if (taken || !m.open() || !task.fitsIn(m.type.size()) || !Placer.allowed(job, m, Map.of())) {
+    Amounts task = job.spec().task();
+    boolean taken = m.reservedFor() != null && now <= m.reservedUntilS();
+    if (taken || !m.open() || !task.fitsIn(m.type().size()) || !Placer.allowed(job, m, Map.of())) {
       return null;
     }
-    if (m.type.size().gpus() > 0 && task.gpus() == 0) {
+    if (m.type().size().gpus() > 0 && task.gpus() == 0) {
       // Work without accelerators is not placed there either while others may want them.
       return null;
     }
     // Waiting for the image counts like work lost.
     double fetch =
-        m.images.contains(job.spec.image())
+        m.hasImage(job.spec().image())
             ? 0
-            : job.spec.imageGb() / m.type.fetchGbPerS() * task.cpus();
+            : job.spec().imageGb() / m.type().fetchGbPerS() * task.cpus();
     int free = m.room().count(task);
     if (free > 0) {
       return new Offer(m, free, List.of(), fetch * free);
@@ -151,9 +150,9 @@
     List<Placement> lower = new ArrayList<>();
     Amounts room = m.room();
     for (Placement p : m.tasks().values()) {
-      if (p.job.spec.priority().compareTo(job.spec.priority()) > 0) {
+      if (p.job().spec().priority().compareTo(job.spec().priority()) > 0) {
         lower.add(p);
-        room = room.plus(p.job.spec.task());
+        room = room.plus(p.job().spec().task());
       }
     }
     if (!task.fitsIn(room)) {
@@ -167,7 +166,7 @@
       if (task.fitsIn(room)) {
         break;
       }
-      room = room.plus(p.job.spec.task());
+      room = room.plus(p.job().spec().task());
       victims.add(p);
       loss += loss(p, now);
     }
@@ -180,7 +179,7 @@
   public static double loss(Machine m, double now) {
     double sum = 0;
     for (Placement p : m.tasks().values()) {
-      List<Placement> stopped = p.job.spec.shape() == Shape.GANG ? p.job.placements() : List.of(p);
+      List<Placement> stopped = p.job().spec().shape() == Shape.GANG ? p.job().placements() : List.of(p);
       for (Placement q : stopped) {
         sum += loss(q, now);
       }
@@ -190,8 +189,8 @@
 
   /** Work lost with a task, in cpu seconds; what saves loses little. */
   private static double loss(Placement p, double now) {
-    double age = now - p.sinceS;
-    double lost = p.job.spec.checkpointS() > 0 ? Math.min(age, p.job.spec.saveS()) : age;
-    return lost * (p.job.spec.task().cpus() + 8 * p.job.spec.task().gpus());
+    double age = now - p.sinceS();
+    double lost = p.job().spec().checkpointS() > 0 ? Math.min(age, p.job().spec().saveS()) : age;
+    return lost * (p.job().spec().task().cpus() + 8 * p.job().spec().task().gpus());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -22,24 +22,24 @@
   /** A task has ended on the machine without being done. */
   public void taskFailed(Machine machine, Placement placement, ExitCause cause) {
     double now = loop.seconds();
-    Job job = placement.job;
-    int index = placement.index;
+    Job job = placement.job();
+    int index = placement.index();
     switch (cause) {
       case ERROR -> {
-        double ranSeconds = placement.runningS > 0 ? now - placement.runningS : 0;
+        double ranSeconds = placement.runningS() > 0 ? now - placement.runningS() : 0;
         LOG.info(
             "task {}/{} failed on {} after {} s",
-            job.spec.id(),
+            job.spec().id(),
             index,
             machine.id(),
             Math.round(ranSeconds));
-        job.errors++;
+        job.countError();
         Blame.failed(machine, job, ranSeconds, now);
-        job.notBefore.put(index, (Double) job.trial.againS());
+        job.retryNotBefore(index, job.trial().againS());
       }
-      case NO_ROOM, BUSY -> job.notBefore.put(index, (Double) (now + RETRY_AFTER_REFUSAL_SECONDS));
-      case UNKNOWN -> job.notBefore.put(index, (Double) (now + RETRY_AFTER_UNKNOWN_SECONDS));
-      default -> job.notBefore.remove(index);
+      case NO_ROOM, BUSY -> job.retryNotBefore(index, now + RETRY_AFTER_REFUSAL_SECONDS);
+      case UNKNOWN -> job.retryNotBefore(index, now + RETRY_AFTER_UNKNOWN_SECONDS);
+      default -> job.retryAtOnce(index);
     }
   }
 }
--- a/src/main/java/io/violetrail/scheduling/Trial.java
+++ b/src/main/java/io/violetrail/scheduling/Trial.java
@@ -87,7 +87,7 @@
   int machinesInUse() {
     int n = 0;
     for (Machine m : failedOn.values()) {
-      n += m.sick ? 0 : 1;
+      n += m.sick() ? 0 : 1;
     }
     return n;
   }
--- a/src/main/java/io/violetrail/scheduling/Waiting.java
+++ b/src/main/java/io/violetrail/scheduling/Waiting.java
@@ -52,10 +52,10 @@
 
   private List<Job> sorted(double now) {
     Map<String, List<Job>> kinds = new TreeMap<>();
-    for (Job job : h.jobs.values()) {
-      if (job.phase == Job.Phase.OPEN && job.unplaced() > 0) {
+    for (Job job : h.jobs().values()) {
+      if (job.phase() == Job.Phase.OPEN && job.unplaced() > 0) {
         // Priorities come one after the other; kinds of one priority do not compete for room.
-        String kind = job.spec.priority().ordinal() + (accelerated(job) ? " a" : " b");
+        String kind = job.spec().priority().ordinal() + (accelerated(job) ? " a" : " b");
         kinds.computeIfAbsent(kind, k -> new ArrayList<>()).add(job);
       }
     }
@@ -65,20 +65,20 @@
       List<InTime.Due> dues = new ArrayList<>();
       List<Job> longest = new ArrayList<>();
       for (Job job : jobs) {
-        job.toBegin = waitsTooLong(job, now);
-        if (job.toBegin) {
+        job.setToBegin(waitsTooLong(job, now));
+        if (job.toBegin()) {
           longest.add(job);
           continue;
         }
-        double run = estimates.runS(job.spec);
+        double run = estimates.runS(job.spec());
         // What fails wherever it goes comes after all that may be in time.
-        boolean suspect = job.trial.suspect();
+        boolean suspect = job.trial().suspect();
         double due = suspect ? Double.POSITIVE_INFINITY : aims.nextAimS(job, now, run);
-        double work = job.unplaced() * run * amount(job.spec.task(), accelerated(job)) / room;
+        double work = job.unplaced() * run * amount(job.spec().task(), accelerated(job)) / room;
         dues.add(new InTime.Due(job, due, work, run));
       }
       // Only to begin: with its first task it makes way again, so that others stay in time.
-      longest.sort(Comparator.comparingDouble(j -> j.arrivedS));
+      longest.sort(Comparator.comparingDouble(j -> j.arrivedS()));
       order.addAll(longest);
       InTime.order(dues, now).forEach(d -> order.add(d.job()));
     }
@@ -86,16 +86,16 @@
   }
 
   private static boolean waitsTooLong(Job job, double now) {
-    return now - job.arrivedS > LONGEST_S
-        && job.spec.shape() == Shape.ARRAY
+    return now - job.arrivedS() > LONGEST_S
+        && job.spec().shape() == Shape.ARRAY
         && job.nothingPlaced()
         && job.doneCount() == 0
-        && !job.spareWork
-        && !job.trial.suspect();
+        && !job.spareWork()
+        && !job.trial().suspect();
   }
 
   private static boolean accelerated(Job job) {
-    return job.spec.task().gpus() > 0;
+    return job.spec().task().gpus() > 0;
   }
 
   private static double amount(Amounts a, boolean gpus) {
@@ -106,12 +106,12 @@
   private double room(Job like) {
     boolean gpus = accelerated(like);
     double room = 0;
-    for (Machine m : h.machines.values()) {
-      if (m.open() && (m.type.size().gpus() > 0) == gpus) {
-        room += amount(m.type.size(), gpus);
+    for (Machine m : h.machines().values()) {
+      if (m.open() && (m.type().size().gpus() > 0) == gpus) {
+        room += amount(m.type().size(), gpus);
         for (Placement p : m.tasks().values()) {
-          if (p.job.spec.priority().compareTo(like.spec.priority()) < 0) {
-            room -= amount(p.job.spec.task(), gpus);
+          if (p.job().spec().priority().compareTo(like.spec().priority()) < 0) {
+            room -= amount(p.job().spec().task(), gpus);
           }
         }
       }
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -42,7 +42,7 @@
         }
       } else if (shouldHalt(placement)) {
         commands.add(
-            new Command(Verb.HALT, placement.task(), placement.attempt, placement.haltGraceS));
+            new Command(Verb.HALT, placement.task(), placement.attempt(), placement.haltGraceS()));
       }
     }
   }
@@ -52,18 +52,18 @@
   }
 
   private void launch(Machine machine, Placement placement, List<Command> commands) {
-    commands.add(new Command(Verb.LAUNCH, placement.task(), placement.attempt, 0));
-    placement.sent = new Placement.Sent(machine.session, machine.sequence);
-    LOG.debug("task {} try {} launched on {}", placement.task(), placement.attempt, machine.id());
-    traces.launched(placement.job.spec.id(), machine.id());
-    Departure from = placement.job.takeDeparture(placement.index);
+    commands.add(new Command(Verb.LAUNCH, placement.task(), placement.attempt(), 0));
+    placement.launched();
+    LOG.debug("task {} try {} launched on {}", placement.task(), placement.attempt(), machine.id());
+    traces.launched(placement.job().spec().id(), machine.id());
+    Departure from = placement.job().takeDeparture(placement.index());
     if (from != null) {
-      evidence.startsElsewhere(placement.task(), placement.attempt, machine.id(), from);
+      evidence.startsElsewhere(placement.task(), placement.attempt(), machine.id(), from);
     }
   }
 
   private static boolean shouldHalt(Placement placement) {
-    return placement.haltGraceS >= 0
-        && (placement.state != State.SAVING || placement.haltGraceS == 0);
+    return placement.haltGraceS() >= 0
+        && (placement.state() != State.SAVING || placement.haltGraceS() == 0);
   }
 }
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -102,7 +102,7 @@
       return;
     }
     OwnedEntity entity = membership.holding(row.entity());
-    if (entity == null || entity.phase == OwnedEntity.Phase.RELEASING) {
+    if (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING) {
       done.accept(router.route(row, entity, report));
     } else if (!membership.mayKeepAlive()) {
       done.accept(HeartbeatReply.refused("not entitled"));
@@ -153,14 +153,14 @@
   }
 
   private boolean hasReservedRoom(Machine machine) {
-    return machine.reservedFor != null
-        && loop.seconds() <= machine.reservedUntilS
-        && machine.reservedFor.unplaced() > 0
-        && machine.room().count(machine.reservedFor.spec.task()) > 0;
+    return machine.reservedFor() != null
+        && loop.seconds() <= machine.reservedUntilS()
+        && machine.reservedFor().unplaced() > 0
+        && machine.room().count(machine.reservedFor().spec().task()) > 0;
   }
 
   private static boolean isNewestReport(Machine machine, WorkerReport report) {
-    return machine.session == report.session() && machine.sequence == report.sequence();
+    return machine.session() == report.session() && machine.sequence() == report.sequence();
   }
 
   /** The answer to a report that was kept open, with what there is to do by now. */
@@ -168,16 +168,16 @@
       Machine machine, WorkerReport report, List<Command> parkedCommands) {
     MachineRow row = directory.machine(machine.id());
     OwnedEntity entity = row == null ? null : membership.holding(row.entity());
-    if (row != null && (entity == null || entity.phase == OwnedEntity.Phase.RELEASING)) {
+    if (row != null && (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING)) {
       return router.route(row, entity, report);
     }
     if (entity == null
-        || entity.machines.get(machine.id()) != machine
+        || entity.machines().get(machine.id()) != machine
         || !membership.mayKeepAlive()) {
       return HeartbeatReply.refused("the machine has passed on");
     }
     // The worker counts its lease from the report's sending; this is later, so on the safe side.
-    machine.answeredS = loop.seconds();
+    machine.reportAnswered(loop.seconds());
     List<Command> commands = new ArrayList<>(parkedCommands);
     if (isNewestReport(machine, report) && membership.valid() && entity.active()) {
       commandWriter.addCommands(machine, commands);
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -75,7 +75,7 @@
       return;
     }
     MachineRow row = newRow(own, report);
-    own.register
+    own.register()
         .add(row)
         .whenComplete(
             (stored, failure) -> {
@@ -92,7 +92,7 @@
   private MachineRow newRow(OwnedEntity own, WorkerReport report) {
     // Strictly above what its worker has seen: a report held back for minutes then shows its age.
     Version seen =
-        report.token().compareTo(own.row.version()) > 0 ? report.token() : own.row.version();
+        report.token().compareTo(own.row().version()) > 0 ? report.token() : own.row().version();
     return new MachineRow(
         report.machine(),
         own.entity(),
@@ -100,7 +100,7 @@
         report.zone(),
         report.spot(),
         true,
-        seen.nextFor(own.row.version().owner()),
+        seen.nextFor(own.row().version().owner()),
         loop.wallMillis());
   }
 
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -68,20 +68,17 @@
       machines.raiseTerm(entity, machine, report.token());
       return HeartbeatReply.elsewhere(null);
     }
-    if (!report.newerThan(machine.session, machine.sequence)) {
+    if (!report.newerThan(machine.session(), machine.sequence())) {
       return HeartbeatReply.stay(report);
     }
-    double now = loop.seconds();
-    machine.heardS = now;
-    machine.answeredS = now;
-    machine.endpoint = HostPort.parse(report.endpoint());
-    if (!machine.row.up()) {
+    machine.reportArrived(HostPort.parse(report.endpoint()), loop.seconds());
+    if (!machine.row().up()) {
       machines.markUp(entity, machine);
     }
     if (isOutdatedSession(machine, report)) {
       return leaseRenewal.haltExpiredSession(entity, token, report);
     }
-    if (report.token().compareTo(machine.since) < 0) {
+    if (report.token().compareTo(machine.since()) < 0) {
       return answerReportOfEarlierTerm(entity, machine, token, report);
     }
     return answerCurrentReport(entity, machine, token, report, commands);
@@ -90,20 +87,19 @@
   // A report may have been held back in the network for minutes. It is as old as it may be, unless
   // its worker has seen our term, or its session has begun after a lease that is surely over.
   private static boolean isOutdatedSession(Machine machine, WorkerReport report) {
-    return report.session() < machine.firstSession;
+    return report.session() < machine.firstSession();
   }
 
   private HeartbeatReply answerReportOfEarlierTerm(
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
     double now = loop.seconds();
-    if (!machine.heard && machine.uncertain(now)) {
-      machine.unheardGoneS = Math.max(machine.unheardGoneS, now + timing.goneAfterAnswerS());
+    if (!machine.heard() && machine.uncertain(now)) {
+      machine.mayHoldTasksUntil(now + timing.goneAfterAnswerS());
     }
     List<Command> first = new ArrayList<>();
-    if (machine.heard && machine.session == 0 && mayCommand(entity)) {
+    if (machine.heard() && machine.session() == 0 && mayCommand(entity)) {
       // Passed over empty: it can be given its first tasks before it has seen its new term.
-      machine.session = report.session();
-      machine.sequence = report.sequence();
+      machine.newestReport(report.session(), report.sequence());
       commandWriter.addCommands(machine, first);
     }
     return leaseRenewal.renew(entity, token, report, first);
@@ -118,11 +114,8 @@
     int tasksBefore = machine.tasks().size();
     boolean wasOpen = machine.open();
     reconciler.take(entity, machine, report, loop.seconds(), commands);
-    machine.session = report.session();
-    machine.sequence = report.sequence();
-    machine.noticeS = report.noticeS();
-    machine.heard = true;
-    machine.silent = false;
+    machine.newestReport(report.session(), report.sequence());
+    machine.reportTaken(report.noticeS());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -50,29 +50,29 @@
     Set<TaskId> present = new HashSet<>();
     Map<TaskId, Amounts> strays = new HashMap<>();
     for (TaskReport task : report.pieces()) {
-      Job job = entity.jobs.get(task.task().job());
-      if (job == null || task.task().index() >= job.spec.tasks()) {
+      Job job = entity.jobs().get(task.task().job());
+      if (job == null || task.task().index() >= job.spec().tasks()) {
         stray(entity, m, task, strays, commands);
       } else if (task.state() == State.EXITED) {
         exited(entity, m, job, task, now, commands);
       } else {
         present.add(task.task());
         if (!active(entity, m, job, task, now)) {
-          strays.put(task.task(), job.spec.task());
+          strays.put(task.task(), job.spec().task());
           commands.add(new Command(Verb.HALT, task.task(), task.attempt(), 0));
         }
       }
     }
     m.strays(strays);
     GoneProof proof =
-        m.heard && report.session() > m.session
+        m.heard() && report.session() > m.session()
             ? GoneProof.LATER_SESSION
             : GoneProof.REPORT_WITHOUT_IT;
     for (Placement p : List.copyOf(m.tasks().values())) {
       // Sent in the answer to an earlier report and not in this newer one: it was never taken, or
       // is over.
       if (!p.revocable() && !present.contains(p.task()) && m.task(p.task()) == p) {
-        LOG.debug("task {} try {} is no longer on {}", p.task(), p.attempt, m.id());
+        LOG.debug("task {} try {} is no longer on {}", p.task(), p.attempt(), m.id());
         entity.unplace(p, now, proof);
       }
     }
@@ -82,33 +82,31 @@
   private boolean active(OwnedEntity entity, Machine m, Job job, TaskReport task, double now) {
     int index = task.task().index();
     Placement p = m.task(task.task());
-    if (p != null && p.attempt != task.attempt() && p.revocable()) {
+    if (p != null && p.attempt() != task.attempt() && p.revocable()) {
       entity.unplace(p, now, GoneProof.NEVER_SENT);
       p = null;
     }
-    if (p == null || p.attempt != task.attempt()) {
+    if (p == null || p.attempt() != task.attempt()) {
       Placement elsewhere = job.placed(index);
-      if (elsewhere != null && elsewhere.machine != m) {
+      if (elsewhere != null && elsewhere.machine() != m) {
         if (elsewhere.revocable()) {
           entity.unplace(elsewhere, now, GoneProof.NEVER_SENT);
         } else {
-          LOG.error("task {} is on {} and on {}", task.task(), m.id(), elsewhere.machine.id());
+          LOG.error("task {} is on {} and on {}", task.task(), m.id(), elsewhere.machine().id());
           return false;
         }
       }
       p = new Placement(job, index, m, task.attempt(), now);
-      p.sent = new Placement.Sent(0, 0);
+      p.foundByReport();
       entity.place(p);
     }
-    if (p.state != task.state() && task.state() == State.RUNNING) {
-      m.images.add(job.spec.image());
-      p.runningS = now;
+    if (p.reported(task.state(), now)) {
+      m.imageSeen(job.spec().image());
     }
-    p.state = task.state();
-    if (p.state == State.RUNNING && p.runningS > 0) {
-      Blame.runs(job, now - p.runningS);
+    if (p.state() == State.RUNNING && p.runningS() > 0) {
+      Blame.runs(job, now - p.runningS());
     }
-    if (job.phase != Job.Phase.OPEN || job.isDone(index)) {
+    if (job.phase() != Job.Phase.OPEN || job.isDone(index)) {
       p.halt(0);
     }
     return true;
@@ -118,17 +116,17 @@
       OwnedEntity entity, Machine m, Job job, TaskReport task, double now, List<Command> commands) {
     int index = task.task().index();
     Placement p = m.task(task.task());
-    boolean current = p != null && p.attempt == task.attempt() && !p.revocable();
+    boolean current = p != null && p.attempt() == task.attempt() && !p.revocable();
     // A replica is never done: one that ends is started again.
-    boolean done = task.why() == ExitCause.DONE && job.spec.shape() != Shape.SERVICE;
+    boolean done = task.why() == ExitCause.DONE && job.spec().shape() != Shape.SERVICE;
     if (done && !job.isDone(index)) {
       job.markDone(index);
       Blame.endedWell(m, job);
-      m.images.add(job.spec.image());
+      m.imageSeen(job.spec().image());
     }
     if (current) {
-      if (task.why() == ExitCause.DONE && p.runningS > 0 && p.haltGraceS < 0) {
-        estimates.learn(job.spec, now - p.runningS);
+      if (task.why() == ExitCause.DONE && p.runningS() > 0 && p.haltGraceS() < 0) {
+        estimates.learn(job.spec(), now - p.runningS());
       }
       entity.unplace(p, now, GoneProof.REPORTED_ENDED);
       if (task.why() != ExitCause.DONE) {
@@ -137,7 +135,7 @@
     }
     if (job.isDone(index)) {
       jobs.progressed(entity, job);
-      if (task.why() == ExitCause.DONE && !job.stored.get(index) && job.phase != Job.Phase.OVER) {
+      if (task.why() == ExitCause.DONE && !job.isStored(index) && job.phase() != Job.Phase.OVER) {
         return;
       }
     }
@@ -154,7 +152,7 @@
     Jobs.Known known = jobs.known(entity, task.task().job());
     if (task.state() != State.EXITED) {
       // Its halt goes with whatever renews the lease.
-      strays.put(task.task(), known == null ? m.type.size() : known.amounts());
+      strays.put(task.task(), known == null ? m.type().size() : known.amounts());
     } else if (known != null) {
       commands.add(new Command(Verb.FORGET, task.task(), task.attempt(), 0));
     }
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -76,11 +76,11 @@
   }
 
   private void repeat() {
-    owed.removeIf(p -> p.machine.task(p.task()) != p);
+    owed.removeIf(p -> p.machine().task(p.task()) != p);
     Map<Machine, List<Placement>> silent = new LinkedHashMap<>();
     for (Placement p : owed) {
-      if (p.machine.silent && (silent.containsKey(p.machine) || silent.size() < MOST_TO_SILENT)) {
-        silent.computeIfAbsent(p.machine, m -> new ArrayList<>()).add(p);
+      if (p.machine().silent() && (silent.containsKey(p.machine()) || silent.size() < MOST_TO_SILENT)) {
+        silent.computeIfAbsent(p.machine(), m -> new ArrayList<>()).add(p);
       }
     }
     silent.forEach(
@@ -97,13 +97,13 @@
 
   /** A placement is to be halted; what is halted in the same moment goes together. */
   public void halted(Placement p) {
-    if (p.revocable() || p.haltGraceS < 0) {
+    if (p.revocable() || p.haltGraceS() < 0) {
       return;
     }
     if (pending.isEmpty()) {
       loop.execute(this::flush);
     }
-    pending.computeIfAbsent(p.machine, m -> new ArrayList<>()).add(p);
+    pending.computeIfAbsent(p.machine(), m -> new ArrayList<>()).add(p);
   }
 
   private void flush() {
@@ -111,7 +111,7 @@
     pending.clear();
     now.forEach(
         (m, stopped) -> {
-          if (!m.silent && underWay < MOST_UNDER_WAY) {
+          if (!m.silent() && underWay < MOST_UNDER_WAY) {
             underWay++;
             send(m, stopped, () -> underWay--);
           }
@@ -120,20 +120,20 @@
 
   /** {@code done} is run in any case. */
   private void send(Machine m, List<Placement> stopped, Runnable done) {
-    OwnedEntity h = membership.holding(m.row.entity());
-    boolean mine = h != null && h.active() && h.machines.get(m.id()) == m;
+    OwnedEntity h = membership.holding(m.row().entity());
+    boolean mine = h != null && h.active() && h.machines().get(m.id()) == m;
     List<Command> orders = new ArrayList<>();
     for (Placement p : stopped) {
       if (m.task(p.task()) == p) {
-        orders.add(new Command(Verb.HALT, p.task(), p.attempt, p.haltGraceS));
+        orders.add(new Command(Verb.HALT, p.task(), p.attempt(), p.haltGraceS()));
       }
     }
-    if (!mine || !membership.valid() || m.endpoint == null || m.session == 0 || orders.isEmpty()) {
+    if (!mine || !membership.valid() || m.endpoint() == null || m.session() == 0 || orders.isEmpty()) {
       done.run();
       return;
     }
-    byte[] body = Cbor.bytes(HeartbeatMessages.reply(h.token(m), orders).put("tenure", m.session));
-    http.callOnce(m.endpoint, "POST", "/orders", body, TIMEOUT_S)
+    byte[] body = Cbor.bytes(HeartbeatMessages.reply(h.token(m), orders).put("tenure", m.session()));
+    http.callOnce(m.endpoint(), "POST", "/orders", body, TIMEOUT_S)
         .whenComplete((r, failure) -> done.run());
   }
 }
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -153,9 +153,9 @@
   private void suspect(double now) {
     List<HostPort> own = new ArrayList<>();
     for (OwnedEntity h : membership.holdings()) {
-      for (Machine m : h.machines.values()) {
-        if (h.active() && m.endpoint != null && m.row.up() && !m.returning) {
-          own.add(m.endpoint);
+      for (Machine m : h.machines().values()) {
+        if (h.active() && m.endpoint() != null && m.row().up() && !m.returning()) {
+          own.add(m.endpoint());
         }
       }
     }
--- a/src/test/java/io/violetrail/scheduling/InTimeTest.java
+++ b/src/test/java/io/violetrail/scheduling/InTimeTest.java
@@ -37,7 +37,7 @@
   }
 
   private static List<String> order(Due... jobs) {
-    return InTime.order(List.of(jobs), 0).stream().map(d -> d.job().spec.id().value()).toList();
+    return InTime.order(List.of(jobs), 0).stream().map(d -> d.job().spec().id().value()).toList();
   }
 
   @Test
--- a/src/test/java/io/violetrail/scheduling/UrgencyTest.java
+++ b/src/test/java/io/violetrail/scheduling/UrgencyTest.java
@@ -75,7 +75,7 @@
 
   private void waits(int id, double arrivedS) {
     JobSpec spec = spec(id, Priority.HIGH, 30);
-    h.jobs.put(spec.id(), new Job(spec, 0, arrivedS, false));
+    h.addJob(new Job(spec, 0, arrivedS, false));
   }
 
   private Machine machine(int n) {
@@ -86,8 +86,8 @@
             TYPE,
             new Version(10),
             0);
-    m.heard = true;
-    h.machines.put(m.id(), m);
+    m.reportTaken(null);
+    h.addMachine(m);
     return m;
   }
 
@@ -102,7 +102,7 @@
     }
     List<String> order =
         new Waiting(h, aims, new Estimates())
-            .order(50).stream().map(j -> j.spec.id().value()).toList();
+            .order(50).stream().map(j -> j.spec().id().value()).toList();
     assertEquals(List.of("job-3", "job-2", "job-1"), order);
   }
 
@@ -112,9 +112,9 @@
     machine(1);
     for (int i = 1; i < 6; i++) {
       JobSpec spec = spec(i, Priority.HIGH, 30, Shape.ARRAY);
-      h.jobs.put(spec.id(), new Job(spec, 0, i == 1 ? 0 : 500, false));
+      h.addJob(new Job(spec, 0, i == 1 ? 0 : 500, false));
     }
     List<Job> order = new Waiting(h, aims, new Estimates()).order(510);
-    assertEquals("job-1", order.get(0).spec.id().value());
+    assertEquals("job-1", order.get(0).spec().id().value());
   }
 }
--- a/src/test/java/io/violetrail/stories/CommandsTest.java
+++ b/src/test/java/io/violetrail/stories/CommandsTest.java
@@ -235,7 +235,7 @@
     w.runs.put("job-1/0", 300.0);
     world.run(2);
     world.network.hold(m -> m.startsWith(w.id + " "));
-    var machines = world.nodes.get("c0").membership().own().machines;
+    var machines = world.nodes.get("c0").membership().own().machines();
     world.until(60, () -> machines.keySet().stream().noneMatch(m -> m.value().equals(w.id)));
     // Just returned: the removal of its record is not stored yet.
     assertTrue(world.state.value("c/block/c0/0").has(w.id));
--- a/src/test/java/io/violetrail/stories/FleetTest.java
+++ b/src/test/java/io/violetrail/stories/FleetTest.java
@@ -93,7 +93,7 @@
       }
       w.run(4 + 0.13 * step);
       var frozen = w.nodes.get("c0");
-      var before = frozen.membership().own().row.version();
+      var before = frozen.membership().own().row().version();
       // What it had written but not sent leaves only when it goes on, and then comes too late.
       w.network.hold(m -> m.startsWith("c0 state POST /txn") || m.startsWith("c0 vm-"));
       w.run(0.02);
@@ -104,7 +104,7 @@
       // It knows at once that its time was over, before anything that waited is acted upon.
       assertTrue(
           frozen.membership().own() == null
-              || frozen.membership().own().row.version().compareTo(before) > 0,
+              || frozen.membership().own().row().version().compareTo(before) > 0,
           "it still believes in its old version");
       for (int i = 0; i < 6; i++) {
         String id = "job-" + i;
@@ -119,13 +119,13 @@
     world.up();
     world.cloud.capacity = 20;
     user.submit("c0", User.job("job-1", 40));
-    var rows = world.nodes.get("c1").membership().holdings().stream().map(h -> h.row).toList();
+    var rows = world.nodes.get("c1").membership().holdings().stream().map(h -> h.row()).toList();
     world.network.hold(m -> m.matches("c[0-2] c[0-2] .*"));
     world.run(60);
     world.network.release();
     assertEquals(
         rows,
-        world.nodes.get("c1").membership().holdings().stream().map(h -> h.row).toList(),
+        world.nodes.get("c1").membership().holdings().stream().map(h -> h.row()).toList(),
         "nothing moves to and fro");
     world.until(120, () -> user.poll("c2", "job-1").equals("done"));
   }
