--- a/src/test/java/io/violetrail/fakes/FakeWorker.java
+++ b/src/test/java/io/violetrail/fakes/FakeWorker.java
@@ -242,6 +242,11 @@
     return zone;
   }
 
+  /** Whether it is a spot machine, which the cloud may reclaim. */
+  public boolean isSpot() {
+    return spot;
+  }
+
   public String node() {
     return node;
   }
--- a/src/test/java/io/violetrail/fakes/World.java
+++ b/src/test/java/io/violetrail/fakes/World.java
@@ -119,6 +119,9 @@
   /** Told of each task that a worker starts. */
   public Consumer<String> onStart = task -> {};
 
+  /** Told of each message between the hosts. */
+  public MessageObserver onMessage = MessageObserver.NONE;
+
   private final Map<String, Long> controllerNanos = new HashMap<>();
   private final int count;
   private double now = 100;
@@ -316,6 +319,8 @@
     String message = from + " " + to.host() + " " + method + " " + path;
     String kind = Traffic.kind(method, path);
     traffic.asked(kind, body);
+    var observed = new MessageObserver.Request(from, to.host(), method, path, body);
+    onMessage.sent(observed);
     at(
         timeoutS,
         () -> {
@@ -327,6 +332,7 @@
         () -> {
           Service service = places.get(to);
           if (service != null) {
+            onMessage.delivered(observed);
             service.handle(
                 method,
                 inner(to) ? from + " " + path : path,
@@ -336,6 +342,7 @@
                         delayS.applyAsDouble(to.host(), from),
                         () -> {
                           traffic.answered(kind, answer.body());
+                          onMessage.answered(observed, answer);
                           if (!network.loses(from, to.host(), message)) {
                             back(
                                 from,
--- /dev/null
+++ b/src/test/java/io/violetrail/simulation/ConfigurationClient.java
@@ -0,0 +1,72 @@
+package io.violetrail.simulation;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.fakes.World;
+import io.violetrail.net.Http;
+import io.violetrail.wire.Cbor;
+import io.violetrail.wire.kubernetes.KubeJson;
+import java.util.Random;
+
+/**
+ * An operator who changes the teams' quotas while the controllers run, and reads what is in force.
+ */
+final class ConfigurationClient implements ApiClient {
+  private static final double TIMEOUT_SECONDS = 10;
+  private static final int OUTSIDE = -1;
+
+  private final World world;
+  private final Random random;
+  private long revision;
+  private int requests;
+
+  ConfigurationClient(World world, Random random) {
+    this.world = world;
+    this.random = random;
+  }
+
+  @Override
+  public void act() {
+    switch (random.nextInt(20)) {
+      case 0 -> changeQuotas();
+      case 1 -> send("GET", "/config", null);
+      case 2 -> send("GET", "/config/status", null);
+      case 3 -> send("GET", "/config/history", null);
+      default -> {}
+    }
+  }
+
+  /** Changes the quotas, and repeats the request at another controller every other time. */
+  private void changeQuotas() {
+    byte[] change = KubeJson.bytes(change());
+    send("POST", "/config", change);
+    if (random.nextBoolean()) {
+      send("POST", "/config", change);
+    }
+  }
+
+  private ObjectNode change() {
+    ObjectNode change = Cbor.map().put("expected", revision).put("request", "r" + requests++);
+    change.put("who", "operator").put("why", "a simulated day");
+    ArrayNode teams = change.putArray("teams");
+    teams.addObject().put("name", "red").put("cpus_max", 10.0 + random.nextInt(40));
+    teams.addObject().put("name", "blue").put("cpus_max", 6.0 + random.nextInt(24));
+    teams.addObject().put("name", "gold").put("cpus", 4.0 + random.nextInt(30));
+    return change;
+  }
+
+  private void send(String method, String path, byte[] body) {
+    String controller = World.name(random.nextInt(world.controllers()));
+    world
+        .call("operator", OUTSIDE, World.api(controller), method, path, body, TIMEOUT_SECONDS)
+        .thenAccept(this::followRevision);
+  }
+
+  private void followRevision(Http.Reply reply) {
+    try {
+      revision = Math.max(revision, KubeJson.parse(reply.body()).path("revision").asLong());
+    } catch (KubeJson.Malformed notJson) {
+      // A refusal in another form says nothing about the revision.
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/simulation/SimulatedDay.java
@@ -0,0 +1,150 @@
+package io.violetrail.simulation;
+
+import io.violetrail.config.Settings.Team;
+import io.violetrail.fakes.World;
+import io.violetrail.model.Amounts;
+import io.violetrail.model.MachineType;
+import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Random;
+import java.util.Set;
+
+/**
+ * One seeded day of a simulated deployment: users load it while faults come and go, at most two at
+ * a time. All choices come from the seed, so the same program gives the same messages.
+ */
+final class SimulatedDay {
+  private static final int STEPS = 240;
+  private static final double QUIET_SECONDS = 30;
+  private static final int MOST_FAULTS_AT_A_TIME = 2;
+  private static final int SHORTEST_FAULT_STEPS = 4;
+  private static final int FAULT_STEPS_RANGE = 30;
+
+  private final long seed;
+  private final Random random;
+  private final World world;
+  private final MessageDigester digester;
+  private final Flavour flavour;
+  private final Workload workload;
+  private final ApiClient client;
+  private final ObservedEvents observed;
+  private final List<Fault> faultsToCome = new ArrayList<>();
+  private final List<ActiveFault> active = new ArrayList<>();
+  private final Set<Fault> injected = EnumSet.noneOf(Fault.class);
+
+  private record ActiveFault(Fault fault, int lastStep, Runnable heal) {}
+
+  SimulatedDay(long seed) {
+    this.seed = seed;
+    // Choices of the day are apart from those of the simulation, so neither shifts the other.
+    random = new Random(seed * 7919 + 1);
+    world = new World(3, seed);
+    digester = new MessageDigester(world);
+    world.onMessage = digester;
+    flavour = Flavour.of(seed);
+    flavour.prepare(world);
+    workload = new Workload(world, random);
+    client = flavour.client(world, random, digester);
+    observed = new ObservedEvents(world);
+  }
+
+  /** Plays the day and returns its line. */
+  String play() {
+    deploy();
+    for (int step = 0; step < STEPS; step++) {
+      healFaults(step);
+      injectFault(step);
+      workload.act();
+      client.act();
+      world.run(random.nextDouble());
+      observed.look();
+    }
+    endQuietly();
+    return line();
+  }
+
+  private void deploy() {
+    double unlimited = Double.POSITIVE_INFINITY;
+    world.teams.put("blue", new Team("blue", 0, 0, 12 + random.nextInt(12), unlimited));
+    world.teams.put("gold", new Team("gold", 16 + random.nextInt(16), 0, unlimited, unlimited));
+    world.cloud.types.add(
+        new MachineType("wide", new Amounts(16, 0, 64), 50, 1, 1.9, 0.5, 4, List.of("a", "b")));
+    world.cloud.capacity = 4 + random.nextInt(9);
+    world.cloud.runS = 6 + random.nextInt(20);
+    world.cloud.fetchS = random.nextInt(3);
+    world.cloud.answerS = random.nextInt(2);
+    world.reportsOnChange = random.nextBoolean();
+    world.up();
+  }
+
+  private void injectFault(int step) {
+    if (active.size() == MOST_FAULTS_AT_A_TIME || random.nextInt(8) != 0) {
+      return;
+    }
+    Fault fault = nextFault();
+    if (active.stream().noneMatch(other -> other.fault().scope() == fault.scope())) {
+      int lastStep = step + SHORTEST_FAULT_STEPS + random.nextInt(FAULT_STEPS_RANGE);
+      active.add(new ActiveFault(fault, lastStep, fault.inject(world, random)));
+      injected.add(fault);
+    }
+  }
+
+  /** Each kind of fault comes up once before any comes up again. */
+  private Fault nextFault() {
+    if (faultsToCome.isEmpty()) {
+      faultsToCome.addAll(List.of(Fault.values()));
+    }
+    return faultsToCome.remove(random.nextInt(faultsToCome.size()));
+  }
+
+  private void healFaults(int step) {
+    List<ActiveFault> over = active.stream().filter(fault -> fault.lastStep() <= step).toList();
+    active.removeAll(over);
+    over.forEach(fault -> fault.heal().run());
+  }
+
+  /** Without faults all entities go home and open jobs end; what is then told is digested too. */
+  private void endQuietly() {
+    healFaults(Integer.MAX_VALUE);
+    quietSeconds();
+    workload.cancelAll();
+    quietSeconds();
+    workload.askAboutAll();
+    world.run(10);
+    client.end();
+    world.launches.forEach(digester::add);
+  }
+
+  private void quietSeconds() {
+    for (int second = 0; second < QUIET_SECONDS; second++) {
+      world.run(1);
+      observed.look();
+    }
+  }
+
+  private String line() {
+    String brokenRules = world.broken.isEmpty() ? "" : " BROKEN-RULES=" + world.broken.size();
+    return "%3d %-13s faults=%d %s launches=%d%s messages=%d %s"
+        .formatted(
+            seed,
+            flavour.name().toLowerCase(Locale.ROOT),
+            injected.size(),
+            observed.summary(),
+            world.launches.size(),
+            brokenRules,
+            digester.messages(),
+            digester.hex());
+  }
+
+  /** The kinds of faults that the day had. */
+  Set<Fault> injected() {
+    return injected;
+  }
+
+  /** The rules that were broken, as the checker tells of them. */
+  List<String> brokenRules() {
+    return world.broken;
+  }
+}
