--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -38,6 +38,7 @@
   private final Jobs jobs;
   private final Metrics metrics;
 
+  /** Creates the API of one controller, which reads the controller's state through {@code node}. */
   public UserApi(Node node, Jobs jobs) {
     this.node = node;
     this.jobs = jobs;
--- a/src/main/java/io/violetrail/calendar/Definition.java
+++ b/src/main/java/io/violetrail/calendar/Definition.java
@@ -72,6 +72,11 @@
     }
   }
 
+  /**
+   * Reads a schedule definition from a request body and fills in defaults.
+   *
+   * @throws Refused with status 422 and the path of the field that is unknown, missing or invalid
+   */
   public static Definition of(JsonNode m) throws Refused {
     Set<String> unknown = new HashSet<>();
     m.fieldNames().forEachRemaining(unknown::add);
--- a/src/main/java/io/violetrail/calendar/Expression.java
+++ b/src/main/java/io/violetrail/calendar/Expression.java
@@ -53,6 +53,11 @@
   /** Some times on some days; {@code everyMinutes} above 0 instead: counted from midnight. */
   record Rule(List<LocalTime> times, int everyMinutes, DayRule days) {}
 
+  /**
+   * Parses a calendar expression.
+   *
+   * @throws Malformed if the text is too long, does not follow the grammar or can never match
+   */
   public static Expression parse(String text) throws Malformed {
     if (text.length() > MOST_LENGTH) {
       throw new Malformed("longer than " + MOST_LENGTH + " characters");
--- a/src/main/java/io/violetrail/calendar/Reading.java
+++ b/src/main/java/io/violetrail/calendar/Reading.java
@@ -118,13 +118,7 @@
       return DayRule.weekday(weekday(w.WEEKDAY().getSymbol()));
     } else if (b instanceof NthOfMonthContext n) {
       int which = n.which.getType() == CalendarParser.LAST ? 0 : n.which.getText().charAt(0) - '0';
-      DayRule kind =
-          switch (n.what.getType()) {
-            case CalendarParser.WORKDAY -> DayRule.workdays();
-            case CalendarParser.WEEKDAY -> DayRule.weekday(weekday(n.what));
-            default -> DayRule.everyDay();
-          };
-      return DayRule.nth(which, (DayRule.Simple) kind, months(n.months()));
+      return DayRule.nth(which, (DayRule.Simple) dayKind(n.what), months(n.months()));
     } else if (b instanceof DayOfMonthContext d) {
       return DayRule.dayOfMonth(
           number(d.INT().getSymbol(), 1, 31, "day of a month"), months(d.months()));
@@ -142,6 +136,14 @@
     return DayRule.everyDay();
   }
 
+  private static DayRule dayKind(Token what) {
+    return switch (what.getType()) {
+      case CalendarParser.WORKDAY -> DayRule.workdays();
+      case CalendarParser.WEEKDAY -> DayRule.weekday(weekday(what));
+      default -> DayRule.everyDay();
+    };
+  }
+
   private static DayOfWeek weekday(Token t) {
     return DayOfWeek.valueOf(t.getText().toUpperCase(Locale.ROOT));
   }
--- a/src/main/java/io/violetrail/cli/ControllerClient.java
+++ b/src/main/java/io/violetrail/cli/ControllerClient.java
@@ -20,6 +20,8 @@
   private final List<String> servers;
 
   /**
+   * Creates a client of the controllers' HTTP API.
+   *
    * @param servers API addresses, host:port; the next one is asked where one cannot be reached
    */
   ControllerClient(List<String> servers) {
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -71,7 +71,8 @@
       names = "--idle-s",
       defaultValue = "${env:VIOLETRAIL_IDLE_S:-45}",
       description =
-          "how long a machine may be idle before it is returned (VIOLETRAIL_IDLE_S); default: ${DEFAULT-VALUE}")
+          "how long a machine may be idle before it is returned (VIOLETRAIL_IDLE_S);"
+              + " default: ${DEFAULT-VALUE}")
   private double idleS;
 
   @Option(
@@ -129,6 +130,7 @@
     }
   }
 
+  /** Runs the command that the arguments name and exits with its status if that is not 0. */
   public static void main(String[] args) {
     logging();
     // Only a command line that names it loads that command's classes: a start is outage time.
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -25,6 +25,7 @@
   private final double share;
   private double rate;
 
+  /** Creates a client that uses an equal share of 90% of the provider's request rate limit. */
   public CloudClient(Loop loop, Http http, Settings settings) {
     this.loop = loop;
     this.http = http;
@@ -49,6 +50,7 @@
     return budget.take(1, loop.seconds());
   }
 
+  /** Fetches the machine types on offer; the future fails if the reply is an error or malformed. */
   public CompletableFuture<List<MachineType>> types() {
     return call("GET", "/flavors", null)
         .thenApply(
@@ -61,6 +63,10 @@
             });
   }
 
+  /**
+   * Requests {@code count} machines under an idempotency name. The future does not fail: a request
+   * whose outcome cannot be determined yields {@code Rental.UNCERTAIN}.
+   */
   public CompletableFuture<Hired> hire(
       String name, String type, String zone, boolean spot, int count) {
     return send("POST", "/hosts", Cbor.bytes(CloudWire.hire(name, type, zone, spot, count)))
@@ -117,6 +123,10 @@
     UNCERTAIN
   }
 
+  /**
+   * Returns machines to the provider. The future does not fail: a request whose outcome cannot be
+   * determined yields {@code UNCERTAIN}.
+   */
   public CompletableFuture<Return> giveBack(Collection<MachineId> machines) {
     return send("POST", "/hosts/return", Cbor.bytes(CloudWire.giveBack(machines)))
         .handle(
--- a/src/main/java/io/violetrail/config/Settings.java
+++ b/src/main/java/io/violetrail/config/Settings.java
@@ -83,6 +83,11 @@
     return controllers().indexOf(id);
   }
 
+  /**
+   * Loads the settings from a TOML file.
+   *
+   * @throws Invalid if the file is missing, cannot be parsed or holds an invalid value
+   */
   public static Settings load(Path file) throws Invalid {
     if (!Files.isRegularFile(file)) {
       throw new Invalid("settings file " + file + " does not exist");
@@ -98,6 +103,11 @@
     }
   }
 
+  /**
+   * Reads the settings from a parsed document and applies the defaults of absent fields.
+   *
+   * @throws Invalid if a required field is missing or a value is out of range
+   */
   public static Settings read(JsonNode m) throws Invalid {
     Map<ControllerId, HostPort> peers = new LinkedHashMap<>();
     for (JsonNode p : m.path("known")) {
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -32,7 +32,7 @@
  *       who} and {@code why}; {@code POST /config/rollback}: {@code to} in their place
  * </ul>
  *
- * A change is answered with 200 and its revision, 409 and the revision in force, 400 or 422 with
+ * <p>A change is answered with 200 and its revision, 409 and the revision in force, 400 or 422 with
  * what is wrong by path, or 503 where the outcome is not known.
  */
 public final class ConfigurationApi implements Service {
@@ -52,6 +52,8 @@
   private final Service others;
 
   /**
+   * Creates the API of the changeable configuration.
+   *
    * @param states asks every controller for its state
    * @param others serves all other paths; null if nobody does
    */
--- a/src/main/java/io/violetrail/configuration/ConfigurationChange.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationChange.java
@@ -29,6 +29,8 @@
   }
 
   /**
+   * What became of a proposed change, with a message for the operator.
+   *
    * @param revision the change's own if it was applied, else the one in force
    */
   public record Result(Outcome outcome, long revision, String message) {}
--- a/src/main/java/io/violetrail/configuration/ConfigurationDiff.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationDiff.java
@@ -11,6 +11,9 @@
 
   private ConfigurationDiff() {}
 
+  /**
+   * Lists the differences between two configurations, one line each, for display to an operator.
+   */
   public static List<String> between(ClusterConfiguration from, ClusterConfiguration to) {
     ConfigurationDiff diff = new ConfigurationDiff();
     to.teams().forEach((name, team) -> diff.team(from, to, team));
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -69,6 +69,10 @@
   private boolean again;
   private boolean wasFresh;
 
+  /**
+   * Creates a follower that starts from the settings' own configuration; nothing is read before
+   * {@code start()}.
+   */
   public ConfigurationFollower(
       Settings settings, Loop loop, StateStore store, Directory directory, Timing timing) {
     this.settings = settings;
--- a/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
@@ -45,6 +45,7 @@
   private final Loop loop;
   private final StateStore store;
 
+  /** Creates a writer that stores configuration revisions through {@code store}. */
   public ConfigurationWriter(Settings settings, Loop loop, StateStore store) {
     this.settings = settings;
     this.loop = loop;
--- a/src/main/java/io/violetrail/evidence/EvidenceLog.java
+++ b/src/main/java/io/violetrail/evidence/EvidenceLog.java
@@ -31,6 +31,7 @@
   private long droppedSinceLast;
   private long outlivedLeases;
 
+  /** Creates a rate-limited log that passes each finished line to {@code sink}. */
   public EvidenceLog(Loop loop, Consumer<String> sink) {
     this.loop = loop;
     this.sink = sink;
@@ -61,7 +62,8 @@
     }
     double now = loop.seconds();
     write(
-        "task=%s attempt=%d starts_on=%s was_on=%s was_attempt=%d proof=%s proof_age_s=%.1f answered_age_s=%.1f"
+        ("task=%s attempt=%d starts_on=%s was_on=%s was_attempt=%d proof=%s"
+                + " proof_age_s=%.1f answered_age_s=%.1f")
             .formatted(
                 task,
                 attempt,
--- a/src/main/java/io/violetrail/fleet/Fleet.java
+++ b/src/main/java/io/violetrail/fleet/Fleet.java
@@ -54,6 +54,7 @@
   private boolean keeping;
   private int tasteSeed;
 
+  /** Creates the fleet of one controller; {@code cloud} is the provider's client. */
   public Fleet(Node node, CloudClient cloud) {
     this.node = node;
     this.cloud = cloud;
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -97,6 +97,12 @@
   /** It fails what it starts, by what its failures say now. */
   public boolean sick;
 
+  /**
+   * Creates the machine of a stored record.
+   *
+   * @param since version of the owning entity under which it was taken over
+   * @param now steady clock reading, in seconds
+   */
   public Machine(MachineRow row, MachineType type, Version since, double now) {
     this.row = row;
     this.type = type;
@@ -122,12 +128,17 @@
     return tasks.get(id);
   }
 
+  /**
+   * Adds a task and invalidates the cached free resources; a placement of the same task is
+   * replaced.
+   */
   public void add(Placement p) {
     Placement before = tasks.put(p.task(), p);
     wanted += (p.job.spareWork ? 0 : 1) - (before == null || before.job.spareWork ? 0 : 1);
     room = null;
   }
 
+  /** Removes a task if exactly this placement is recorded, and returns whether it was. */
   public boolean remove(Placement p) {
     room = null;
     boolean removed = tasks.remove(p.task(), p);
@@ -139,6 +150,10 @@
     return Collections.unmodifiableMap(strays);
   }
 
+  /**
+   * Replaces the tasks that the worker reports but the controller does not know, with what they
+   * use.
+   */
   public void strays(Map<TaskId, Amounts> now) {
     if (!now.isEmpty() || !strays.isEmpty()) {
       strays.clear();
@@ -147,6 +162,7 @@
     }
   }
 
+  /** Returns the free resources, which are computed again only after the tasks have changed. */
   public Amounts room() {
     if (room == null) {
       room = free();
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -69,6 +69,10 @@
    */
   private final Map<String, Amounts> underWay = new HashMap<>();
 
+  /**
+   * Creates the quota transfers of one controller between the entities that share each team's
+   * limit.
+   */
   public QuotaTransfer(
       Loop loop,
       StateStore store,
--- a/src/main/java/io/violetrail/fleet/RentPlan.java
+++ b/src/main/java/io/violetrail/fleet/RentPlan.java
@@ -57,6 +57,8 @@
   }
 
   /**
+   * Creates a plan for the machines that waiting work needs.
+   *
    * @param acceleratorsWanted work with accelerators was here lately: machines that have them are
    *     not for other work, as placement sees it too
    * @param mayRent how many machines more may be on their way
--- a/src/main/java/io/violetrail/fleet/Spares.java
+++ b/src/main/java/io/violetrail/fleet/Spares.java
@@ -95,6 +95,12 @@
     return boot;
   }
 
+  /**
+   * Records a submitted job as a sample of its class's demand, if that class has a start time
+   * objective.
+   *
+   * @param now steady clock reading, in seconds
+   */
   public void arrived(JobSpec job, double now) {
     if (startsS().containsKey(job.jobClass())) {
       Seen seen = classes.computeIfAbsent(job.jobClass(), c -> new Seen());
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -38,6 +38,7 @@
   /** Jobs that have asked chosen entities for parts of a limit; next they ask all of them. */
   private final Set<JobId> askedSome = new HashSet<>();
 
+  /** Creates the transfer requests of one controller, for quota and for machines. */
   public TransferRequests(Node node, QuotaTransfer quotas) {
     this.node = node;
     this.quotas = quotas;
--- a/src/main/java/io/violetrail/kubernetes/Kubernetes.java
+++ b/src/main/java/io/violetrail/kubernetes/Kubernetes.java
@@ -10,6 +10,8 @@
   private final KubernetesApi api;
 
   /**
+   * Creates the Kubernetes API of one controller.
+   *
    * @param port where every controller serves this API
    */
   public Kubernetes(Node node, Http http, int port) {
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -40,6 +40,7 @@
    */
   private record Target(String group, String plural, String namespace, String name, String part) {}
 
+  /** Handles one request; a malformed one is answered with a Kubernetes {@code Status} object. */
   public void handle(Request request, Exchange to) {
     try {
       route(request, audited(request, to));
--- a/src/main/java/io/violetrail/kubernetes/Listener.java
+++ b/src/main/java/io/violetrail/kubernetes/Listener.java
@@ -28,6 +28,7 @@
 
   private Listener() {}
 
+  /** Opens the API's HTTP listener and returns once it accepts connections. */
   public static void start(
       HostPort at,
       KubernetesApi api,
--- a/src/main/java/io/violetrail/kubernetes/Pods.java
+++ b/src/main/java/io/violetrail/kubernetes/Pods.java
@@ -163,7 +163,7 @@
     Job job = h.jobs.get(part.id());
     boolean complete =
         object.status().path("conditions").path(0).path("type").asText().equals("Complete");
-    int tasks =
+    final int tasks =
         job != null ? job.spec.tasks() : complete ? object.status().path("succeeded").asInt() : 0;
     ObjectNode labels = Cbor.map();
     JsonNode own = object.spec().path("template").path("metadata").path("labels");
@@ -191,8 +191,8 @@
   private static ObjectNode pod(
       KubeObject object, Part part, Job job, int index, String name, ObjectNode labels) {
     Placement p = job == null ? null : job.placed(index);
-    boolean done = job == null || job.isDone(index);
-    boolean runs = p != null && p.runningS > 0;
+    final boolean done = job == null || job.isDone(index);
+    final boolean runs = p != null && p.runningS > 0;
     ObjectNode m = Cbor.map().put("apiVersion", "v1").put("kind", "Pod");
     ObjectNode meta = m.putObject("metadata");
     meta.put("name", name).put("namespace", object.namespace());
--- a/src/main/java/io/violetrail/kubernetes/Rollout.java
+++ b/src/main/java/io/violetrail/kubernetes/Rollout.java
@@ -24,6 +24,8 @@
   record Plan(int begin, Set<Long> end) {}
 
   /**
+   * Creates the limits within which replicas are replaced.
+   *
    * @param surge how many more than wanted there may be, ending ones counted
    * @param unavailable how many fewer than wanted may be ready
    * @param recreate all former replicas end before a new one begins
--- a/src/main/java/io/violetrail/kubernetes/Schema.java
+++ b/src/main/java/io/violetrail/kubernetes/Schema.java
@@ -53,6 +53,7 @@
   private final ObjectNode annotations;
   private final Map<Kind, JsonSchema> schemas = new EnumMap<>(Kind.class);
 
+  /** Loads the published schemas and the lists of refused fields from the class path. */
   public Schema() {
     definitions = resource("schema.json");
     refused = resource("refused.json");
--- a/src/main/java/io/violetrail/kubernetes/Translation.java
+++ b/src/main/java/io/violetrail/kubernetes/Translation.java
@@ -75,7 +75,8 @@
           new Refusal(
               "spec.parallelism",
               Cause.NOT_SUPPORTED,
-              "must equal completions: a job runs as many tasks at once as its team's limit allows"));
+              "must equal completions: a job runs as many tasks at once"
+                  + " as its team's limit allows"));
     }
     String restart = spec.path("template").path("spec").path("restartPolicy").asText();
     if (!restart.equals("Never") && !restart.equals("OnFailure")) {
@@ -245,7 +246,7 @@
     boolean job = kind == Kind.JOB;
     Said said = new Said(kind, annotations, no);
     JsonNode pod = spec.path("template").path("spec");
-    JsonNode container = pod.path("containers").path(0);
+    final JsonNode container = pod.path("containers").path(0);
     ObjectNode m = Cbor.map().put("name_id", id);
     m.put("jobclass", said.text("class", kind.row())).put("crew", team);
     m.put("shape", !job ? "daemon" : said.flag("gang") ? "ensemble" : "batch");
--- a/src/main/java/io/violetrail/model/Amounts.java
+++ b/src/main/java/io/violetrail/model/Amounts.java
@@ -21,6 +21,7 @@
     return new Amounts(Math.max(0, cpus), Math.max(0, gpus), Math.max(0, memoryGb));
   }
 
+  /** Returns whether every amount fits into {@code room}, up to rounding errors. */
   public boolean fitsIn(Amounts room) {
     return cpus <= room.cpus + SLACK
         && gpus <= room.gpus + SLACK
--- a/src/main/java/io/violetrail/model/JobSpec.java
+++ b/src/main/java/io/violetrail/model/JobSpec.java
@@ -23,6 +23,7 @@
     double saveS,
     Double deadlineS) {
 
+  /** Returns whether the job's constraints admit a machine of this type, zone and pricing model. */
   public boolean allows(String type, String inZone, boolean spotMachine) {
     return (types == null || types.contains(type))
         && (zone == null || zone.equals(inZone))
--- a/src/main/java/io/violetrail/model/Version.java
+++ b/src/main/java/io/violetrail/model/Version.java
@@ -17,6 +17,11 @@
   /** What a worker has seen that has seen no token; lower than every version that is given out. */
   public static final Version NONE = new Version(0);
 
+  /**
+   * Checks the value.
+   *
+   * @throws IllegalArgumentException if the value is negative
+   */
   public Version {
     if (value < 0) {
       throw new IllegalArgumentException("a version is not negative: " + value);
--- a/src/main/java/io/violetrail/net/Budget.java
+++ b/src/main/java/io/violetrail/net/Budget.java
@@ -7,6 +7,13 @@
   private double tokens;
   private double last;
 
+  /**
+   * Creates a full token bucket.
+   *
+   * @param perSecond tokens added per second
+   * @param burst capacity, at least 1
+   * @param now steady clock reading, in seconds
+   */
   public Budget(double perSecond, double burst, double now) {
     this.perSecond = perSecond;
     this.burst = Math.max(1, burst);
--- a/src/main/java/io/violetrail/net/Rounds.java
+++ b/src/main/java/io/violetrail/net/Rounds.java
@@ -21,6 +21,10 @@
     this.ask = ask;
   }
 
+  /**
+   * Returns the answer to the question from a request sent after this call; questions that arrive
+   * while one is in flight share the next request.
+   */
   public CompletableFuture<V> ask(K question) {
     if (underWay.contains(question)) {
       return next.computeIfAbsent(question, q -> new CompletableFuture<>());
--- a/src/main/java/io/violetrail/net/Service.java
+++ b/src/main/java/io/violetrail/net/Service.java
@@ -30,6 +30,7 @@
       return new Answer(503, Cbor.bytes(Cbor.map().put("error", why)), 1, CBOR);
     }
 
+    /** Returns status 200 with a plain text body in UTF-8. */
     public static Answer text(String text) {
       return new Answer(
           200,
--- a/src/main/java/io/violetrail/net/UndertowHttp.java
+++ b/src/main/java/io/violetrail/net/UndertowHttp.java
@@ -36,6 +36,7 @@
   private final ByteBufferPool buffers;
   private final Map<HostPort, Pool> pools = new HashMap<>();
 
+  /** Creates a client whose connections and callbacks run on the given I/O thread. */
   public UndertowHttp(XnioIoThread thread, UndertowLoop loop, ByteBufferPool buffers) {
     this.thread = thread;
     this.loop = loop;
--- a/src/main/java/io/violetrail/net/UndertowServer.java
+++ b/src/main/java/io/violetrail/net/UndertowServer.java
@@ -20,6 +20,7 @@
 
   private UndertowServer() {}
 
+  /** Opens an HTTP listener for the service and returns once it accepts connections. */
   public static void start(
       HostPort at, Service service, UndertowLoop loop, XnioWorker worker, ByteBufferPool buffers) {
     bounded(at, worker, buffers)
--- a/src/main/java/io/violetrail/node/Node.java
+++ b/src/main/java/io/violetrail/node/Node.java
@@ -95,6 +95,7 @@
   /** Machines that the cloud has taken back while their rows still stand. */
   public final Set<MachineId> gone = new HashSet<>();
 
+  /** Creates all parts of one controller without starting timers or sending requests. */
   public Node(Settings settings, Options options, Loop loop, Http http, Random random) {
     this.settings = settings;
     this.options = options;
@@ -143,6 +144,7 @@
     return peers;
   }
 
+  /** Starts membership, configuration and the periodic work that depends on them. */
   public void start() {
     membership.start();
     configuration.start();
@@ -176,6 +178,10 @@
     return types.get(name);
   }
 
+  /**
+   * Returns the machine types by name, as last stored; they are kept if newly stored ones cannot be
+   * read.
+   */
   public Map<String, MachineType> types() {
     if (directory.types() != null && directory.types() != typesFrom) {
       typesFrom = directory.types();
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -75,6 +75,10 @@
   private final List<Runnable> afterListing = new ArrayList<>();
   private boolean doubted;
 
+  /**
+   * Creates the membership of one controller; {@code listener} is told of each entity gained or
+   * lost.
+   */
   public Membership(
       Settings settings,
       Loop loop,
@@ -90,6 +94,7 @@
     this.listener = listener;
   }
 
+  /** Acquires a lease and starts its periodic renewal and checks. */
   public void start() {
     startedS = loop.seconds();
     acquire();
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -49,6 +49,12 @@
   private long attempts;
   private long hires;
 
+  /**
+   * Creates the state of an entity that this controller owns from now on.
+   *
+   * @param calm whether the previous owner released the entity itself
+   * @param now steady clock reading, in seconds
+   */
   public OwnedEntity(EntityRow row, boolean calm, double now) {
     row.version().requireToken();
     this.row = row;
@@ -119,6 +125,11 @@
     return false;
   }
 
+  /**
+   * Records a placement and counts its resources against the team's limits.
+   *
+   * @throws IllegalStateException if the placement is counted already
+   */
   public void place(Placement p) {
     if (p.counted) {
       throw new IllegalStateException(p.task() + " is placed twice");
--- a/src/main/java/io/violetrail/ownership/Register.java
+++ b/src/main/java/io/violetrail/ownership/Register.java
@@ -86,6 +86,7 @@
     }
   }
 
+  /** Creates the batched writer of one entity's machine records. */
   public Register(
       Loop loop,
       StateStore store,
@@ -264,6 +265,7 @@
               .when(Rows.machine(id), 0)
               .set(Rows.machine(id), Rows.value(e.row));
         }
+        default -> throw new IllegalStateException("unhandled kind of edit " + e.kind);
       }
       taken.add(e);
       return true;
--- a/src/main/java/io/violetrail/ownership/Rows.java
+++ b/src/main/java/io/violetrail/ownership/Rows.java
@@ -166,6 +166,7 @@
     return new AliveRow(v.path("token_in_every_answer").asBoolean(), stamp);
   }
 
+  /** Encodes an entity's record; {@code owner} is the owning controller. */
   public static ObjectNode value(EntityRow row, String owner) {
     return Cbor.map()
         .put("owner", owner)
@@ -175,6 +176,9 @@
         .put("seized", row.past().seizedMs());
   }
 
+  /**
+   * Decodes the record of the entity that the key names; {@code stamp} is the record's revision.
+   */
   public static EntityRow entity(String key, JsonNode v, long stamp) {
     return new EntityRow(
         new ControllerId(key.substring(ENTITY.length())),
@@ -184,6 +188,7 @@
         stamp);
   }
 
+  /** Encodes a machine's record; its key and place of storage are not part of the value. */
   public static ObjectNode value(MachineRow row) {
     return Cbor.map()
         .put("entity", row.entity().value())
@@ -195,6 +200,10 @@
         .put("rented", row.rentedMs());
   }
 
+  /**
+   * Decodes a machine that is stored in a record of its own; {@code stamp} is the record's
+   * revision.
+   */
   public static MachineRow machine(String key, JsonNode v, long stamp) {
     return new MachineRow(
         new MachineId(key.substring(MACHINE.length())),
--- a/src/main/java/io/violetrail/ownership/Timing.java
+++ b/src/main/java/io/violetrail/ownership/Timing.java
@@ -35,6 +35,12 @@
   /** Twice the drift that the protocol allows two steady clocks, 0.05 % each. */
   private static final double DRIFT = 0.002;
 
+  /**
+   * Derives all intervals from the settings.
+   *
+   * @param lapseS the controllers' lease time to live in seconds; null to derive it from the
+   *     workers' lease
+   */
   public static Timing of(Settings s, Double lapseS) {
     var w = s.workers();
     double ttl = lapseS != null ? lapseS : Math.max(2, w.leaseS() * 0.4);
--- a/src/main/java/io/violetrail/peer/Peers.java
+++ b/src/main/java/io/violetrail/peer/Peers.java
@@ -41,6 +41,7 @@
   private final BudgetLending lending;
   private Kryo kryo;
 
+  /** Creates the peer protocol of one controller; without a node, no request budget is lent. */
   public Peers(Node node, Http http) {
     this.node = node;
     this.http = http;
@@ -223,6 +224,10 @@
         .thenApply(nothing -> asked.stream().map(CompletableFuture::join).toList());
   }
 
+  /**
+   * Asks a controller to release the entity named after this one; a lost request is not repeated
+   * here.
+   */
   public void askBack(ControllerId owner) {
     call(
         owner,
@@ -333,6 +338,7 @@
         node.membership.told(new ControllerId(q.subject()), new Version(q.number()));
         reply.accept(Reply.UNKNOWN);
       }
+      default -> throw new IllegalStateException("unhandled question kind " + q.kind());
     }
   }
 
--- a/src/main/java/io/violetrail/peer/ResourceRequest.java
+++ b/src/main/java/io/violetrail/peer/ResourceRequest.java
@@ -114,6 +114,9 @@
     return types.isEmpty() ? null : List.of(types.split(","));
   }
 
+  /**
+   * Returns whether the request's constraints admit a machine of this type, zone and pricing model.
+   */
   public boolean allows(String type, String inZone, boolean spotMachine) {
     return (types.isEmpty() || typeList().contains(type))
         && (zone.isEmpty() || zone.equals(inZone))
--- a/src/main/java/io/violetrail/scheduling/Aims.java
+++ b/src/main/java/io/violetrail/scheduling/Aims.java
@@ -11,16 +11,16 @@
 
 /** When jobs are expected to be complete, by their deadlines and by the users' objectives. */
 public final class Aims {
-  /** Without a moment to be done by: at once this many times the cheapest ordinary price, */
+  /** Without a moment to be done by: at once this many times the cheapest ordinary price. */
   private static final double WORTH = 3;
 
-  /** and once more for each of these. */
+  /** How often that worth is added again while a job waits, one unit for each such time. */
   private static final double WORTH_EVERY_S = 15;
 
-  /** With one: at first any ordinary machine that is not much dearer than the cheapest, */
+  /** With one: at first any ordinary machine that is not much dearer than the cheapest. */
   private static final double WORTH_AT_EASE = 1.4;
 
-  /** and at the last moment to start in time this much more. */
+  /** What is added to that factor at the last moment to start in time. */
   private static final double WORTH_PRESSED = 2;
 
   /** Spare work is worth what is cheaper than any ordinary machine, however long it waits. */
--- a/src/main/java/io/violetrail/scheduling/Blame.java
+++ b/src/main/java/io/violetrail/scheduling/Blame.java
@@ -14,10 +14,10 @@
   /** So much evidence, one for each job that runs well elsewhere, and a machine is out of use. */
   private static final double SICK = 2;
 
-  /** A job that has not run well anywhere yet says less: four of them are no accident, */
+  /** A job that has not run well anywhere yet says less: four of them are no accident. */
   private static final double UNPROVEN_SAYS = 0.5;
 
-  /** and of suspect ones eight. */
+  /** The weight of a job that is itself suspect; eight of them are needed. */
   private static final double SUSPECT_SAYS = 0.25;
 
   /** So many failures of a job that runs well elsewhere are the machine's. */
--- a/src/main/java/io/violetrail/scheduling/Dispatcher.java
+++ b/src/main/java/io/violetrail/scheduling/Dispatcher.java
@@ -51,6 +51,7 @@
   private final Soon next;
   private double notBeforeS;
 
+  /** Creates the dispatcher of one controller; no scheduling pass runs before it is asked for. */
   public Dispatcher(Node node) {
     this.node = node;
     this.aims = new Aims(node.configuration);
@@ -111,8 +112,8 @@
     }
     h.recovered = true;
     LOG.info(
-        "entity {} version {}: {} s after the move all of {} machines have reported or hold nothing;"
-            + " what no report shows may start",
+        "entity {} version {}: {} s after the move all of {} machines have reported or hold"
+            + " nothing; what no report shows may start",
         h.entity(),
         h.row.version(),
         tenths(now - h.gainedS),
@@ -153,8 +154,8 @@
         m.heard ? now - m.answeredS > node.timing.goneAfterAnswerS() : now > m.unheardGoneS;
     if (m.silent && gone && m.firstSession <= m.session) {
       LOG.info(
-          "machine {}: its worker's lease is over, and so are {} tasks: last answer {} s ago, a lease"
-              + " ends after {} s; heard under this version: {}",
+          "machine {}: its worker's lease is over, and so are {} tasks: last answer {} s ago, a"
+              + " lease ends after {} s; heard under this version: {}",
           m.id(),
           m.tasks().size(),
           tenths(now - m.answeredS),
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -77,6 +77,14 @@
     this(spec, arrivedMs, arrivedS, recovered, false);
   }
 
+  /**
+   * Creates a job that has not placed any task yet.
+   *
+   * @param arrivedMs submission time, in milliseconds since the epoch
+   * @param arrivedS submission time on the steady clock, in seconds
+   * @param recovered whether the job was read from storage rather than submitted here
+   * @param spareWork whether the tasks only use idle capacity and are not counted as demand
+   */
   public Job(JobSpec spec, long arrivedMs, double arrivedS, boolean recovered, boolean spareWork) {
     this.spareWork = spareWork;
     this.spec = spec;
@@ -118,6 +126,7 @@
     return done.get(index);
   }
 
+  /** Marks a task as successfully finished; a repeated call has no effect. */
   public void markDone(int index) {
     if (!done.get(index)) {
       done.set(index);
@@ -159,6 +168,7 @@
     taken.set(p.index);
   }
 
+  /** Removes a placement if it is the task's current one, so that the task can be placed again. */
   public void unplace(Placement p) {
     if (placed.get(p.index) == p) {
       placed.remove(p.index);
@@ -230,6 +240,7 @@
     return phase == Phase.CLOSING || phase == Phase.CANCELLING;
   }
 
+  /** Returns the state that users see. */
   public JobView view() {
     if (phase == Phase.OVER) {
       return new JobView(spec.id().value(), end, doneCount, 0);
--- a/src/main/java/io/violetrail/scheduling/Placement.java
+++ b/src/main/java/io/violetrail/scheduling/Placement.java
@@ -28,6 +28,13 @@
   /** Identifies a report of a worker. */
   public record Sent(long session, long sequence) {}
 
+  /**
+   * Creates an attempt to run one task on a machine.
+   *
+   * @param index position of the task within its job
+   * @param attempt number of the attempt
+   * @param sinceS steady clock reading at placement, in seconds
+   */
   public Placement(Job job, int index, Machine machine, long attempt, double sinceS) {
     this.job = job;
     this.index = index;
--- a/src/main/java/io/violetrail/scheduling/Placer.java
+++ b/src/main/java/io/violetrail/scheduling/Placer.java
@@ -32,10 +32,10 @@
   /** Classes of jobs with accelerators that were here lately, with what their tasks take. */
   private final Map<String, Accelerated> accelerated = new HashMap<>();
 
-  /** Weight of a machine's idleness, below those of price and images, */
+  /** Weight of a machine's idleness, below those of price and images. */
   private static final double LONGEST_IDLE = 0.3;
 
-  /** and the idleness that gets all of it. */
+  /** The idle time at which a machine gets all of that weight. */
   private static final double IDLE_S = 60;
 
   private double nowS;
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -29,6 +29,8 @@
   private final Consumer<Placement> halted;
 
   /**
+   * Creates a preemption that stops tasks through a callback.
+   *
    * @param halted told of each task that is to stop
    */
   Preemption(Consumer<Placement> halted) {
--- a/src/main/java/io/violetrail/state/RowFeed.java
+++ b/src/main/java/io/violetrail/state/RowFeed.java
@@ -30,6 +30,7 @@
     void changed(List<Change> changes, long revision);
   }
 
+  /** Creates a feed of the rows under a key prefix; nothing is read before {@code start()}. */
   public RowFeed(StateStore store, Loop loop, String prefix, Rows rows) {
     this.store = store;
     this.loop = loop;
@@ -37,6 +38,7 @@
     this.rows = rows;
   }
 
+  /** Lists all rows and then watches for changes; a failed listing is tried again after a delay. */
   public void start() {
     store
         .list(prefix)
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -59,6 +59,7 @@
   private final GroupCommit group;
   private int sharers;
 
+  /** Creates a client with equal shares of the state service's rate limits. */
   public StateStore(Loop loop, Http http, Settings settings) {
     this.loop = loop;
     this.http = http;
@@ -310,6 +311,11 @@
             });
   }
 
+  /**
+   * Requests a new lease and returns its id.
+   *
+   * @param ttlS time to live in seconds
+   */
   public CompletableFuture<Long> lease(double ttlS) {
     requests.force(1, loop.seconds());
     return call("POST", "/leases", Cbor.bytes(StateWire.lease(Math.round(ttlS * 1000))), TIMEOUT_S)
--- a/src/main/java/io/violetrail/tracing/SpanTraces.java
+++ b/src/main/java/io/violetrail/tracing/SpanTraces.java
@@ -44,6 +44,8 @@
   }
 
   /**
+   * Creates a recorder of job traces that holds a bounded number of spans.
+   *
    * @param most spans that are kept once they are over, and jobs under way
    */
   public SpanTraces(Loop loop, int most) {
--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -37,6 +37,7 @@
     return MAPPER.createArrayNode();
   }
 
+  /** Encodes a document as CBOR. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
--- a/src/main/java/io/violetrail/wire/CloudWire.java
+++ b/src/main/java/io/violetrail/wire/CloudWire.java
@@ -18,6 +18,11 @@
 
   private CloudWire() {}
 
+  /**
+   * Decodes the provider's machine types.
+   *
+   * @throws Malformed if the list or a required field is missing
+   */
   public static List<MachineType> types(JsonNode m) throws Malformed {
     List<MachineType> all = new ArrayList<>();
     JsonNode list = Cbor.present(m, "hosttypes");
@@ -40,6 +45,7 @@
     return all;
   }
 
+  /** Encodes machine types in the provider's form. */
   public static ObjectNode types(Collection<MachineType> types) {
     ObjectNode m = Cbor.map();
     var list = m.putArray("hosttypes");
@@ -58,6 +64,7 @@
     return m;
   }
 
+  /** Encodes a request for machines; {@code name} makes a repeated request idempotent. */
   public static ObjectNode hire(String name, String type, String zone, boolean spot, int count) {
     return Cbor.map()
         .put("hire", name)
@@ -67,6 +74,7 @@
         .put("count", count);
   }
 
+  /** Encodes a request to return machines. */
   public static ObjectNode giveBack(Collection<MachineId> machines) {
     ObjectNode m = Cbor.map();
     var list = m.putArray("hosts");
@@ -74,6 +82,11 @@
     return m;
   }
 
+  /**
+   * Decodes the ids in a listing of rented machines.
+   *
+   * @throws Malformed if an entry has no id
+   */
   public static List<MachineId> listed(JsonNode m) throws Malformed {
     List<MachineId> all = new ArrayList<>();
     for (JsonNode host : m.path("hosts")) {
@@ -86,6 +99,11 @@
     return m.path("truncated").asBoolean(false);
   }
 
+  /**
+   * Decodes the ids of machines that a request has rented.
+   *
+   * @throws Malformed if the list is missing
+   */
   public static List<MachineId> hired(JsonNode m) throws Malformed {
     List<String> names = Cbor.texts(m, "hosts");
     if (names == null) {
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -110,6 +110,11 @@
    */
   private static final long MOST = 1L << 53;
 
+  /**
+   * Decodes a worker's heartbeat.
+   *
+   * @throws Malformed if a required field is missing or has the wrong type
+   */
   public static WorkerReport report(JsonNode m) throws Malformed {
     List<TaskReport> pieces = new ArrayList<>();
     Set<String> seen = new HashSet<>();
--- a/src/main/java/io/violetrail/wire/JobWire.java
+++ b/src/main/java/io/violetrail/wire/JobWire.java
@@ -38,6 +38,11 @@
     return spec(m);
   }
 
+  /**
+   * Decodes a submitted job.
+   *
+   * @throws Malformed if a required field is missing or a value is out of range
+   */
   public static JobSpec spec(JsonNode m) throws Malformed {
     String id = Cbor.text(m, "name_id");
     if (!JobId.wellFormed(id)) {
@@ -69,6 +74,7 @@
         deadline);
   }
 
+  /** Encodes a job in the form in which it is submitted; fields at their default are left out. */
   public static ObjectNode spec(JobSpec s) {
     ObjectNode m = Cbor.map();
     m.put("name_id", s.id().value()).put("jobclass", s.jobClass()).put("crew", s.team());
@@ -133,6 +139,7 @@
     return spec(m);
   }
 
+  /** Encodes a job's status and its counts of finished and running tasks. */
   public static ObjectNode view(JobView v) {
     ObjectNode m =
         Cbor.map().put("name_id", v.id()).put("status", v.status().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/io/violetrail/wire/StateWire.java
+++ b/src/main/java/io/violetrail/wire/StateWire.java
@@ -33,6 +33,10 @@
     private final Map<String, Long> stamps = new LinkedHashMap<>();
     private final Set<String> written = new HashSet<>();
 
+    /**
+     * Adds the condition that a key's revision is {@code stamp}; 0 means that the key does not
+     * exist.
+     */
     public Txn when(String key, long stamp) {
       if (stamps.put(key, stamp) == null) {
         conditions.addObject().put("key", key).put("stamp", stamp);
@@ -40,12 +44,14 @@
       return this;
     }
 
+    /** Adds a write of a key. */
     public Txn set(String key, JsonNode value) {
       written.add(key);
       writes.addObject().put("set", key).set("v", value);
       return this;
     }
 
+    /** Adds a write of a key that is deleted when the lease expires. */
     public Txn setHeld(String key, JsonNode value, long lease) {
       written.add(key);
       ObjectNode w = writes.addObject().put("set", key);
@@ -54,6 +60,7 @@
       return this;
     }
 
+    /** Adds a deletion of a key. */
     public Txn drop(String key) {
       written.add(key);
       writes.addObject().put("drop", key);
@@ -108,12 +115,14 @@
     return m.path("epoch").asLong();
   }
 
+  /** Decodes a transaction's result, with the keys whose conditions failed. */
   public static Outcome outcome(boolean applied, JsonNode m) {
     Set<String> failed = new HashSet<>();
     m.path("failed").forEach(k -> failed.add(k.asText()));
     return new Outcome(applied, revision(m), failed);
   }
 
+  /** Decodes the changes of a watch response in order; a deletion has a null value. */
   public static List<Change> changes(JsonNode m) {
     List<Change> all = new ArrayList<>();
     for (JsonNode e : m.path("log")) {
--- a/src/main/java/io/violetrail/wire/kubernetes/KubeJson.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/KubeJson.java
@@ -71,6 +71,7 @@
     return MAPPER.createObjectNode();
   }
 
+  /** Encodes a document as JSON in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -79,6 +80,11 @@
     }
   }
 
+  /**
+   * Decodes a JSON object.
+   *
+   * @throws Malformed if the body cannot be parsed or is not an object
+   */
   public static ObjectNode parse(byte[] body) throws Malformed {
     try (JsonParser parser = MAPPER.getFactory().createParser(body)) {
       return parse(parser);
--- a/src/main/java/io/violetrail/wire/kubernetes/KubeStatus.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/KubeStatus.java
@@ -67,6 +67,7 @@
     return new KubeStatus(bad ? 400 : 422, bad ? "BadRequest" : "Invalid", message, refusals, 0);
   }
 
+  /** Encodes the failure as a Kubernetes {@code Status} object. */
   public ObjectNode json() {
     ObjectNode m = KubeJson.object();
     m.put("kind", "Status").put("apiVersion", "v1").putObject("metadata");
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -71,6 +71,7 @@
   private final WorkerContacts contacts;
   private final ReportReconciler reconciler;
 
+  /** Creates the handler of the heartbeats that reach one controller. */
   public HeartbeatHandler(Node node, Jobs jobs) {
     this.node = node;
     this.jobs = jobs;
@@ -80,6 +81,10 @@
     this.reconciler = new ReportReconciler(node, jobs);
   }
 
+  /**
+   * Handles a heartbeat and answers it at once or when there are instructions for the worker; a
+   * malformed one is answered with status 400.
+   */
   public void handle(byte[] body, Consumer<Answer> answered) {
     WorkerReport report;
     try {
@@ -361,8 +366,8 @@
       }
       return renew(holding, token, report, first);
     }
-    int before = m.tasks().size();
-    boolean wasOpen = m.open();
+    final int before = m.tasks().size();
+    final boolean wasOpen = m.open();
     reconciler.take(holding, m, report, now, orders);
     m.session = report.session();
     m.sequence = report.sequence();
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -61,6 +61,7 @@
     this.http = http;
   }
 
+  /** Starts the periodic check of whether workers' heartbeats still arrive. */
   public void start() {
     heardS = node.loop.seconds();
     tickedS = heardS;
--- a/src/test/java/io/violetrail/configuration/ConfigurationTest.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationTest.java
@@ -210,7 +210,7 @@
     up(8, 30);
     ObjectNode change = change(0, "r1", team("red", 20));
     world.state.lostAcks.put("c0", 1.0);
-    var lost = post("c0", "/config", change);
+    final var lost = post("c0", "/config", change);
     world.run(6);
     world.state.lostAcks.clear();
     assertEquals(200, apply("c1", change).status());
--- a/src/test/java/io/violetrail/fakes/FakeState.java
+++ b/src/test/java/io/violetrail/fakes/FakeState.java
@@ -110,6 +110,7 @@
     return new HashSet<>(keys.subMap(prefix, prefix + "\uffff").keySet());
   }
 
+  /** Starts or ends an outage; at its end every lease gets its full time to live again. */
   public void outage(boolean on) {
     down = on;
     if (!on) {
@@ -158,7 +159,7 @@
   public void handle(String method, String from, byte[] bytes, Consumer<Answer> told) {
     double slow = from.contains(" /changes") ? 0 : slowS;
     Consumer<Answer> done = slow == 0 ? told : a -> world.at(slow, () -> told.accept(a));
-    String who = from.substring(0, from.indexOf(' '));
+    final String who = from.substring(0, from.indexOf(' '));
     String path = from.substring(from.indexOf(' ') + 1);
     expire();
     requestsByKind.merge(Traffic.kind(method, path), 1L, Long::sum);
--- a/src/test/java/io/violetrail/fakes/FakeWorker.java
+++ b/src/test/java/io/violetrail/fakes/FakeWorker.java
@@ -101,10 +101,10 @@
 
   private double reportedS = Double.NEGATIVE_INFINITY;
 
-  /** A report of a change is to be sent in a moment, */
+  /** A report of a change is to be sent in a moment. */
   private boolean reportDue;
 
-  /** or once the one in flight is answered. */
+  /** A report is to be sent once the one in flight is answered. */
   private boolean changedInFlight;
 
   /** Whether reports are kept for {@link #repeat}; not where there are very many. */
--- a/src/test/java/io/violetrail/fakes/FleetCost.java
+++ b/src/test/java/io/violetrail/fakes/FleetCost.java
@@ -53,8 +53,8 @@
     int placed = world.launches.size() - launched;
     if (print) {
       System.out.printf(
-          "%d machines: %.0f us a report (and %.0f us of the fakes), %.1f machines looked at a placement (%d placed), %.1f"
-              + " writes a submission of %d tasks%n",
+          "%d machines: %.0f us a report (and %.0f us of the fakes), %.1f machines looked at a"
+              + " placement (%d placed), %.1f writes a submission of %d tasks%n",
           machines,
           1e6 * program / reports,
           1e6 * (total - program) / reports,
--- a/src/test/java/io/violetrail/fakes/KubeClient.java
+++ b/src/test/java/io/violetrail/fakes/KubeClient.java
@@ -91,6 +91,7 @@
     return send(node, "GET", target, null);
   }
 
+  /** Opens a watch and fails if it is answered with a body instead of a stream. */
   public Events watch(String node, String target) {
     Answer answer = ask(node, "GET", target, new byte[0]);
     if (answer.reply.body() != null) {
--- a/src/test/java/io/violetrail/fakes/KubeLoad.java
+++ b/src/test/java/io/violetrail/fakes/KubeLoad.java
@@ -43,7 +43,8 @@
     c.setRequestProperty("Content-Type", "application/json");
     String manifest =
         """
-        {"apiVersion":"batch/v1","kind":"Job","metadata":{"name":"load-%d"},"spec":{"template":{"spec":
+        {"apiVersion":"batch/v1","kind":"Job","metadata":{"name":"load-%d"},"spec":{"template":{\
+        "spec":
         {"restartPolicy":"Never","containers":[{"name":"c","image":"i","resources":{"requests":
         {"cpu":"1","memory":"1G"}}}]}}}}"""
             .formatted(i);
--- a/src/test/java/io/violetrail/fakes/KubePairs.java
+++ b/src/test/java/io/violetrail/fakes/KubePairs.java
@@ -38,7 +38,8 @@
       String manifest =
           """
           {"apiVersion":"batch/v1","kind":"Job","metadata":{"name":"pair-%d","annotations":{
-          "violetrail.io/estimate":"5s"}},"spec":{"completions":%d,"parallelism":%d,"template":{"spec":
+          "violetrail.io/estimate":"5s"}},"spec":{"completions":%d,"parallelism":%d,"template":{\
+          "spec":
           {"restartPolicy":"Never","containers":[{"name":"c","image":"img","resources":{"requests":
           {"cpu":"%dm","memory":"1G"}}}]}}}}"""
               .formatted(i, tasks, tasks, millicores);
--- a/src/test/java/io/violetrail/fakes/LiveWorld.java
+++ b/src/test/java/io/violetrail/fakes/LiveWorld.java
@@ -30,6 +30,7 @@
   private double lastS;
   private volatile boolean stopped;
 
+  /** Serves the simulated services on real sockets, from a single I/O thread. */
   public LiveWorld(World world) throws IOException {
     this.world = world;
     this.worker =
--- a/src/test/java/io/violetrail/fakes/NetworkFaults.java
+++ b/src/test/java/io/violetrail/fakes/NetworkFaults.java
@@ -71,6 +71,7 @@
     lose = m -> false;
   }
 
+  /** Stops holding messages back and delivers those held so far, in order. */
   public void release() {
     hold = m -> false;
     List<Runnable> late = new ArrayList<>(held);
--- a/src/test/java/io/violetrail/fakes/RunningTasks.java
+++ b/src/test/java/io/violetrail/fakes/RunningTasks.java
@@ -35,6 +35,8 @@
   }
 
   /**
+   * Creates a record of the tasks that run, to check resource use against.
+   *
    * @param resourcesOfJob what a job's tasks take; null while the job is not known
    */
   RunningTasks(Function<String, Resources> resourcesOfJob) {
--- a/src/test/java/io/violetrail/fakes/SettingsFile.java
+++ b/src/test/java/io/violetrail/fakes/SettingsFile.java
@@ -14,6 +14,7 @@
   public record Addresses(
       HostPort api, HostPort listen, Map<String, HostPort> peers, HostPort cloud, HostPort state) {}
 
+  /** Returns the text of a controller's settings file, in TOML. */
   public static String text(World world, String label, String zone, Addresses at) {
     StringBuilder text = new StringBuilder();
     line(text, "label = \"%s\"", label);
--- a/src/test/java/io/violetrail/fakes/Traffic.java
+++ b/src/test/java/io/violetrail/fakes/Traffic.java
@@ -14,6 +14,7 @@
 
   private final Map<String, Count> byKind = new TreeMap<>();
 
+  /** Counts a request and the bytes of its body. */
   public void asked(String kind, byte[] body) {
     Count c = of(kind);
     c.messages++;
--- a/src/test/java/io/violetrail/fakes/User.java
+++ b/src/test/java/io/violetrail/fakes/User.java
@@ -12,6 +12,7 @@
     this.world = world;
   }
 
+  /** Returns a batch job of small tasks in the form in which users submit it. */
   public static ObjectNode job(String id, int tasks) {
     ObjectNode m =
         Cbor.map()
@@ -35,6 +36,7 @@
     return m;
   }
 
+  /** Sends a request and waits up to 6 s of virtual time; a failed request yields status 0. */
   public Http.Reply send(String node, String method, String path, byte[] body) {
     var future = world.ask("user", node, method, path, body);
     world.until(6, future::isDone);
--- a/src/test/java/io/violetrail/fakes/World.java
+++ b/src/test/java/io/violetrail/fakes/World.java
@@ -131,6 +131,7 @@
     }
   }
 
+  /** Creates a cluster with an equal number of names and places; no controller is started yet. */
   public World(int controllers, long seed) {
     random = new Random(seed);
     count = controllers;
@@ -166,6 +167,7 @@
     return now;
   }
 
+  /** Runs all events of the next {@code seconds} of virtual time. */
   public World run(double seconds) {
     double until = now + seconds;
     while (!events.isEmpty() && events.peek().at <= until) {
@@ -193,6 +195,7 @@
     events.add(new Event(now + inSeconds, order++, task));
   }
 
+  /** Starts a new process of the named controller. */
   public Node start(String name) {
     int life = lives.merge(name, 1, Integer::sum);
     Settings settings = settings(name);
@@ -231,6 +234,7 @@
     return node;
   }
 
+  /** Ends a controller's process at once, without any of its shutdown steps. */
   public void kill(String name) {
     lives.merge(name, 1, Integer::sum);
     nodes.remove(name);
@@ -304,6 +308,12 @@
         awake(name, life, () -> service.handle(method, path, body, done));
   }
 
+  /**
+   * Sends a request over the simulated network on behalf of one life of the sender.
+   *
+   * @param life count of the sender's starts; a reply to an earlier process is not delivered
+   * @param timeoutS seconds of virtual time until the future fails
+   */
   public CompletableFuture<Http.Reply> call(
       String from,
       int life,
@@ -412,6 +422,7 @@
     return new HostPort(node, 8080);
   }
 
+  /** Returns the settings of the named controller, with all others as its peers. */
   public Settings settings(String name) {
     Map<ControllerId, HostPort> peers = new LinkedHashMap<>();
     for (int i = 0; i < count; i++) {
--- a/src/test/java/io/violetrail/scale/ControllerProcess.java
+++ b/src/test/java/io/violetrail/scale/ControllerProcess.java
@@ -34,6 +34,8 @@
   record Usage(double cpuS, double residentMib, long sockets) {}
 
   /**
+   * Starts a controller as a process of its own.
+   *
    * @param onLine told of each line that the process logs, with its name
    */
   ControllerProcess(
--- a/src/test/java/io/violetrail/scale/ScaleRun.java
+++ b/src/test/java/io/violetrail/scale/ScaleRun.java
@@ -439,6 +439,7 @@
         network.cutRegions("r0", "r1");
         world.at(fault.forS(), this::mend);
       }
+      default -> throw new IllegalStateException("unhandled fault kind " + fault.kind());
     }
   }
 
@@ -490,7 +491,8 @@
               () ->
                   String.format(
                       Locale.ROOT,
-                      "%d tasks run, %.0f starts a s, %d of %d submissions accepted, %d rules broken",
+                      "%d tasks run, %.0f starts a s, %d of %d submissions accepted,"
+                          + " %d rules broken",
                       runningTasks(),
                       load.startsPerS(),
                       load.accepted,
--- a/src/test/java/io/violetrail/scale/StateProcess.java
+++ b/src/test/java/io/violetrail/scale/StateProcess.java
@@ -25,6 +25,7 @@
   @Option(names = "--changes", required = true, description = "changes a second")
   private double changesPerS;
 
+  /** Serves a state service until the process is ended. */
   public static void main(String[] args) {
     Logging.errorsOnly();
     int status = new CommandLine(new StateProcess()).execute(args);
--- a/src/test/java/io/violetrail/stories/AnswersTest.java
+++ b/src/test/java/io/violetrail/stories/AnswersTest.java
@@ -162,7 +162,9 @@
           case "cut" -> world.network.refuse(m -> m.matches("c[12] c0 .*|c0 c[12] .*"));
           case "doubt" -> world.state.refusedFor.add("c0");
           case "moved" -> world.kill("c0");
-          default -> {}
+          default -> {
+            // no other fault
+          }
         }
       }
       if (i == 8 && trouble.equals("moved")) {
--- a/src/test/java/io/violetrail/stories/CommandsTest.java
+++ b/src/test/java/io/violetrail/stories/CommandsTest.java
@@ -205,7 +205,7 @@
     }
     world.until(30, () -> world.cloud.workers.size() >= 3);
     world.until(200, () -> world.cloud.workers.isEmpty());
-    List<FakeWorker> gone = List.copyOf(world.cloud.everUp);
+    final List<FakeWorker> gone = List.copyOf(world.cloud.everUp);
     for (int i = 0; i < 3; i++) {
       world.kill(World.name(i));
     }
--- a/src/test/java/io/violetrail/stories/FailoverTest.java
+++ b/src/test/java/io/violetrail/stories/FailoverTest.java
@@ -77,7 +77,7 @@
   void allControllersAreAwayForLongerThanALease(double away) {
     world.up();
     world.cloud.runS = 30;
-    List<String> jobs = accepted(6, 3);
+    final List<String> jobs = accepted(6, 3);
     world.run(10);
     abort("c1", "job-1");
     world.run(0.3);
@@ -86,7 +86,7 @@
     }
     world.run(away);
     startThoseThatEnded();
-    double back = world.now();
+    final double back = world.now();
     world.run(4);
     world.checker.troublesOver();
     world.until(20, () -> user.submit("c0", User.job("job-9", 1)) == 201);
@@ -104,7 +104,7 @@
     Random random = new Random(seed);
     world.up();
     world.cloud.runS = 40;
-    List<String> jobs = accepted(9, 3);
+    final List<String> jobs = accepted(9, 3);
     world.run(8);
     // One machine can't be reached all the while, and the cloud takes nothing back: what it may
     // hold is the evidence that all owners wait for, and none may wait for it anew.
@@ -145,7 +145,7 @@
     world(seed);
     world.up();
     world.cloud.runS = 50;
-    List<String> jobs = accepted(9, 3);
+    final List<String> jobs = accepted(9, 3);
     world.run(10);
     var inside =
         world.cloud.workers.values().stream()
@@ -180,7 +180,7 @@
     world.cloud.capacity = 60;
     world.cloud.runS = 6;
     world.up();
-    int before = world.state.writes;
+    final int before = world.state.writes;
     int[] refused = {0};
     int jobs = 4 * 120;
     for (int i = 0; i < jobs; i++) {
--- a/src/test/java/io/violetrail/stories/FailureTest.java
+++ b/src/test/java/io/violetrail/stories/FailureTest.java
@@ -28,7 +28,7 @@
     world.up();
     user.submit("c0", User.job("job-1", 3));
     FakeWorker w = runs("job-1/0");
-    int launched = w.launches;
+    final int launched = w.launches;
     world.kill("c0");
     world.run(9);
     assertTrue(w.has("job-1/0"), "the worker's lease outlived its controller");
@@ -77,7 +77,7 @@
   @Test
   void anOwnersOwnRetakeAfterAQuickRestartHasANewVersion() {
     world.up();
-    long before = version("c1");
+    final long before = version("c1");
     world.kill("c1");
     world.run(1);
     world.start("c1");
@@ -89,7 +89,7 @@
   void allControllersRestartedAtOnceLoseNothing() {
     world.up();
     user.submit("c0", User.job("job-1", 4));
-    FakeWorker w = runs("job-1/0");
+    final FakeWorker w = runs("job-1/0");
     for (int i = 0; i < 3; i++) {
       world.kill(World.name(i));
     }
@@ -135,7 +135,7 @@
     user.submit("c0", User.job("job-1", 1));
     FakeWorker w = runs("job-1/0");
     w.runs.put("job-1/0", 100.0);
-    double cutAt = world.now();
+    final double cutAt = world.now();
     world.network.cut(w.id);
     world.run(9);
     assertEquals(List.of(w), world.cloud.running("job-1/0"));
@@ -261,7 +261,7 @@
   void anIdleMachinePassesToTheEntityThatNeedsIt() {
     world.cloud.capacity = 0;
     world.up();
-    FakeWorker only = world.cloud.given("plain", "a");
+    final FakeWorker only = world.cloud.given("plain", "a");
     world.run(4);
     for (int i = 0; i < 3; i++) {
       user.submit(World.name(i), User.job("job-" + i, 8));
@@ -346,7 +346,7 @@
   void entitiesOfOneOwnerShareTheirIdleMachines() {
     world.cloud.capacity = 0;
     world.up();
-    FakeWorker only = world.cloud.given("plain", "a");
+    final FakeWorker only = world.cloud.given("plain", "a");
     world.run(4);
     user.submit("c1", User.job("job-1", 2));
     world.run(6);
--- a/src/test/java/io/violetrail/stories/FaultCombinationsTest.java
+++ b/src/test/java/io/violetrail/stories/FaultCombinationsTest.java
@@ -380,7 +380,7 @@
       runs("job-" + i + "/1");
     }
     world.run(3);
-    int launched = world.launches.size();
+    final int launched = world.launches.size();
     for (int i = 0; i < 3; i++) {
       world.kill(World.name(i));
     }
@@ -399,7 +399,7 @@
     Random random = new Random(seed * 31);
     world.up();
     world.cloud.runS = 30;
-    List<String> jobs = accepted(9, 2);
+    final List<String> jobs = accepted(9, 2);
     for (int step = 0; step < 40; step++) {
       String name = World.name(random.nextInt(3));
       if (world.nodes.containsKey(name)) {
@@ -483,7 +483,7 @@
   void aHandOverThatIsRefusedWhileAJobIsStoredLeavesNoJobBehind() {
     world.up();
     var node = world.nodes.get("c0");
-    var h = node.membership.own();
+    final var h = node.membership.own();
     world.network.hold(m -> m.startsWith("c0 state POST /txn"));
     world.ask("user", "c0", "POST", "/work", Cbor.bytes(User.job("job-1", 1)));
     world.run(0.3);
--- a/src/test/java/io/violetrail/stories/FleetTest.java
+++ b/src/test/java/io/violetrail/stories/FleetTest.java
@@ -49,9 +49,9 @@
       world.cloud.given("plain", i % 2 == 0 ? "a" : "b");
     }
     world.run(30);
-    List<String> first = batches(6, 1_500);
+    final List<String> first = batches(6, 1_500);
     world.run(4);
-    int writesBefore = world.state.writes;
+    final int writesBefore = world.state.writes;
     world.kill("c0");
     world.kill("c1");
     // Every worker hears a valid term within its lease, before all jobs and machines are settled.
@@ -93,7 +93,7 @@
       }
       w.run(4 + 0.13 * step);
       var frozen = w.nodes.get("c0");
-      var before = frozen.membership.own().row.version();
+      final var before = frozen.membership.own().row.version();
       // What it had written but not sent leaves only when it goes on, and then comes too late.
       w.network.hold(m -> m.startsWith("c0 state POST /txn") || m.startsWith("c0 vm-"));
       w.run(0.02);
@@ -119,7 +119,7 @@
     world.up();
     world.cloud.capacity = 20;
     user.submit("c0", User.job("job-1", 40));
-    var rows = world.nodes.get("c1").membership.holdings().stream().map(h -> h.row).toList();
+    final var rows = world.nodes.get("c1").membership.holdings().stream().map(h -> h.row).toList();
     world.network.hold(m -> m.matches("c[0-2] c[0-2] .*"));
     world.run(60);
     world.network.release();
--- a/src/test/java/io/violetrail/stories/GrownTest.java
+++ b/src/test/java/io/violetrail/stories/GrownTest.java
@@ -50,7 +50,7 @@
       int n = i;
       world.at(i * 0.25, () -> post(n, job));
     }
-    int writesBefore = world.state.writes;
+    final int writesBefore = world.state.writes;
     world.run(25);
     for (String id : jobs) {
       world.until(300, () -> user.poll("c1", id).equals("done"));
--- a/src/test/java/io/violetrail/stories/IntakeTest.java
+++ b/src/test/java/io/violetrail/stories/IntakeTest.java
@@ -109,7 +109,7 @@
   void acceptedIntakeOfALostAnswerIsKnownToItsOwner() {
     // The transaction is applied, but the answer never comes: the owner must find the job.
     world.network.hold(m -> m.startsWith("c0 state POST /txn"));
-    var lost = world.ask("user", "c0", "POST", "/work", Cbor.bytes(User.job("job-12", 1)));
+    final var lost = world.ask("user", "c0", "POST", "/work", Cbor.bytes(User.job("job-12", 1)));
     world.run(1);
     world.network.release();
     world.run(6);
--- a/src/test/java/io/violetrail/stories/KeepAliveGraceTest.java
+++ b/src/test/java/io/violetrail/stories/KeepAliveGraceTest.java
@@ -157,7 +157,7 @@
     String first = successor();
     world.run(later);
     world.kill(first);
-    String second = first.equals("c1") ? "c2" : "c1";
+    final String second = first.equals("c1") ? "c2" : "c1";
     world.network.hold(m -> m.contains("GET /keys?under=open/c0"));
     world.run(workers.cancelS() * 2);
     assertEquals(List.of(), world.broken);
--- a/src/test/java/io/violetrail/stories/KubernetesTest.java
+++ b/src/test/java/io/violetrail/stories/KubernetesTest.java
@@ -169,6 +169,7 @@
     up();
     String good = job("j", 2);
     record Bad(ObjectNode manifest, int code, String path) {}
+
     List<Bad> all = new ArrayList<>();
     String pod = "/spec/template/spec";
     String box = pod + "/containers/0";
@@ -315,7 +316,7 @@
   @Test
   void aWatchSeesEveryVersionOnceInOrderAcrossATakeover() {
     up();
-    Events events =
+    final Events events =
         client.watch("c1", JOBS + "?watch=true&labelSelector=app%3Dscan".replace("%3D", "="));
     client.send("c0", "POST", JOBS, job("j", 4));
     world.run(6);
--- a/src/test/java/io/violetrail/stories/LimitsTest.java
+++ b/src/test/java/io/violetrail/stories/LimitsTest.java
@@ -77,7 +77,9 @@
         switch (random.nextInt(4)) {
           case 0 -> world.network.cut(w.id);
           case 1 -> w.hang(3 + 12 * random.nextDouble());
-          default -> {}
+          default -> {
+            // no other fault
+          }
         }
       }
       for (int k = 0; k < 2; k++) {
@@ -173,7 +175,7 @@
     world.cloud.types.add(type("rare"));
     world.cloud.soldOut.add("rare");
     world.up();
-    FakeWorker here = world.cloud.given("plain", "a");
+    final FakeWorker here = world.cloud.given("plain", "a");
     world.run(8);
     world.checker.troublesOver();
     // More urgent and older, but no machine of its type is to be had.
--- a/src/test/java/io/violetrail/stories/NightTest.java
+++ b/src/test/java/io/violetrail/stories/NightTest.java
@@ -195,7 +195,7 @@
     world.stateLimits = new StateLimits(200, 25, 8192, 12);
     world.up();
     List<Integer> answers = new ArrayList<>();
-    int before = world.state.writes;
+    final int before = world.state.writes;
     for (int i = 0; i < 240; i++) {
       ObjectNode job = User.job("job-" + i, 1).put("cores", 0.1);
       int n = i;
--- a/src/test/java/io/violetrail/stories/ScheduleTest.java
+++ b/src/test/java/io/violetrail/stories/ScheduleTest.java
@@ -62,7 +62,7 @@
   @Test
   void everyMinuteHasOneRunWhoeverOwnsTheEntity() {
     up();
-    double created = world.now();
+    final double created = world.now();
     assertEquals(201, send("c0", "POST", "/schedules", schedule("readings", 300)).code());
     assertEquals(409, send("c1", "POST", "/schedules", schedule("readings", 300)).code());
     world.run(150);
