--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -426,12 +426,17 @@
     return tasks.get(id);
   }
 
+  /**
+   * Adds a task and invalidates the cached free resources; a placement of the same task is
+   * replaced.
+   */
   public void add(Placement p) {
     Placement before = tasks.put(p.task(), p);
     wanted += (p.job().spareWork() ? 0 : 1) - (before == null || before.job().spareWork() ? 0 : 1);
     room = null;
   }
 
+  /** Removes a task if exactly this placement is recorded, and returns whether it was. */
   public boolean remove(Placement p) {
     room = null;
     boolean removed = tasks.remove(p.task(), p);
@@ -443,6 +448,10 @@
     return Collections.unmodifiableMap(strays);
   }
 
+  /**
+   * Replaces the tasks that the worker reports but the controller does not know, with what they
+   * use.
+   */
   public void strays(Map<TaskId, Amounts> now) {
     if (!now.isEmpty() || !strays.isEmpty()) {
       strays.clear();
@@ -451,6 +460,7 @@
     }
   }
 
+  /** Returns the free resources, which are computed again only after the tasks have changed. */
   public Amounts room() {
     if (room == null) {
       room = free();
--- a/src/main/java/io/violetrail/kubernetes/Keeper.java
+++ b/src/main/java/io/violetrail/kubernetes/Keeper.java
@@ -45,7 +45,7 @@
   private final Loop loop;
   private final StateStore store;
   private final Membership membership;
-  private final Jobs jobs;
+  private final Jobs jobLifecycle;
   private final JobSteps jobReconciler;
   private final DeploymentSteps deploymentReconciler;
   private final Map<OwnedEntity, Own> owned = new HashMap<>();
@@ -63,13 +63,13 @@
   /** A deleted object whose tasks may still run. */
   private record Gone(KubeObject last, long stamp) {}
 
-  Keeper(Loop loop, StateStore store, Membership membership, Jobs jobs, Translation translation) {
+  Keeper(Loop loop, StateStore store, Membership membership, Jobs jobLifecycle, Translation translation) {
     this.loop = loop;
     this.store = store;
     this.membership = membership;
-    this.jobs = jobs;
-    this.jobReconciler = new JobSteps(loop, jobs, this, translation);
-    this.deploymentReconciler = new DeploymentSteps(loop, jobs, this, translation);
+    this.jobLifecycle = jobLifecycle;
+    this.jobReconciler = new JobSteps(loop, jobLifecycle, this, translation);
+    this.deploymentReconciler = new DeploymentSteps(loop, jobLifecycle, this, translation);
   }
 
   void start() {
@@ -239,7 +239,7 @@
   void end(OwnedEntity h, Job job) {
     if (job.phase() == Job.Phase.OPEN) {
       LOG.info("job {} of entity {} is cancelled for its object", job.spec().id(), h.entity());
-      jobs.cancel(h, job);
+      jobLifecycle.cancel(h, job);
     }
   }
 
@@ -264,7 +264,7 @@
             done.run();
             return;
           }
-          jobs.store(h, spec, null).whenComplete((stored, f) -> done.run());
+          jobLifecycle.store(h, spec, null).whenComplete((stored, f) -> done.run());
         });
   }
 
@@ -291,7 +291,7 @@
       return;
     }
     Runnable done = () -> own.writing.remove(id.value());
-    jobs.lookUp(id)
+    jobLifecycle.lookUp(id)
         .whenComplete(
             (found, failure) -> {
               boolean sure = failure == null && h.active() && membership.valid();
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -84,6 +84,7 @@
     this.http = http;
   }
 
+  /** Starts the periodic check of whether workers' heartbeats still arrive. */
   public void start() {
     heardS = loop.seconds();
     tickedS = heardS;
--- a/src/test/java/io/violetrail/fakes/World.java
+++ b/src/test/java/io/violetrail/fakes/World.java
@@ -133,6 +133,7 @@
     }
   }
 
+  /** Creates a cluster with an equal number of names and places; no controller is started yet. */
   public World(int controllers, long seed) {
     random = new Random(seed);
     count = controllers;
@@ -168,6 +169,7 @@
     return now;
   }
 
+  /** Runs all events of the next {@code seconds} of virtual time. */
   public World run(double seconds) {
     double until = now + seconds;
     while (!events.isEmpty() && events.peek().at <= until) {
@@ -195,6 +197,7 @@
     events.add(new Event(now + inSeconds, order++, task));
   }
 
+  /** Starts a new process of the named controller. */
   public Controller start(String name) {
     int life = lives.merge(name, 1, Integer::sum);
     Settings settings = settings(name);
@@ -227,6 +230,7 @@
     return options.traceSpans() == null ? Traces.NONE : new SpanTraces(loop, options.traceSpans());
   }
 
+  /** Ends a controller's process at once, without any of its shutdown steps. */
   public void kill(String name) {
     lives.merge(name, 1, Integer::sum);
     nodes.remove(name);
@@ -300,6 +304,12 @@
         awake(name, life, () -> service.handle(method, path, body, done));
   }
 
+  /**
+   * Sends a request over the simulated network on behalf of one life of the sender.
+   *
+   * @param life count of the sender's starts; a reply to an earlier process is not delivered
+   * @param timeoutS seconds of virtual time until the future fails
+   */
   public CompletableFuture<Http.Reply> call(
       String from,
       int life,
@@ -412,6 +422,7 @@
     return new HostPort(node, 8080);
   }
 
+  /** Returns the settings of the named controller, with all others as its peers. */
   public Settings settings(String name) {
     Map<ControllerId, HostPort> peers = new LinkedHashMap<>();
     for (int i = 0; i < count; i++) {
--- a/src/test/java/io/violetrail/stories/FleetTest.java
+++ b/src/test/java/io/violetrail/stories/FleetTest.java
@@ -49,9 +49,9 @@
       world.cloud.given("plain", i % 2 == 0 ? "a" : "b");
     }
     world.run(30);
-    List<String> first = batches(6, 1_500);
+    final List<String> first = batches(6, 1_500);
     world.run(4);
-    int writesBefore = world.state.writes;
+    final int writesBefore = world.state.writes;
     world.kill("c0");
     world.kill("c1");
     // Every worker hears a valid term within its lease, before all jobs and machines are settled.
