--- a/src/main/java/io/violetrail/calendar/Schedules.java
+++ b/src/main/java/io/violetrail/calendar/Schedules.java
@@ -14,6 +14,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.MachineType;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
@@ -267,7 +268,9 @@
       }
       JobView over = jobs.terminalView(id);
       if (over == null && asking.add(id)) {
-        jobs.lookUp(id).whenComplete((found, failure) -> asking.remove(id));
+        Futures.logFailure(
+            jobs.lookUp(id).whenComplete((found, failure) -> asking.remove(id)),
+            "look a run's job up");
       }
       return over;
     }
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -140,7 +140,7 @@
         options.configuration()
             ? new ConfigurationFollower(settings, loop, store, directory, timing)
             : new FixedConfiguration(settings, directory);
-    EvidenceLog evidence = new EvidenceLog(loop, EVIDENCE::info);
+    final EvidenceLog evidence = new EvidenceLog(loop, EVIDENCE::info);
     PeerCodec peerCodec = new PeerCodec();
     peers = new PeerClient(settings, directory, http, peerCodec);
     budgetLending = new BudgetLending(settings, loop, store, directory, peers);
@@ -149,9 +149,9 @@
     machineTypes = new MachineTypes(directory);
     schedulingLoop = new SchedulingLoop(loop);
     Boots bootTimes = new Boots();
-    Spares spares = new Spares(configuration);
+    final Spares spares = new Spares(configuration);
     Aims aims = new Aims(configuration);
-    PendingJobs pendingJobs = new PendingJobs(loop, aims, estimates, schedulingLoop);
+    final PendingJobs pendingJobs = new PendingJobs(loop, aims, estimates, schedulingLoop);
     taskStopper = new TaskStopper(loop, membership, http);
     quotas = new QuotaTransfer(loop, store, directory, membership, settings, configuration);
     entityMachines =
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -4,6 +4,7 @@
 import io.violetrail.api.Ledger;
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.Hires;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.OwnedEntity;
@@ -71,19 +72,21 @@
     var progress = store.list(Rows.progress(entity.entity()));
     // Rows of machines as of after the move: from here on only this owner changes them.
     var common = store.list(Rows.COMMON);
-    CompletableFuture.allOf(openJobs, requests, progress, common)
-        .whenComplete(
-            (nothing, failure) -> {
-              if (failure != null) {
-                loop.after(RETRY_READ_SECONDS, () -> recover(entity));
-                return;
-              }
-              directory.replace(common.join().entries(), common.join().revision());
-              activate(
-                  entity,
-                  new EntityRows(
-                      openJobs.join(), requests.join().entries(), progress.join().entries()));
-            });
+    Futures.logFailure(
+        CompletableFuture.allOf(openJobs, requests, progress, common)
+            .whenComplete(
+                (nothing, failure) -> {
+                  if (failure != null) {
+                    loop.after(RETRY_READ_SECONDS, () -> recover(entity));
+                    return;
+                  }
+                  directory.replace(common.join().entries(), common.join().revision());
+                  activate(
+                      entity,
+                      new EntityRows(
+                          openJobs.join(), requests.join().entries(), progress.join().entries()));
+                }),
+        "read an entity's rows");
   }
 
   private void activate(OwnedEntity entity, EntityRows rows) {
@@ -117,6 +120,7 @@
         entity.gainedS() + (entity.calm() ? timing.goneAfterAnswerS() : timing.goneAfterSeizureS());
     double gone = Math.max(afterMove, now + timing.goneAfterAnswerS());
     // Handed on soon after a seizure: the owner that it was seized from may still be in its grace.
-    return Math.max(gone, now + timing.goneAfterLastSeizureS(entity.row().past(), loop.wallMillis()));
+    return Math.max(
+        gone, now + timing.goneAfterLastSeizureS(entity.row().past(), loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -4,6 +4,7 @@
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -68,8 +69,7 @@
     }
     double now = loop.seconds();
     double rentedS = now - Math.max(0, loop.wallMillis() - row.rentedMs()) / 1000.0;
-    Machine machine =
-        new Machine(row, type, entity.fencingToken(row), now, rentedS, unheardGoneS);
+    Machine machine = new Machine(row, type, entity.fencingToken(row), now, rentedS, unheardGoneS);
     entity.addMachine(machine);
     return machine;
   }
@@ -108,7 +108,8 @@
     if (machine != null) {
       // A machine is passed over empty, so it hides nothing.
       machine.joinedEmpty();
-      LOG.info("machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since());
+      LOG.info(
+          "machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since());
       schedulingLoop.requestPass();
     }
   }
@@ -135,18 +136,20 @@
 
   private void rewrite(OwnedEntity entity, Machine machine, MachineRow next) {
     machine.startRewrite();
-    entity
-        .register()
-        .change(machine.row(), next)
-        .whenComplete(
-            (stored, failure) -> {
-              machine.endRewrite();
-              if (failure == null) {
-                rewritten(machine, stored);
-              } else {
-                membership.suspect();
-              }
-            });
+    Futures.logFailure(
+        entity
+            .register()
+            .change(machine.row(), next)
+            .whenComplete(
+                (stored, failure) -> {
+                  machine.endRewrite();
+                  if (failure == null) {
+                    rewritten(machine, stored);
+                  } else {
+                    membership.suspect();
+                  }
+                }),
+        "rewrite a machine's record");
   }
 
   private void rewritten(Machine machine, MachineRow stored) {
--- a/src/main/java/io/violetrail/fleet/Hires.java
+++ b/src/main/java/io/violetrail/fleet/Hires.java
@@ -4,6 +4,7 @@
 import io.violetrail.cloud.CloudClient.Rental;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -97,26 +98,29 @@
             .put("count", count);
     // The name is stored before the cloud hears it: whoever owns the entity next repeats the
     // request.
-    store
-        .settle(
-            h.fenced()
-                .when(Rows.hires(h.entity()) + hire.name, 0)
-                .set(Rows.hires(h.entity()) + hire.name, v))
-        .whenComplete(
-            (outcome, failure) -> {
-              hire.calling = false;
-              // "Exists" can only mean that an earlier try of this write got through: names are
-              // unique.
-              boolean stored =
-                  failure == null
-                      && (outcome.applied() || !outcome.failed().contains(Rows.entity(h.entity())));
-              if (!stored) {
-                hires.remove(hire.name);
-                membership.suspect();
-              } else {
-                request(hire);
-              }
-            });
+    Futures.logFailure(
+        store
+            .settle(
+                h.fenced()
+                    .when(Rows.hires(h.entity()) + hire.name, 0)
+                    .set(Rows.hires(h.entity()) + hire.name, v))
+            .whenComplete(
+                (outcome, failure) -> {
+                  hire.calling = false;
+                  // "Exists" can only mean that an earlier try of this write got through: names are
+                  // unique.
+                  boolean stored =
+                      failure == null
+                          && (outcome.applied()
+                              || !outcome.failed().contains(Rows.entity(h.entity())));
+                  if (!stored) {
+                    hires.remove(hire.name);
+                    membership.suspect();
+                  } else {
+                    request(hire);
+                  }
+                }),
+        "store a request for machines");
   }
 
   /** Repeats the entity's requests that have no certain answer yet. */
@@ -152,28 +156,30 @@
   private void request(Hire hire) {
     hire.calling = true;
     Offer o = hire.offer;
-    cloud
-        .hire(hire.name, o.type(), o.zone(), o.spot(), hire.count)
-        .whenComplete(
-            (hired, failure) -> {
-              hire.calling = false;
-              if (failure != null || hired.rental() == Rental.UNCERTAIN) {
-                return;
-              }
-              LOG.info(
-                  "entity {}: hire {} of {} {}: {}",
-                  hire.holding.entity(),
-                  hire.name,
-                  hire.count,
-                  o,
-                  hired.machines());
-              if (hired.machines().size() < hire.count) {
-                soldOut(o);
-                peers.soldOut(o.type(), o.zone(), o.spot());
-              }
-              hire.calling = true;
-              record(hire, hired.machines());
-            });
+    Futures.logFailure(
+        cloud
+            .hire(hire.name, o.type(), o.zone(), o.spot(), hire.count)
+            .whenComplete(
+                (hired, failure) -> {
+                  hire.calling = false;
+                  if (failure != null || hired.rental() == Rental.UNCERTAIN) {
+                    return;
+                  }
+                  LOG.info(
+                      "entity {}: hire {} of {} {}: {}",
+                      hire.holding.entity(),
+                      hire.name,
+                      hire.count,
+                      o,
+                      hired.machines());
+                  if (hired.machines().size() < hire.count) {
+                    soldOut(o);
+                    peers.soldOut(o.type(), o.zone(), o.spot());
+                  }
+                  hire.calling = true;
+                  record(hire, hired.machines());
+                }),
+        "rent machines");
   }
 
   /** The cloud has none of these for now. */
@@ -202,20 +208,24 @@
                 loop.wallMillis()));
       }
     }
-    h.register()
-        .addAll(rows)
-        .whenComplete(
-            (nothing, failure) -> {
-              hire.recorded = true;
-              membership.rowsChanged();
-              if (h.phase() == OwnedEntity.Phase.LOST) {
-                hires.remove(hire.name);
-                return;
-              }
-              store
-                  .settle(h.fenced().drop(Rows.hires(h.entity()) + hire.name))
-                  .whenComplete((outcome, f) -> hires.remove(hire.name));
-            });
+    Futures.logFailure(
+        h.register()
+            .addAll(rows)
+            .whenComplete(
+                (nothing, failure) -> {
+                  hire.recorded = true;
+                  membership.rowsChanged();
+                  if (h.phase() == OwnedEntity.Phase.LOST) {
+                    hires.remove(hire.name);
+                    return;
+                  }
+                  Futures.logFailure(
+                      store
+                          .settle(h.fenced().drop(Rows.hires(h.entity()) + hire.name))
+                          .whenComplete((outcome, f) -> hires.remove(hire.name)),
+                      "remove a request for machines");
+                }),
+        "record rented machines");
   }
 
   /** Repeats the rental requests that a former owner left open. */
--- a/src/main/java/io/violetrail/fleet/Inventory.java
+++ b/src/main/java/io/violetrail/fleet/Inventory.java
@@ -5,6 +5,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -77,22 +78,24 @@
   }
 
   private void page(String after, Set<MachineId> listed) {
-    cloud
-        .list(after)
-        .whenComplete(
-            (page, failure) -> {
-              if (failure != null) {
-                reading = false;
-                return;
-              }
-              listed.addAll(page.machines());
-              if (page.more()) {
-                loop.after(1, () -> page(page.last(), listed));
-              } else {
-                reading = false;
-                judge(listed, loop.seconds());
-              }
-            });
+    Futures.logFailure(
+        cloud
+            .list(after)
+            .whenComplete(
+                (page, failure) -> {
+                  if (failure != null) {
+                    reading = false;
+                    return;
+                  }
+                  listed.addAll(page.machines());
+                  if (page.more()) {
+                    loop.after(1, () -> page(page.last(), listed));
+                  } else {
+                    reading = false;
+                    judge(listed, loop.seconds());
+                  }
+                }),
+        "list the cloud's machines");
   }
 
   private void judge(Set<MachineId> listed, double now) {
@@ -110,7 +113,7 @@
     }
     List<MachineId> batch = out.subList(0, Math.min(out.size(), CloudWire.MAX_RETURN));
     LOG.info("returning machines that nobody has recorded: {}", batch);
-    cloud.giveBack(batch);
+    Futures.logFailure(cloud.giveBack(batch), "return orphaned machines");
   }
 
   /**
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -264,7 +264,9 @@
     returning = true;
   }
 
-  /** The cloud has refused to take it back, and will not do so late, unless it was unclear before. */
+  /**
+   * The cloud has refused to take it back, and will not do so late, unless it was unclear before.
+   */
   void returnRefused() {
     returning = returnUncertain;
   }
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -2,6 +2,7 @@
 
 import io.violetrail.cloud.CloudClient;
 import io.violetrail.model.MachineType;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Rows;
@@ -59,18 +60,20 @@
       return;
     }
     refreshedAtSeconds = now;
-    cloud
-        .types()
-        .whenComplete(
-            (types, failure) -> {
-              if (failure != null) {
-                refreshedAtSeconds = known ? now - REFRESH_SECONDS + RETRY_SECONDS : now;
-                return;
-              }
-              machineTypes.replaceAll(types);
-              fromCloud = types;
-              schedulingLoop.requestPass();
-            });
+    Futures.logFailure(
+        cloud
+            .types()
+            .whenComplete(
+                (types, failure) -> {
+                  if (failure != null) {
+                    refreshedAtSeconds = known ? now - REFRESH_SECONDS + RETRY_SECONDS : now;
+                    return;
+                  }
+                  machineTypes.replaceAll(types);
+                  fromCloud = types;
+                  schedulingLoop.requestPass();
+                }),
+        "ask the cloud for the machine types");
   }
 
   /**
@@ -84,8 +87,10 @@
       return;
     }
     storing = true;
-    stateStore
-        .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(fromCloud)))
-        .whenComplete((outcome, failure) -> storing = false);
+    Futures.logFailure(
+        stateStore
+            .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(fromCloud)))
+            .whenComplete((outcome, failure) -> storing = false),
+        "store the machine types");
   }
 }
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -22,8 +22,8 @@
   private final Directory directory;
   private final Map<String, MachineType> byName = new HashMap<>();
 
-  /** The stored row that {@link #byName} was last filled from. */
-  private JsonNode loadedFrom;
+  /** The stored row that {@link #byName} was last filled from, told from others by identity. */
+  private Object loadedFrom;
 
   /** Reads the stored types from the rows that the directory follows. */
   public MachineTypes(Directory directory) {
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -4,6 +4,7 @@
 import io.violetrail.cloud.CloudClient.Return;
 import io.violetrail.config.Settings;
 import io.violetrail.model.JobSpec;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -103,17 +104,19 @@
     List<Machine> batch = out.subList(0, Math.min(out.size(), CloudWire.MAX_RETURN));
     returning = true;
     LOG.info("entity {}: returning {}", h.entity(), batch.stream().map(Machine::id).toList());
-    cloud
-        .giveBack(batch.stream().map(Machine::id).toList())
-        .whenComplete(
-            (answer, failure) -> {
-              returning = false;
-              switch (failure == null ? answer : Return.UNCERTAIN) {
-                case GONE -> batch.forEach(m -> forget(h, m));
-                case REFUSED -> batch.forEach(Machine::returnRefused);
-                default -> batch.forEach(Machine::returnUnclear);
-              }
-            });
+    Futures.logFailure(
+        cloud
+            .giveBack(batch.stream().map(Machine::id).toList())
+            .whenComplete(
+                (answer, failure) -> {
+                  returning = false;
+                  switch (failure == null ? answer : Return.UNCERTAIN) {
+                    case GONE -> batch.forEach(m -> forget(h, m));
+                    case REFUSED -> batch.forEach(Machine::returnRefused);
+                    default -> batch.forEach(Machine::returnUnclear);
+                  }
+                }),
+        "return machines to the cloud");
   }
 
   private static boolean idle(Machine m) {
@@ -170,8 +173,9 @@
       return m.empty();
     }
     return m.heard()
-        && (m.empty() || m.spare() && !m.row().spot())
-        && now - m.idleSinceS() > machineTypes.prices().idleS(m.type(), m.row().spot(), idleSeconds);
+        && (m.empty() || (m.spare() && !m.row().spot()))
+        && now - m.idleSinceS()
+            > machineTypes.prices().idleS(m.type(), m.row().spot(), idleSeconds);
   }
 
   private void forget(OwnedEntity h, Machine m) {
@@ -190,15 +194,17 @@
         Math.round(age),
         Math.round(m.usedS()));
     entityMachines.remove(h, m);
-    h.register()
-        .remove(m.row())
-        .whenComplete(
-            (row, failure) -> {
-              if (failure != null) {
-                membership.relistThen(() -> entityMachines.rowRemoved(m.id()));
-              } else {
-                entityMachines.rowRemoved(m.id());
-              }
-            });
+    Futures.logFailure(
+        h.register()
+            .remove(m.row())
+            .whenComplete(
+                (row, failure) -> {
+                  if (failure != null) {
+                    membership.relistThen(() -> entityMachines.rowRemoved(m.id()));
+                  } else {
+                    entityMachines.rowRemoved(m.id());
+                  }
+                }),
+        "remove a returned machine's record");
   }
 }
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -116,7 +116,7 @@
       boolean peersFirst =
           !urgent && now - job.arrivedS() < TransferRequests.FIRST_S && directory.aliveCount() > 1;
       boolean probe = job.trial().suspect() && placeable(h, job);
-      if (job.mayStart(now) == 0 || job.recovered() && uncertain || peersFirst || probe) {
+      if (job.mayStart(now) == 0 || (job.recovered() && uncertain) || peersFirst || probe) {
         continue;
       }
       Amounts quota = left.computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now));
@@ -217,7 +217,9 @@
 
   private double endsInS(Placement p, double now) {
     double began =
-        p.runningS() > 0 ? p.runningS() : now + p.job().spec().imageGb() / p.machine().type().fetchGbPerS();
+        p.runningS() > 0
+            ? p.runningS()
+            : now + p.job().spec().imageGb() / p.machine().type().fetchGbPerS();
     return Math.max(0, began + estimates.runS(p.job().spec()) - now);
   }
 
--- a/src/main/java/io/violetrail/kubernetes/JobSteps.java
+++ b/src/main/java/io/violetrail/kubernetes/JobSteps.java
@@ -38,7 +38,8 @@
     }
     JobId id = object.parts().get(0).id();
     Job job = h.jobs().get(id);
-    JobView view = job != null && job.phase() != Job.Phase.OVER ? job.view() : jobs.terminalView(id);
+    JobView view =
+        job != null && job.phase() != Job.Phase.OVER ? job.view() : jobs.terminalView(id);
     if (view == null) {
       if (!object.deleting()) {
         keeper.ensure(h, object, translation.spec(object, id.value()));
--- a/src/main/java/io/violetrail/kubernetes/Keeper.java
+++ b/src/main/java/io/violetrail/kubernetes/Keeper.java
@@ -6,6 +6,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
@@ -63,7 +64,12 @@
   /** A deleted object whose tasks may still run. */
   private record Gone(KubeObject last, long stamp) {}
 
-  Keeper(Loop loop, StateStore store, Membership membership, Jobs jobLifecycle, Translation translation) {
+  Keeper(
+      Loop loop,
+      StateStore store,
+      Membership membership,
+      Jobs jobLifecycle,
+      Translation translation) {
     this.loop = loop;
     this.store = store;
     this.membership = membership;
@@ -199,16 +205,18 @@
     } else {
       txn.set(key, next.value());
     }
-    store
-        .settleLast(txn)
-        .whenComplete(
-            (outcome, failure) -> {
-              own.writing.remove(key);
-              if (failure == null && outcome.applied() && !next.value().has("over")) {
-                put(own, next.at(outcome.revision()));
-              }
-              // Otherwise the feed tells what stands there now.
-            });
+    Futures.logFailure(
+        store
+            .settleLast(txn)
+            .whenComplete(
+                (outcome, failure) -> {
+                  own.writing.remove(key);
+                  if (failure == null && outcome.applied() && !next.value().has("over")) {
+                    put(own, next.at(outcome.revision()));
+                  }
+                  // Otherwise the feed tells what stands there now.
+                }),
+        "write an object's status");
   }
 
   /** Ends what a deleted object has left; its last row goes when nothing is. */
@@ -224,22 +232,24 @@
     if (left || !own.writing.add(key)) {
       return;
     }
-    store
-        .settleLast(h.fenced().when(key, gone.stamp()).drop(key))
-        .whenComplete(
-            (outcome, failure) -> {
-              own.writing.remove(key);
-              if (failure == null) {
-                own.gone.remove(key);
-              }
-            });
+    Futures.logFailure(
+        store
+            .settleLast(h.fenced().when(key, gone.stamp()).drop(key))
+            .whenComplete(
+                (outcome, failure) -> {
+                  own.writing.remove(key);
+                  if (failure == null) {
+                    own.gone.remove(key);
+                  }
+                }),
+        "remove a deleted object's row");
   }
 
   /** Cancels a native job for good; repeated until that is stored. */
   void end(OwnedEntity h, Job job) {
     if (job.phase() == Job.Phase.OPEN) {
       LOG.info("job {} of entity {} is cancelled for its object", job.spec().id(), h.entity());
-      jobLifecycle.cancel(h, job);
+      Futures.logFailure(jobLifecycle.cancel(h, job), "cancel an object's job");
     }
   }
 
@@ -264,7 +274,9 @@
             done.run();
             return;
           }
-          jobLifecycle.store(h, spec, null).whenComplete((stored, f) -> done.run());
+          Futures.logFailure(
+              jobLifecycle.store(h, spec, null).whenComplete((stored, f) -> done.run()),
+              "store an object's job");
         });
   }
 
@@ -291,15 +303,18 @@
       return;
     }
     Runnable done = () -> own.writing.remove(id.value());
-    jobLifecycle.lookUp(id)
-        .whenComplete(
-            (found, failure) -> {
-              boolean sure = failure == null && h.active() && membership.valid();
-              if (sure && found.absent()) {
-                absent.accept(own, done);
-              } else {
-                done.run();
-              }
-            });
+    Futures.logFailure(
+        jobLifecycle
+            .lookUp(id)
+            .whenComplete(
+                (found, failure) -> {
+                  boolean sure = failure == null && h.active() && membership.valid();
+                  if (sure && found.absent()) {
+                    absent.accept(own, done);
+                  } else {
+                    done.run();
+                  }
+                }),
+        "look an object's job up");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/Pods.java
+++ b/src/main/java/io/violetrail/kubernetes/Pods.java
@@ -6,6 +6,7 @@
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.kubernetes.KubeObject.Part;
 import io.violetrail.model.ControllerId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -67,18 +68,20 @@
     for (ControllerId entity : settings.controllers()) {
       all.add(of(entity, namespace, query));
     }
-    CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
-        .whenComplete(
-            (nothing, failure) -> {
-              if (failure != null) {
-                to.answer(KubeStatus.unavailable("an owner of tasks does not answer"));
-                return;
-              }
-              List<ObjectNode> pods = new ArrayList<>();
-              all.forEach(f -> pods.addAll(f.join()));
-              pods.sort(inOrder());
-              to.answer(200, page(pods, query), 0);
-            });
+    Futures.logFailure(
+        CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
+            .whenComplete(
+                (nothing, failure) -> {
+                  if (failure != null) {
+                    to.answer(KubeStatus.unavailable("an owner of tasks does not answer"));
+                    return;
+                  }
+                  List<ObjectNode> pods = new ArrayList<>();
+                  all.forEach(f -> pods.addAll(f.join()));
+                  pods.sort(inOrder());
+                  to.answer(200, page(pods, query), 0);
+                }),
+        "collect tasks from their owners");
   }
 
   private static ObjectNode page(List<ObjectNode> pods, Query query) {
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -281,15 +281,20 @@
   /** Takes a placement away, on evidence that the task is gone. */
   public void unplace(Placement p, double now, GoneProof proof) {
     count(p, -1);
-    if (proof != GoneProof.NEVER_SENT && p.job().phase() == Job.Phase.OPEN && !p.job().isDone(p.index())) {
-      p.job().departed(
-          p.index(), new Departure(p.machine().id(), p.attempt(), proof, now, p.machine().answeredS()));
+    if (proof != GoneProof.NEVER_SENT
+        && p.job().phase() == Job.Phase.OPEN
+        && !p.job().isDone(p.index())) {
+      p.job()
+          .departed(
+              p.index(),
+              new Departure(p.machine().id(), p.attempt(), proof, now, p.machine().answeredS()));
     }
     p.job().unplace(p);
     boolean spareBefore = p.machine().spare();
     p.machine().remove(p);
     // Spare work does not keep an ordinary machine rented: its idleness began before.
-    if (!spareBefore && p.machine().spare() || p.machine().empty() && p.machine().row().spot()) {
+    if ((!spareBefore && p.machine().spare())
+        || (p.machine().empty() && p.machine().row().spot())) {
       p.machine().becameIdle(now);
     }
     if (p.job().phase() == Job.Phase.OVER && p.job().nothingPlaced()) {
--- a/src/main/java/io/violetrail/peer/BudgetLending.java
+++ b/src/main/java/io/violetrail/peer/BudgetLending.java
@@ -2,6 +2,7 @@
 
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.state.StateStore;
@@ -54,7 +55,11 @@
       return;
     }
     long units = (long) Math.ceil(UNITS * Math.max(1, shortage / peers.size()));
-    peers.forEach(peer -> peerClient.borrowBudget(peer, units).thenAccept(this::borrowed));
+    peers.forEach(
+        peer ->
+            Futures.logFailure(
+                peerClient.borrowBudget(peer, units).thenAccept(this::borrowed),
+                "borrow a part of a peer's budget"));
   }
 
   /** A peer asks; returns what it is given. */
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -8,6 +8,7 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.OwnedEntity;
@@ -95,7 +96,9 @@
 
   /** Asks the current owner of this controller's own entity to hand it back. */
   public void askBack(ControllerId owner) {
-    call(owner, request(Kind.HAND_BACK, settings.self().value(), 0), TIMEOUT_SECONDS);
+    Futures.logFailure(
+        call(owner, request(Kind.HAND_BACK, settings.self().value(), 0), TIMEOUT_SECONDS),
+        "ask for the own entity back");
   }
 
   /** Tells all peers what is owned here, so that a former owner in doubt stops at once. */
@@ -106,7 +109,11 @@
   /** Tells all peers of one entity that is owned here. */
   public void announce(OwnedEntity entity) {
     Request moved = request(Kind.MOVED, entity.entity().value(), entity.row().version().value());
-    settings.peers().keySet().forEach(peer -> call(peer, moved, TIMEOUT_SECONDS));
+    settings
+        .peers()
+        .keySet()
+        .forEach(
+            peer -> Futures.logFailure(call(peer, moved, TIMEOUT_SECONDS), "announce an entity"));
   }
 
   /** Asks all peers for machines or slices that an entity owned here lacks. */
@@ -133,7 +140,7 @@
   private void callAllAlive(Request request) {
     settings.peers().keySet().stream()
         .filter(directory::isAlive)
-        .forEach(peer -> call(peer, request, TIMEOUT_SECONDS));
+        .forEach(peer -> Futures.logFailure(call(peer, request, TIMEOUT_SECONDS), "tell a peer"));
   }
 
   private CompletableFuture<Reply> call(ControllerId peer, Request request, double timeoutSeconds) {
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -13,6 +13,7 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Service;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
@@ -145,9 +146,11 @@
     } else if (entity == null || !membership.valid()) {
       done.accept(Reply.UNKNOWN);
     } else {
-      jobs.cancel(entity, entity.jobs().get(id))
-          .whenComplete(
-              (view, failure) -> done.accept(failure == null ? Reply.of(view) : Reply.UNKNOWN));
+      Futures.logFailure(
+          jobs.cancel(entity, entity.jobs().get(id))
+              .whenComplete(
+                  (view, failure) -> done.accept(failure == null ? Reply.of(view) : Reply.UNKNOWN)),
+          "cancel a job for a peer");
     }
   }
 }
--- a/src/main/java/io/violetrail/scheduling/Dispatcher.java
+++ b/src/main/java/io/violetrail/scheduling/Dispatcher.java
@@ -159,7 +159,9 @@
   }
 
   private static boolean startable(Job job, boolean uncertain, double now) {
-    return job.phase() == Job.Phase.OPEN && job.mayStart(now) > 0 && !(job.recovered() && uncertain);
+    return job.phase() == Job.Phase.OPEN
+        && job.mayStart(now) > 0
+        && !(job.recovered() && uncertain);
   }
 
   private Amounts placeTasks(
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -79,8 +79,8 @@
     }
     entity.markRecovered();
     LOG.info(
-        "entity {} version {}: {} s after the move all of {} machines have reported or hold nothing;"
-            + " what no report shows may start",
+        "entity {} version {}: {} s after the move all of {} machines have reported or hold"
+            + " nothing; what no report shows may start",
         entity.entity(),
         entity.row().version(),
         MachineLivenessMonitor.tenths(now - entity.gainedS()),
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -55,7 +55,9 @@
       double keptUntil = now + periodSeconds + timing.goneAfterAnswerS();
       machine.mayHoldTasksUntil(keptUntil);
     }
-    if (machine.silent() && leaseIsOver(machine, now) && machine.firstSession() <= machine.session()) {
+    if (machine.silent()
+        && leaseIsOver(machine, now)
+        && machine.firstSession() <= machine.session()) {
       expireLease(entity, machine, now);
     }
   }
--- a/src/main/java/io/violetrail/scheduling/Placer.java
+++ b/src/main/java/io/violetrail/scheduling/Placer.java
@@ -253,8 +253,7 @@
   /** A dear machine is not kept from being returned by work that could run on a cheap one. */
   private boolean affordable(Job job, Machine m, double now) {
     int sharers = job.unplaced() + m.tasks().size();
-    double worth =
-        job.worthAt(now, () -> aims.worth(job, now, estimates.runS(job.spec())));
+    double worth = job.worthAt(now, () -> aims.worth(job, now, estimates.runS(job.spec())));
     // Late small tasks in the processors left over kept dear machines rented that had no other use.
     boolean leftover =
         job.spec().task().gpus() == 0 && m.type().size().gpus() > 0 && acceleratorsWanted(now);
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -33,7 +33,6 @@
    *
    * @param halted told of each task that is to stop
    */
-  /** Stops placements through the given consumer, which sends the commands. */
   public Preemption(Consumer<Placement> halted) {
     this.halted = halted;
   }
@@ -109,7 +108,10 @@
       o.machine().reserve(job, now + grace + RESERVED_S);
     }
     LOG.info(
-        "job {}: {} less urgent tasks stop on {} machines", job.spec().id(), stopped, offers.size());
+        "job {}: {} less urgent tasks stop on {} machines",
+        job.spec().id(),
+        stopped,
+        offers.size());
   }
 
   /** Stops a task, letting it save if it can; returns how long that may take. */
@@ -181,7 +183,8 @@
   public static double loss(Machine m, double now) {
     double sum = 0;
     for (Placement p : m.tasks().values()) {
-      List<Placement> stopped = p.job().spec().shape() == Shape.GANG ? p.job().placements() : List.of(p);
+      List<Placement> stopped =
+          p.job().spec().shape() == Shape.GANG ? p.job().placements() : List.of(p);
       for (Placement q : stopped) {
         sum += loss(q, now);
       }
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -5,6 +5,7 @@
 import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -75,18 +76,23 @@
       return;
     }
     MachineRow row = newRow(own, report);
-    own.register()
-        .add(row)
-        .whenComplete(
-            (stored, failure) -> {
-              if (failure != null) {
-                done.accept(HeartbeatReply.elsewhere(null));
-                return;
-              }
-              LOG.info(
-                  "machine {} adopted by entity {} version {}", row.id(), own.entity(), row.term());
-              adopted.accept(own, stored);
-            });
+    Futures.logFailure(
+        own.register()
+            .add(row)
+            .whenComplete(
+                (stored, failure) -> {
+                  if (failure != null) {
+                    done.accept(HeartbeatReply.elsewhere(null));
+                    return;
+                  }
+                  LOG.info(
+                      "machine {} adopted by entity {} version {}",
+                      row.id(),
+                      own.entity(),
+                      row.term());
+                  adopted.accept(own, stored);
+                }),
+        "record an adopted machine");
   }
 
   private MachineRow newRow(OwnedEntity own, WorkerReport report) {
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -111,8 +111,8 @@
       Version token,
       WorkerReport report,
       List<Command> commands) {
-    int tasksBefore = machine.tasks().size();
-    boolean wasOpen = machine.open();
+    final int tasksBefore = machine.tasks().size();
+    final boolean wasOpen = machine.open();
     reconciler.take(entity, machine, report, loop.seconds(), commands);
     machine.newestReport(report.session(), report.sequence());
     machine.reportTaken(report.noticeS());
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -1,6 +1,7 @@
 package io.violetrail.worker;
 
 import io.violetrail.fleet.Machine;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Membership;
@@ -79,7 +80,8 @@
     owed.removeIf(p -> p.machine().task(p.task()) != p);
     Map<Machine, List<Placement>> silent = new LinkedHashMap<>();
     for (Placement p : owed) {
-      if (p.machine().silent() && (silent.containsKey(p.machine()) || silent.size() < MOST_TO_SILENT)) {
+      if (p.machine().silent()
+          && (silent.containsKey(p.machine()) || silent.size() < MOST_TO_SILENT)) {
         silent.computeIfAbsent(p.machine(), m -> new ArrayList<>()).add(p);
       }
     }
@@ -128,12 +130,19 @@
         orders.add(new Command(Verb.HALT, p.task(), p.attempt(), p.haltGraceS()));
       }
     }
-    if (!mine || !membership.valid() || m.endpoint() == null || m.session() == 0 || orders.isEmpty()) {
+    if (!mine
+        || !membership.valid()
+        || m.endpoint() == null
+        || m.session() == 0
+        || orders.isEmpty()) {
       done.run();
       return;
     }
-    byte[] body = Cbor.bytes(HeartbeatMessages.reply(h.token(m), orders).put("tenure", m.session()));
-    http.callOnce(m.endpoint(), "POST", "/orders", body, TIMEOUT_S)
-        .whenComplete((r, failure) -> done.run());
+    byte[] body =
+        Cbor.bytes(HeartbeatMessages.reply(h.token(m), orders).put("tenure", m.session()));
+    Futures.logFailure(
+        http.callOnce(m.endpoint(), "POST", "/orders", body, TIMEOUT_S)
+            .whenComplete((r, failure) -> done.run()),
+        "send commands to a worker");
   }
 }
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -4,6 +4,7 @@
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.ControllerId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
@@ -130,7 +131,7 @@
     }
     if (!deaf) {
       if (now - heardS > quietS()) {
-        suspect(now);
+        suspect();
       }
       return;
     }
@@ -151,7 +152,7 @@
   }
 
   /** Nothing was heard for too long: asks the workers heard last. */
-  private void suspect(double now) {
+  private void suspect() {
     List<HostPort> own = new ArrayList<>();
     for (OwnedEntity h : membership.holdings()) {
       for (Machine m : h.machines().values()) {
@@ -186,15 +187,17 @@
     int[] open = {workers.size()};
     int[] ok = {0};
     for (HostPort w : workers) {
-      http.callOnce(w, "GET", "/status", null, PROBE_S)
-          .whenComplete(
-              (r, failure) -> {
-                ok[0] += failure == null && r.ok() ? 1 : 0;
-                if (--open[0] == 0) {
-                  probing = false;
-                  answered.accept(ok[0]);
-                }
-              });
+      Futures.logFailure(
+          http.callOnce(w, "GET", "/status", null, PROBE_S)
+              .whenComplete(
+                  (r, failure) -> {
+                    ok[0] += failure == null && r.ok() ? 1 : 0;
+                    if (--open[0] == 0) {
+                      probing = false;
+                      answered.accept(ok[0]);
+                    }
+                  }),
+          "probe a worker");
     }
   }
 
@@ -214,16 +217,18 @@
       return;
     }
     ControllerId peer = candidates.remove(0);
-    peers
-        .hears(peer)
-        .whenComplete(
-            (hears, failure) -> {
-              if (failure == null && hears && deaf) {
-                handing = false;
-                membership.holdings().forEach(h -> membership.release(h, peer));
-              } else {
-                ask(candidates);
-              }
-            });
+    Futures.logFailure(
+        peers
+            .hears(peer)
+            .whenComplete(
+                (hears, failure) -> {
+                  if (failure == null && hears && deaf) {
+                    handing = false;
+                    membership.holdings().forEach(h -> membership.release(h, peer));
+                  } else {
+                    ask(candidates);
+                  }
+                }),
+        "ask whether a peer hears workers");
   }
 }
--- a/src/test/java/io/violetrail/fakes/World.java
+++ b/src/test/java/io/violetrail/fakes/World.java
@@ -319,7 +319,7 @@
       byte[] body,
       double timeoutS) {
     CompletableFuture<Http.Reply> future = new CompletableFuture<>();
-    String message = from + " " + to.host() + " " + method + " " + path;
+    final String message = from + " " + to.host() + " " + method + " " + path;
     String kind = Traffic.kind(method, path);
     traffic.asked(kind, body);
     var observed = new MessageObserver.Request(from, to.host(), method, path, body);
@@ -361,9 +361,9 @@
         delayS.applyAsDouble(from, to.host()),
         () -> {
           if (network.refuses(message)
-              || lives.containsKey(to.host())
+              || (lives.containsKey(to.host())
                   && !nodes.containsKey(to.host())
-                  && !standIns.contains(to.host())) {
+                  && !standIns.contains(to.host()))) {
             // The host is up but the process is not: its connections are refused.
             future.completeExceptionally(new IOException("refused"));
           } else if (!network.holds(message, deliver) && !network.loses(from, to.host(), message)) {
--- a/src/test/java/io/violetrail/simulation/ConfigurationClient.java
+++ b/src/test/java/io/violetrail/simulation/ConfigurationClient.java
@@ -32,7 +32,9 @@
       case 1 -> send("GET", "/config", null);
       case 2 -> send("GET", "/config/status", null);
       case 3 -> send("GET", "/config/history", null);
-      default -> {}
+      default -> {
+        // Nothing happens this time.
+      }
     }
   }
 
--- a/src/test/java/io/violetrail/simulation/Fault.java
+++ b/src/test/java/io/violetrail/simulation/Fault.java
@@ -1,5 +1,6 @@
 package io.violetrail.simulation;
 
+import com.google.errorprone.annotations.Immutable;
 import io.violetrail.fakes.FakeWorker;
 import io.violetrail.fakes.World;
 import java.util.ArrayList;
@@ -48,17 +49,19 @@
     WORKERS
   }
 
+  @Immutable
   private interface Injection {
     Runnable inject(World world, Random random);
   }
 
-  private static final Runnable HEALS_BY_ITSELF = () -> {};
   private static final double RECLAIM_NOTICE_SECONDS = 10;
   private static final String HEARTBEAT = " POST /agent/beat";
 
   private final Scope scope;
   private final Injection injection;
 
+  private static void doNothing() {}
+
   Fault(Scope scope, Injection injection) {
     this.scope = scope;
     this.injection = injection;
@@ -106,7 +109,7 @@
 
   private static Runnable freeze(World world, Random random) {
     world.freeze(anyController(world, random), 3 + 15 * random.nextDouble());
-    return HEALS_BY_ITSELF;
+    return Fault::doNothing;
   }
 
   private static Runnable isolate(World world, Random random) {
@@ -119,7 +122,7 @@
     Predicate<String> toPeer = message -> message.endsWith(" POST /peer");
     world.network.refuse(
         message -> {
-          String[] part = message.split(" ");
+          String[] part = message.split(" ", 0);
           return toPeer.test(message) && (part[0].equals(controller) || part[1].equals(controller));
         });
     return () -> world.network.refuse(message -> false);
@@ -129,7 +132,7 @@
     String controller = anyController(world, random);
     world.network.hold(
         message ->
-            message.startsWith("vm-") && message.contains(" " + controller + HEARTBEAT)
+            (message.startsWith("vm-") && message.contains(" " + controller + HEARTBEAT))
                 || message.startsWith(controller + " vm-"));
     return world.network::release;
   }
@@ -149,7 +152,7 @@
     inside.add(anyController(world, random));
     world.network.hold(
         message -> {
-          String[] part = message.split(" ");
+          String[] part = message.split(" ", 0);
           return inside.contains(part[0]) != inside.contains(part[1]) && !part[0].equals("user");
         });
     return world.network::release;
@@ -192,12 +195,12 @@
         world.at(RECLAIM_NOTICE_SECONDS, () -> destroy(world, worker));
       }
     }
-    return HEALS_BY_ITSELF;
+    return Fault::doNothing;
   }
 
   private static Runnable loseMachine(World world, Random random) {
     someWorkers(world, random, 1).forEach(worker -> destroy(world, worker));
-    return HEALS_BY_ITSELF;
+    return Fault::doNothing;
   }
 
   private static void destroy(World world, FakeWorker worker) {
@@ -219,7 +222,7 @@
 
   private static Runnable hang(World world, Random random) {
     someWorkers(world, random, 2).forEach(worker -> worker.hang(3 + 12 * random.nextDouble()));
-    return HEALS_BY_ITSELF;
+    return Fault::doNothing;
   }
 
   private static Runnable makeFaulty(World world, Random random) {
@@ -234,7 +237,7 @@
         world.at(i, () -> repeatAnyHeartbeat(world, random, worker));
       }
     }
-    return HEALS_BY_ITSELF;
+    return Fault::doNothing;
   }
 
   private static void repeatAnyHeartbeat(World world, Random random, FakeWorker worker) {
@@ -247,7 +250,7 @@
     Set<String> delayed =
         someWorkers(world, random, 3).stream().map(worker -> worker.id).collect(Collectors.toSet());
     world.network.hold(
-        message -> message.contains(HEARTBEAT) && delayed.contains(message.split(" ")[0]));
+        message -> message.contains(HEARTBEAT) && delayed.contains(message.split(" ", 0)[0]));
     return world.network::release;
   }
 
--- a/src/test/java/io/violetrail/simulation/Flavour.java
+++ b/src/test/java/io/violetrail/simulation/Flavour.java
@@ -22,7 +22,9 @@
       case CALENDAR -> world.calendar = true;
       case KUBERNETES -> world.kubernetes = true;
       case CONFIGURATION -> serveConfiguration(world);
-      case SCHEDULER -> {}
+      default -> {
+        // The scheduler alone.
+      }
     }
   }
 
--- a/src/test/java/io/violetrail/simulation/KubernetesClient.java
+++ b/src/test/java/io/violetrail/simulation/KubernetesClient.java
@@ -62,7 +62,9 @@
       case 13 -> send("GET", PODS, null);
       case 14 -> watch();
       case 15 -> deleteSometimes(DEPLOYMENTS + "/" + deployment);
-      default -> {}
+      default -> {
+        // Nothing happens this time.
+      }
     }
   }
 
--- a/src/test/java/io/violetrail/simulation/ScheduleClient.java
+++ b/src/test/java/io/violetrail/simulation/ScheduleClient.java
@@ -36,7 +36,9 @@
       case 10 -> send("GET", path + "/history", NO_BODY);
       case 11 -> send("GET", "/reports", NO_BODY);
       case 12 -> deleteSometimes(path);
-      default -> {}
+      default -> {
+        // Nothing happens this time.
+      }
     }
   }
 
--- a/src/test/java/io/violetrail/simulation/Workload.java
+++ b/src/test/java/io/violetrail/simulation/Workload.java
@@ -31,7 +31,9 @@
       case 4 -> repeatSubmission();
       case 5 -> cancelJob();
       case 6, 7, 8 -> askAboutJob();
-      default -> {}
+      default -> {
+        // Nothing happens this time.
+      }
     }
   }
 
--- a/src/test/java/io/violetrail/stories/FleetTest.java
+++ b/src/test/java/io/violetrail/stories/FleetTest.java
@@ -93,7 +93,7 @@
       }
       w.run(4 + 0.13 * step);
       var frozen = w.nodes.get("c0");
-      var before = frozen.membership().own().row().version();
+      final var before = frozen.membership().own().row().version();
       // What it had written but not sent leaves only when it goes on, and then comes too late.
       w.network.hold(m -> m.startsWith("c0 state POST /txn") || m.startsWith("c0 vm-"));
       w.run(0.02);
@@ -119,7 +119,8 @@
     world.up();
     world.cloud.capacity = 20;
     user.submit("c0", User.job("job-1", 40));
-    var rows = world.nodes.get("c1").membership().holdings().stream().map(h -> h.row()).toList();
+    final var rows =
+        world.nodes.get("c1").membership().holdings().stream().map(h -> h.row()).toList();
     world.network.hold(m -> m.matches("c[0-2] c[0-2] .*"));
     world.run(60);
     world.network.release();
--- a/src/test/java/io/violetrail/stories/KubernetesTest.java
+++ b/src/test/java/io/violetrail/stories/KubernetesTest.java
@@ -8,9 +8,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Options;
 import io.violetrail.fakes.FakeWorker;
+import io.violetrail.fakes.KubeClient;
 import io.violetrail.fakes.KubeClient.Events;
 import io.violetrail.fakes.KubeClient.Reply;
-import io.violetrail.fakes.KubeClient;
 import io.violetrail.fakes.User;
 import io.violetrail.fakes.World;
 import io.violetrail.net.Http;
@@ -72,9 +72,12 @@
 
   private static ObjectNode with(String json, String pointer, String field, String value)
       throws Exception {
-    ObjectNode m = KubeJson.parse(json.getBytes());
+    ObjectNode m = KubeJson.parse(json.getBytes(StandardCharsets.UTF_8));
     JsonNode at = pointer.isEmpty() ? m : m.at(pointer);
-    ((ObjectNode) at).set(field, KubeJson.parse(("{\"v\":" + value + "}").getBytes()).get("v"));
+    ((ObjectNode) at)
+        .set(
+            field,
+            KubeJson.parse(("{\"v\":" + value + "}").getBytes(StandardCharsets.UTF_8)).get("v"));
     return m;
   }
 
