--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -5,19 +5,19 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
-import io.violetrail.model.JobView.Status;
+import io.violetrail.model.JobView.JobStatus;
+import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.PeerJobViews;
-import io.violetrail.tracing.Traces;
+import io.violetrail.tracing.JobTracer;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.Cbor.Malformed;
-import io.violetrail.wire.JobWire;
+import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.JobMessages;
 import io.violetrail.worker.HeartbeatHandler;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -29,61 +29,61 @@
 import org.slf4j.LoggerFactory;
 
 /** What users, workers and health checks ask of a controller. */
-public final class UserApi implements Service {
+public final class UserApi implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
-  private static final String WORK = "/work";
-  private static final String ABORT = "/abort";
-  private static final int MAX_BODY = 64 * 1024;
+  private static final String JOBS_PATH = "/work";
+  private static final String CANCEL_PATH_SUFFIX = "/abort";
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Below the 2 s that users wait for a poll, and the 5 s for the rest. */
-  private static final double POLL_S = 1.8;
+  private static final double QUERY_TIMEOUT_SECONDS = 1.8;
 
-  private static final double CHANGE_S = 4.5;
+  private static final double CHANGE_TIMEOUT_SECONDS = 4.5;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final Membership membership;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final PeerJobViews peerJobViews;
-  private final Jobs jobs;
+  private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
-  private final Intake intake;
-  private final HeartbeatHandler heartbeats;
-  private final Readiness readiness;
-  private final Traces traces;
+  private final JobAdmission jobAdmission;
+  private final HeartbeatHandler heartbeatHandler;
+  private final Readiness readinessBody;
+  private final JobTracer jobTracer;
   private final Metrics metrics;
 
   /** Serves the paths of what is off unless it is switched on; answers 404 if nothing is. */
-  private Service optionalService = UserApi::notFound;
+  private RequestHandler optionalService = UserApi::notFound;
 
   /** Serves requests through the given parts. */
   public UserApi(
-      Loop loop,
+      EventLoop loop,
       Settings settings,
-      Directory directory,
+      ClusterView clusterView,
       Membership membership,
-      PeerClient peers,
+      PeerClient peerClient,
       PeerJobViews peerJobViews,
-      Jobs jobs,
+      JobLifecycle jobLifecycle,
       JobStateLookup jobStates,
-      Intake intake,
-      HeartbeatHandler heartbeats,
+      JobAdmission jobAdmission,
+      HeartbeatHandler heartbeatHandler,
       Readiness readiness,
-      Traces traces,
+      JobTracer jobTracer,
       Metrics metrics) {
     this.loop = loop;
     this.settings = settings;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.peerJobViews = peerJobViews;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.jobStates = jobStates;
-    this.intake = intake;
-    this.heartbeats = heartbeats;
-    this.readiness = readiness;
-    this.traces = traces;
+    this.jobAdmission = jobAdmission;
+    this.heartbeatHandler = heartbeatHandler;
+    this.readinessBody = readiness;
+    this.jobTracer = jobTracer;
     this.metrics = metrics;
   }
 
@@ -92,118 +92,144 @@
    *
    * @param next makes the service from the one that served what is unknown so far
    */
-  public void addOptionalService(UnaryOperator<Service> next) {
+  public void addOptionalService(UnaryOperator<RequestHandler> next) {
     optionalService = next.apply(optionalService);
   }
 
-  private static void notFound(String method, String path, byte[] body, Consumer<Answer> done) {
-    done.accept(Answer.empty(404));
+  private static void notFound(
+      String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
+    respond.accept(HttpAnswer.empty(404));
   }
 
   @Override
-  public void handle(String method, String target, byte[] body, Consumer<Answer> done) {
-    int mark = target.indexOf('?');
-    String path = mark < 0 ? target : target.substring(0, mark);
-    boolean post = "POST".equals(method);
-    boolean get = "GET".equals(method);
+  public void handle(String method, String target, byte[] body, Consumer<HttpAnswer> respond) {
+    int queryIndex = target.indexOf('?');
+    String path = queryIndex < 0 ? target : target.substring(0, queryIndex);
+    boolean isPost = "POST".equals(method);
+    boolean isGet = "GET".equals(method);
     if (path.equals("/agent/beat")) {
-      allow(post, done, () -> heartbeats.handle(body, metrics.timed("beat", done)));
+      requireMethod(
+          isPost,
+          respond,
+          () -> heartbeatHandler.handle(body, metrics.recordLatency("beat", respond)));
     } else if (path.equals("/ready")) {
-      allow(
-          get,
-          done,
+      requireMethod(
+          isGet,
+          respond,
           () ->
-              done.accept(
-                  readiness.isReady()
-                      ? Answer.of(200, readiness.describe())
-                      : Answer.later("not ready")));
-    } else if (path.equals(WORK)) {
-      allow(post, done, () -> submit(body, metrics.timed("submit", within(CHANGE_S, done))));
-    } else if (path.startsWith(WORK + "/") && path.endsWith(ABORT)) {
+              respond.accept(
+                  readinessBody.isReady()
+                      ? HttpAnswer.of(200, readinessBody.describe())
+                      : HttpAnswer.unavailable("not ready")));
+    } else if (path.equals(JOBS_PATH)) {
+      requireMethod(
+          isPost,
+          respond,
+          () ->
+              submitJob(
+                  body,
+                  metrics.recordLatency("submit", answerWithin(CHANGE_TIMEOUT_SECONDS, respond))));
+    } else if (path.startsWith(JOBS_PATH + "/") && path.endsWith(CANCEL_PATH_SUFFIX)) {
       String id =
           path.substring(
-              WORK.length() + 1, Math.max(WORK.length() + 1, path.length() - ABORT.length()));
-      allow(post, done, () -> abort(id, metrics.timed("abort", within(CHANGE_S, done))));
-    } else if (path.startsWith(WORK + "/")) {
-      allow(
-          get,
-          done,
+              JOBS_PATH.length() + 1,
+              Math.max(JOBS_PATH.length() + 1, path.length() - CANCEL_PATH_SUFFIX.length()));
+      requireMethod(
+          isPost,
+          respond,
+          () ->
+              cancelJob(
+                  id,
+                  metrics.recordLatency("abort", answerWithin(CHANGE_TIMEOUT_SECONDS, respond))));
+    } else if (path.startsWith(JOBS_PATH + "/")) {
+      requireMethod(
+          isGet,
+          respond,
           () ->
-              poll(path.substring(WORK.length() + 1), metrics.timed("poll", within(POLL_S, done))));
+              getJob(
+                  path.substring(JOBS_PATH.length() + 1),
+                  metrics.recordLatency("poll", answerWithin(QUERY_TIMEOUT_SECONDS, respond))));
     } else if (path.equals("/metrics")) {
-      allow(get, done, () -> done.accept(Answer.text(metrics.text())));
-    } else if (path.equals("/traces") && traces != Traces.NONE) {
-      allow(get, done, () -> done.accept(Answer.text(traces.text())));
+      requireMethod(isGet, respond, () -> respond.accept(HttpAnswer.text(metrics.render())));
+    } else if (path.equals("/traces") && jobTracer != JobTracer.NO_OP) {
+      requireMethod(
+          isGet,
+          respond,
+          () -> respond.accept(HttpAnswer.text(jobTracer.finishedSpansAsJsonLines())));
     } else {
-      optionalService.handle(method, target, body, done);
+      optionalService.handle(method, target, body, respond);
     }
   }
 
-  private static void allow(boolean method, Consumer<Answer> done, Runnable action) {
-    if (method) {
+  private static void requireMethod(
+      boolean allowed, Consumer<HttpAnswer> respond, Runnable action) {
+    if (allowed) {
       action.run();
     } else {
-      done.accept(Answer.empty(405));
+      respond.accept(HttpAnswer.empty(405));
     }
   }
 
   /** Answers at most once, and in time. */
-  private Consumer<Answer> within(double seconds, Consumer<Answer> done) {
+  private Consumer<HttpAnswer> answerWithin(double seconds, Consumer<HttpAnswer> respond) {
     AtomicBoolean answered = new AtomicBoolean();
     var timer =
-        loop.after(
+        loop.schedule(
             seconds,
             () -> {
               if (answered.compareAndSet(false, true)) {
-                done.accept(Answer.later("no decision in time"));
+                respond.accept(HttpAnswer.unavailable("no decision in time"));
               }
             });
     return answer -> {
       if (answered.compareAndSet(false, true)) {
         timer.cancel();
-        done.accept(answer);
+        respond.accept(answer);
       }
     };
   }
 
-  private void submit(byte[] body, Consumer<Answer> done) {
+  private void submitJob(byte[] body, Consumer<HttpAnswer> respond) {
     JobSpec spec;
     JobId id = null;
     try {
-      if (body.length > MAX_BODY) {
-        throw new Malformed("the body is too long");
+      if (body.length > MAX_BODY_BYTES) {
+        throw new MalformedMessageException("the body is too long");
       }
       var map = Cbor.parse(body);
       id =
-          JobId.wellFormed(map.path("name_id").asText(null))
+          JobId.isWellFormed(map.path("name_id").asText(null))
               ? new JobId(map.get("name_id").asText())
               : null;
-      if (id != null && (jobs.terminalView(id) != null || jobs.boundTo(id) != null)) {
-        answerKnown(id, done);
+      if (id != null
+          && (jobLifecycle.findTerminalView(id) != null || jobLifecycle.findEntityOf(id) != null)) {
+        answerKnown(id, respond);
         return;
       }
-      spec = JobWire.submitted(map);
-      if (Cbor.bytes(JobWire.spec(spec)).length > settings.stateLimits().valueBytes() / 2) {
-        throw new Malformed("the job's description is too long");
+      spec = JobMessages.parseSubmission(map);
+      if (Cbor.encode(JobMessages.jobSpec(spec)).length
+          > settings.stateStoreLimits().maxValueBytes() / 2) {
+        throw new MalformedMessageException("the job's description is too long");
       }
-    } catch (Malformed e) {
-      malformed(id, e.getMessage(), done);
+    } catch (MalformedMessageException exception) {
+      answerMalformed(id, exception.getMessage(), respond);
       return;
     }
     Futures.logFailure(
-        intake
+        jobAdmission
             .admit(spec, null)
             .thenAccept(
                 decision -> {
                   switch (decision.verdict()) {
                     case ACCEPTED ->
-                        done.accept(
-                            Answer.of(
+                        respond.accept(
+                            HttpAnswer.of(
                                 201,
-                                JobWire.view(new JobView(spec.id().value(), Status.QUEUED, 0, 0))));
-                    case KNOWN -> answerKnown(spec.id(), done);
-                    case IMPOSSIBLE -> done.accept(Answer.error(422, decision.why()));
-                    default -> done.accept(Answer.later(decision.why()));
+                                JobMessages.viewMessage(
+                                    new JobView(spec.id().value(), JobStatus.QUEUED, 0, 0))));
+                    case KNOWN -> answerKnown(spec.id(), respond);
+                    case IMPOSSIBLE -> respond.accept(HttpAnswer.error(422, decision.reason()));
+                    default -> respond.accept(HttpAnswer.unavailable(decision.reason()));
                   }
                 }),
         "admit a job");
@@ -213,71 +239,74 @@
    * A repeat of an accepted job is never refused, whatever its other fields say: users send what
    * they have of it. Where its id cannot be told there is nothing to look for.
    */
-  private void malformed(JobId id, String why, Consumer<Answer> done) {
-    LOG.debug("submission refused: {}", why);
+  private void answerMalformed(JobId id, String reason, Consumer<HttpAnswer> respond) {
+    LOG.debug("submission refused: {}", reason);
     if (id == null) {
-      done.accept(Answer.error(400, why));
+      respond.accept(HttpAnswer.error(400, reason));
       return;
     }
     Futures.logFailure(
-        jobs.lookUp(id)
+        jobLifecycle
+            .lookUp(id)
             .whenComplete(
                 (found, failure) -> {
                   if (failure != null) {
-                    done.accept(Answer.later("the state service does not answer"));
-                  } else if (found.absent()) {
-                    done.accept(Answer.error(400, why));
+                    respond.accept(HttpAnswer.unavailable("the state service does not answer"));
+                  } else if (found.isAbsent()) {
+                    respond.accept(HttpAnswer.error(400, reason));
                   } else {
-                    answerKnown(id, done);
+                    answerKnown(id, respond);
                   }
                 }),
         "answer a question about a job");
   }
 
-  private void answerKnown(JobId id, Consumer<Answer> done) {
+  private void answerKnown(JobId id, Consumer<HttpAnswer> respond) {
     Futures.logFailure(
-        resolve(id)
+        resolveView(id)
             .whenComplete(
                 (view, failure) ->
-                    done.accept(
+                    respond.accept(
                         failure != null || view == null
-                            ? Answer.later("the job's state is not known now")
-                            : Answer.of(200, JobWire.view(view)))),
+                            ? HttpAnswer.unavailable("the job's state is not known now")
+                            : HttpAnswer.of(200, JobMessages.viewMessage(view)))),
         "answer with a job's state");
   }
 
-  private void poll(String text, Consumer<Answer> done) {
-    if (!JobId.wellFormed(text)) {
-      done.accept(Answer.empty(404));
+  private void getJob(String idText, Consumer<HttpAnswer> respond) {
+    if (!JobId.isWellFormed(idText)) {
+      respond.accept(HttpAnswer.empty(404));
       return;
     }
     Futures.logFailure(
-        resolve(new JobId(text))
+        resolveView(new JobId(idText))
             .whenComplete(
                 (view, failure) -> {
                   if (failure != null) {
-                    done.accept(Answer.later("the job's state is not known now"));
+                    respond.accept(HttpAnswer.unavailable("the job's state is not known now"));
                   } else {
-                    done.accept(
-                        view == null ? Answer.empty(404) : Answer.of(200, JobWire.view(view)));
+                    respond.accept(
+                        view == null
+                            ? HttpAnswer.empty(404)
+                            : HttpAnswer.of(200, JobMessages.viewMessage(view)));
                   }
                 }),
         "answer with a job's state");
   }
 
   /** The current state of a job; null only if it is proven that there is no such job. */
-  private CompletableFuture<JobView> resolve(JobId id) {
-    JobView here = jobStates.knownView(id);
-    if (here != null) {
-      return CompletableFuture.completedFuture(here);
+  private CompletableFuture<JobView> resolveView(JobId id) {
+    JobView localView = jobStates.knownView(id);
+    if (localView != null) {
+      return CompletableFuture.completedFuture(localView);
     }
-    ControllerId entity = jobs.boundTo(id);
+    ControllerId entity = jobLifecycle.findEntityOf(id);
     if (entity == null) {
       // After a start nothing is known of all the jobs that users ask about. With a read for each
       // in the state service's budget, some were not answered for minutes.
-      return orElse(fromAnyone(id), () -> fromRows(id));
+      return orElse(viewFromAnyPeer(id), () -> viewFromStore(id));
     }
-    return orElse(fromOwner(id, entity), () -> stored(id));
+    return orElse(viewFromOwner(id, entity), () -> storedView(id));
   }
 
   private static CompletableFuture<JobView> orElse(
@@ -285,29 +314,30 @@
     return first.exceptionallyCompose(failure -> second.get());
   }
 
-  private CompletableFuture<JobView> fromRows(JobId id) {
-    return jobs.lookUp(id)
+  private CompletableFuture<JobView> viewFromStore(JobId id) {
+    return jobLifecycle
+        .lookUp(id)
         .thenCompose(
             found -> {
-              if (found.openAt() == null) {
+              if (found.openAtEntity() == null) {
                 return CompletableFuture.completedFuture(found.view());
               }
-              return fromOwner(id, found.openAt()).exceptionally(f -> found.asStored());
+              return viewFromOwner(id, found.openAtEntity()).exceptionally(f -> found.storedView());
             });
   }
 
   /** What any peer knows for sure, as its owner or because the job is over; fails if none does. */
-  private CompletableFuture<JobView> fromAnyone(JobId id) {
+  private CompletableFuture<JobView> viewFromAnyPeer(JobId id) {
     CompletableFuture<JobView> first = new CompletableFuture<>();
-    List<CompletableFuture<JobView>> all =
+    List<CompletableFuture<JobView>> peerViews =
         settings.peers().keySet().stream()
-            .filter(directory::isAlive)
+            .filter(clusterView::isAlive)
             .map(p -> peerJobViews.view(p, id))
             .toList();
-    all.forEach(
+    peerViews.forEach(
         f -> Futures.logFailure(f.thenAccept(first::complete), "take the first peer's answer"));
     Futures.logFailure(
-        CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
+        CompletableFuture.allOf(peerViews.toArray(CompletableFuture[]::new))
             .whenComplete(
                 (nothing, failure) ->
                     first.completeExceptionally(new IllegalStateException("no peer knows"))),
@@ -315,13 +345,14 @@
     return first;
   }
 
-  private CompletableFuture<JobView> stored(JobId id) {
-    return jobs.lookUp(id)
-        .thenApply(found -> found.view() != null ? found.view() : found.asStored());
+  private CompletableFuture<JobView> storedView(JobId id) {
+    return jobLifecycle
+        .lookUp(id)
+        .thenApply(found -> found.view() != null ? found.view() : found.storedView());
   }
 
-  private CompletableFuture<JobView> fromOwner(JobId id, ControllerId entity) {
-    ControllerId owner = peerThatOwns(entity);
+  private CompletableFuture<JobView> viewFromOwner(JobId id, ControllerId entity) {
+    ControllerId owner = findPeerOwning(entity);
     if (owner == null) {
       return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
     }
@@ -329,80 +360,82 @@
   }
 
   /** The peer that owns the entity and is alive; null if there is none. */
-  private ControllerId peerThatOwns(ControllerId entity) {
-    ControllerId owner = directory.ownerOf(entity);
-    boolean peer = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
+  private ControllerId findPeerOwning(ControllerId entity) {
+    ControllerId owner = clusterView.findLatestOwner(entity);
+    boolean peer = owner != null && !owner.equals(settings.self()) && clusterView.isAlive(owner);
     return peer ? owner : null;
   }
 
-  private void abort(String text, Consumer<Answer> done) {
-    if (!JobId.wellFormed(text)) {
-      done.accept(Answer.empty(404));
+  private void cancelJob(String idText, Consumer<HttpAnswer> respond) {
+    if (!JobId.isWellFormed(idText)) {
+      respond.accept(HttpAnswer.empty(404));
       return;
     }
-    JobId id = new JobId(text);
-    JobView over = jobs.terminalView(id);
-    if (over != null) {
-      done.accept(Answer.of(200, JobWire.view(over)));
+    JobId id = new JobId(idText);
+    JobView finalView = jobLifecycle.findTerminalView(id);
+    if (finalView != null) {
+      respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(finalView)));
       return;
     }
-    OwnedEntity h = jobStates.entityOfOpenJob(id);
-    if (h != null && membership.valid()) {
-      answer(jobs.cancel(h, h.jobs().get(id)), done);
+    OwnedEntity entity = jobStates.entityOfOpenJob(id);
+    if (entity != null && membership.isLeaseValid()) {
+      answerCancellation(jobLifecycle.cancel(entity, entity.jobs().get(id)), respond);
       return;
     }
-    ControllerId bound = jobs.boundTo(id);
-    ControllerId owner = bound == null ? null : peerThatOwns(bound);
+    ControllerId entityId = jobLifecycle.findEntityOf(id);
+    ControllerId owner = entityId == null ? null : findPeerOwning(entityId);
     if (owner == null) {
-      abortByRows(id, done);
+      cancelByStoredRows(id, respond);
       return;
     }
     Futures.logFailure(
-        peers
+        peerClient
             .cancel(owner, id)
             .whenComplete(
                 (view, failure) -> {
-                  if (failure == null && view.status().terminal()) {
-                    done.accept(Answer.of(200, JobWire.view(view)));
+                  if (failure == null && view.status().isTerminal()) {
+                    respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(view)));
                   } else {
                     // The owner may not remember a job that ended long ago.
-                    abortByRows(id, done);
+                    cancelByStoredRows(id, respond);
                   }
                 }),
         "cancel a job at its owner");
   }
 
-  private void abortByRows(JobId id, Consumer<Answer> done) {
+  private void cancelByStoredRows(JobId id, Consumer<HttpAnswer> respond) {
     Futures.logFailure(
-        jobs.lookUp(id)
+        jobLifecycle
+            .lookUp(id)
             .whenComplete(
                 (found, failure) -> {
                   if (failure != null) {
-                    done.accept(Answer.later("the state service does not answer"));
-                  } else if (found.absent()) {
-                    done.accept(Answer.empty(404));
+                    respond.accept(HttpAnswer.unavailable("the state service does not answer"));
+                  } else if (found.isAbsent()) {
+                    respond.accept(HttpAnswer.empty(404));
                   } else if (found.view() != null) {
-                    done.accept(Answer.of(200, JobWire.view(found.view())));
+                    respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(found.view())));
                   } else {
-                    ControllerId owner = directory.ownerOf(found.openAt());
+                    ControllerId owner = clusterView.findLatestOwner(found.openAtEntity());
                     if (owner == null || owner.equals(settings.self())) {
-                      done.accept(Answer.later("the job's owner is not ready"));
+                      respond.accept(HttpAnswer.unavailable("the job's owner is not ready"));
                     } else {
-                      answer(peers.cancel(owner, id), done);
+                      answerCancellation(peerClient.cancel(owner, id), respond);
                     }
                   }
                 }),
         "look a job up for its cancellation");
   }
 
-  private static void answer(CompletableFuture<JobView> view, Consumer<Answer> done) {
+  private static void answerCancellation(
+      CompletableFuture<JobView> cancellation, Consumer<HttpAnswer> respond) {
     Futures.logFailure(
-        view.whenComplete(
-            (v, failure) -> {
-              if (failure != null || !v.status().terminal()) {
-                done.accept(Answer.later("the cancellation is not stored yet"));
+        cancellation.whenComplete(
+            (view, failure) -> {
+              if (failure != null || !view.status().isTerminal()) {
+                respond.accept(HttpAnswer.unavailable("the cancellation is not stored yet"));
               } else {
-                done.accept(Answer.of(200, JobWire.view(v)));
+                respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(view)));
               }
             }),
         "answer a cancellation");
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -1,13 +1,13 @@
 package io.violetrail.controller;
 
-import io.violetrail.api.Intake;
+import io.violetrail.api.JobAdmission;
+import io.violetrail.api.JobLifecycle;
 import io.violetrail.api.JobStateLookup;
-import io.violetrail.api.Jobs;
 import io.violetrail.api.Metrics;
 import io.violetrail.api.Readiness;
 import io.violetrail.api.UserApi;
 import io.violetrail.calendar.ScheduleApi;
-import io.violetrail.calendar.Schedules;
+import io.violetrail.calendar.ScheduleRegistry;
 import io.violetrail.cloud.CloudClient;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
@@ -18,57 +18,57 @@
 import io.violetrail.configuration.ConfigurationWriter;
 import io.violetrail.configuration.FixedConfiguration;
 import io.violetrail.evidence.EvidenceLog;
-import io.violetrail.fleet.Boots;
+import io.violetrail.fleet.Autoscaler;
+import io.violetrail.fleet.BootTimes;
 import io.violetrail.fleet.EntityMachines;
-import io.violetrail.fleet.Fleet;
-import io.violetrail.fleet.Hires;
-import io.violetrail.fleet.Inventory;
 import io.violetrail.fleet.MachineTransfer;
 import io.violetrail.fleet.MachineTypeRefresh;
 import io.violetrail.fleet.MachineTypes;
+import io.violetrail.fleet.OrphanedMachines;
 import io.violetrail.fleet.QuotaTransfer;
 import io.violetrail.fleet.ScaleIn;
 import io.violetrail.fleet.ScaleOut;
-import io.violetrail.fleet.Spares;
+import io.violetrail.fleet.ScaleOutRequests;
 import io.violetrail.fleet.TransferRequests;
-import io.violetrail.kubernetes.Kubernetes;
+import io.violetrail.fleet.WarmCapacity;
 import io.violetrail.kubernetes.KubernetesApi;
+import io.violetrail.kubernetes.KubernetesSubsystem;
 import io.violetrail.model.ControllerId;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Timing;
-import io.violetrail.peer.BudgetLending;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.PeerCodec;
 import io.violetrail.peer.PeerJobViews;
 import io.violetrail.peer.PeerService;
-import io.violetrail.scheduling.Aims;
-import io.violetrail.scheduling.Dispatcher;
+import io.violetrail.peer.WriteBudgetLending;
+import io.violetrail.scheduling.BinPacker;
 import io.violetrail.scheduling.EntityMaintenance;
-import io.violetrail.scheduling.Estimates;
 import io.violetrail.scheduling.GangRepair;
 import io.violetrail.scheduling.MachineDrainer;
 import io.violetrail.scheduling.MachineLivenessMonitor;
-import io.violetrail.scheduling.PendingJobs;
-import io.violetrail.scheduling.Placer;
+import io.violetrail.scheduling.PendingQueues;
 import io.violetrail.scheduling.Preemption;
+import io.violetrail.scheduling.RuntimeEstimates;
 import io.violetrail.scheduling.SchedulingLoop;
+import io.violetrail.scheduling.ServiceLevelObjectives;
 import io.violetrail.scheduling.TaskFailureHandler;
+import io.violetrail.scheduling.TaskScheduler;
 import io.violetrail.state.StateStore;
-import io.violetrail.tracing.Traces;
+import io.violetrail.tracing.JobTracer;
 import io.violetrail.worker.CommandWriter;
 import io.violetrail.worker.HeartbeatHandler;
+import io.violetrail.worker.LastHeartbeats;
 import io.violetrail.worker.LeaseRenewal;
 import io.violetrail.worker.LongPolls;
 import io.violetrail.worker.MachineAdoption;
 import io.violetrail.worker.OwnedMachineHeartbeat;
 import io.violetrail.worker.ReportReconciler;
 import io.violetrail.worker.TaskStopper;
-import io.violetrail.worker.WorkerContacts;
 import io.violetrail.worker.WorkerReachability;
 import io.violetrail.worker.WorkerRouter;
 import java.util.ArrayList;
@@ -90,29 +90,29 @@
   private static final double RETURN_EXCESS_PERIOD_SECONDS = 1;
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Random random;
-  private final Http http;
-  private final Timing timing;
+  private final HttpClient http;
+  private final LeaseTiming leaseTiming;
   private final StateStore store;
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final Configuration configuration;
   private final MachineTypes machineTypes;
   private final SchedulingLoop schedulingLoop;
-  private final Estimates estimates = new Estimates();
-  private final PeerClient peers;
-  private final QuotaTransfer quotas;
+  private final RuntimeEstimates runtimeEstimates = new RuntimeEstimates();
+  private final PeerClient peerClient;
+  private final QuotaTransfer quotaTransfer;
   private final TaskStopper taskStopper;
-  private final Jobs jobs;
-  private final Intake intake;
+  private final JobLifecycle jobLifecycle;
+  private final JobAdmission jobAdmission;
   private final EntityMachines entityMachines;
-  private final Dispatcher dispatcher;
+  private final TaskScheduler taskScheduler;
   private final EntityMaintenance entityMaintenance;
-  private final Fleet fleet;
+  private final Autoscaler autoscaler;
   private final EntityRecovery entityRecovery;
-  private final WorkerReachability reachability;
-  private final BudgetLending budgetLending;
+  private final WorkerReachability workerReachability;
+  private final WriteBudgetLending budgetLending;
   private final UserApi api;
   private final PeerService peerService;
 
@@ -122,164 +122,182 @@
    * @param loop the controller's only thread, and its clocks
    * @param http sends requests to the other programs
    * @param random decides wherever choices are equal
-   * @param traces notes the ways of jobs
+   * @param jobTracer notes the ways of jobs
    */
   public Controller(
-      Settings settings, Options options, Loop loop, Http http, Random random, Traces traces) {
+      Settings settings,
+      Options options,
+      EventLoop loop,
+      HttpClient http,
+      Random random,
+      JobTracer jobTracer) {
     this.settings = settings;
     this.loop = loop;
     this.http = http;
     this.random = random;
 
     // The state service, and what is known of the common rows.
-    timing = Timing.of(settings, options.lapseS());
+    leaseTiming = LeaseTiming.from(settings, options.leaseTtlSeconds());
     store = new StateStore(loop, http, settings);
-    directory = new Directory(settings);
-    membership = new Membership(settings, loop, store, directory, timing, new MembershipListener());
+    clusterView = new ClusterView(settings);
+    membership =
+        new Membership(settings, loop, store, clusterView, leaseTiming, new MembershipListener());
     configuration =
-        options.configuration()
-            ? new ConfigurationFollower(settings, loop, store, directory, timing)
-            : new FixedConfiguration(settings, directory);
+        options.configurationEnabled()
+            ? new ConfigurationFollower(settings, loop, store, clusterView, leaseTiming)
+            : new FixedConfiguration(settings, clusterView);
     final EvidenceLog evidence = new EvidenceLog(loop, EVIDENCE::info);
     PeerCodec peerCodec = new PeerCodec();
-    peers = new PeerClient(settings, directory, http, peerCodec);
-    budgetLending = new BudgetLending(settings, loop, store, directory, peers);
+    peerClient = new PeerClient(settings, clusterView, http, peerCodec);
+    budgetLending = new WriteBudgetLending(settings, loop, store, clusterView, peerClient);
 
     // Machines and jobs.
-    machineTypes = new MachineTypes(directory);
+    machineTypes = new MachineTypes(clusterView);
     schedulingLoop = new SchedulingLoop(loop);
-    Boots bootTimes = new Boots();
-    final Spares spares = new Spares(configuration);
-    Aims aims = new Aims(configuration);
-    final PendingJobs pendingJobs = new PendingJobs(loop, aims, estimates, schedulingLoop);
+    BootTimes bootTimes = new BootTimes();
+    final WarmCapacity warmCapacity = new WarmCapacity(configuration);
+    ServiceLevelObjectives objectives = new ServiceLevelObjectives(configuration);
+    final PendingQueues pendingQueues =
+        new PendingQueues(loop, objectives, runtimeEstimates, schedulingLoop);
     taskStopper = new TaskStopper(loop, membership, http);
-    quotas = new QuotaTransfer(loop, store, directory, membership, settings, configuration);
+    quotaTransfer =
+        new QuotaTransfer(loop, store, clusterView, membership, settings, configuration);
     entityMachines =
-        new EntityMachines(loop, directory, membership, machineTypes, bootTimes, schedulingLoop);
-    jobs =
-        new Jobs(
+        new EntityMachines(loop, clusterView, membership, machineTypes, bootTimes, schedulingLoop);
+    jobLifecycle =
+        new JobLifecycle(
             loop,
             store,
-            settings.stateLimits(),
+            settings.stateStoreLimits(),
             membership,
-            pendingJobs,
-            aims,
-            spares,
+            pendingQueues,
+            objectives,
+            warmCapacity,
             taskStopper,
-            traces);
-    intake = new Intake(store, membership, configuration, machineTypes, jobs, traces);
+            jobTracer);
+    jobAdmission =
+        new JobAdmission(store, membership, configuration, machineTypes, jobLifecycle, jobTracer);
 
     // Scheduling.
-    double heartbeatSeconds = settings.workers().reportS();
+    double heartbeatSeconds = settings.workerTiming().heartbeatIntervalSeconds();
     LongPolls longPolls = new LongPolls(loop, heartbeatSeconds);
-    Preemption preemption = new Preemption(taskStopper::halted);
+    Preemption preemption = new Preemption(taskStopper::enqueueStop);
     MachineDrainer drainer = new MachineDrainer(loop, preemption);
-    Placer placer = new Placer(aims, estimates, random, options.sample());
+    BinPacker binPacker =
+        new BinPacker(objectives, runtimeEstimates, random, options.placementSampleSize());
     MachineTransfer machineTransfer =
         new MachineTransfer(
-            loop, membership, machineTypes, entityMachines, drainer, quotas, longPolls);
-    TransferRequests transfers =
+            loop, membership, machineTypes, entityMachines, drainer, quotaTransfer, longPolls);
+    TransferRequests transferRequests =
         new TransferRequests(
             loop,
             random,
-            directory,
+            clusterView,
             membership,
             machineTypes,
-            pendingJobs,
-            aims,
-            estimates,
-            quotas,
+            pendingQueues,
+            objectives,
+            runtimeEstimates,
+            quotaTransfer,
             machineTransfer,
-            peers);
-    dispatcher =
-        new Dispatcher(
+            peerClient);
+    taskScheduler =
+        new TaskScheduler(
             loop,
             membership,
             configuration,
             machineTypes,
-            pendingJobs,
-            placer,
+            pendingQueues,
+            binPacker,
             preemption,
             drainer,
-            quotas,
-            transfers,
+            quotaTransfer,
+            transferRequests,
             longPolls);
-    schedulingLoop.setPass(dispatcher::runPass);
+    schedulingLoop.setPass(taskScheduler::runPass);
     entityMaintenance =
         new EntityMaintenance(
             loop,
             membership,
-            pendingJobs,
+            pendingQueues,
             schedulingLoop,
             new MachineLivenessMonitor(
-                directory, timing, heartbeatSeconds, EntityMaintenance.PERIOD_SECONDS),
+                clusterView, leaseTiming, heartbeatSeconds, EntityMaintenance.PERIOD_SECONDS),
             new GangRepair(taskStopper),
-            jobs);
+            jobLifecycle);
 
     // The fleet.
     CloudClient cloud = new CloudClient(loop, http, settings);
-    Hires hires = new Hires(loop, store, directory, membership, peers, cloud);
-    fleet =
-        new Fleet(
+    ScaleOutRequests scaleOutRequests =
+        new ScaleOutRequests(loop, store, clusterView, membership, peerClient, cloud);
+    autoscaler =
+        new Autoscaler(
             loop,
             membership,
-            new MachineTypeRefresh(loop, store, directory, machineTypes, schedulingLoop, cloud),
+            new MachineTypeRefresh(loop, store, clusterView, machineTypes, schedulingLoop, cloud),
             new ScaleIn(
                 settings,
-                options.idleS(),
+                options.maxIdleSeconds(),
                 loop,
-                timing,
-                directory,
+                leaseTiming,
+                clusterView,
                 membership,
                 machineTypes,
                 entityMachines,
                 bootTimes,
-                spares,
+                warmCapacity,
                 cloud),
             new ScaleOut(
                 settings,
                 random,
-                directory,
+                clusterView,
                 machineTypes,
-                pendingJobs,
-                placer,
-                aims,
-                estimates,
-                quotas,
+                pendingQueues,
+                binPacker,
+                objectives,
+                runtimeEstimates,
+                quotaTransfer,
                 bootTimes,
-                spares,
-                hires),
-            hires,
-            new Inventory(
-                settings, loop, directory, membership, machineTypes, entityMachines, cloud));
+                warmCapacity,
+                scaleOutRequests),
+            scaleOutRequests,
+            new OrphanedMachines(
+                settings, loop, clusterView, membership, machineTypes, entityMachines, cloud));
     entityRecovery =
         new EntityRecovery(
-            loop, timing, store, directory, entityMachines, jobs, hires, schedulingLoop);
+            loop,
+            leaseTiming,
+            store,
+            clusterView,
+            entityMachines,
+            jobLifecycle,
+            scaleOutRequests,
+            schedulingLoop);
 
     // Workers' heartbeats.
-    reachability =
-        new WorkerReachability(settings, loop, random, directory, membership, peers, http);
-    LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobs, evidence);
-    CommandWriter commandWriter = new CommandWriter(configuration, traces, evidence);
+    workerReachability =
+        new WorkerReachability(settings, loop, random, clusterView, membership, peerClient, http);
+    LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobLifecycle, evidence);
+    CommandWriter commandWriter = new CommandWriter(configuration, jobTracer, evidence);
     ReportReconciler reconciler =
-        new ReportReconciler(jobs, estimates, new TaskFailureHandler(loop));
-    HeartbeatHandler heartbeats =
+        new ReportReconciler(jobLifecycle, runtimeEstimates, new TaskFailureHandler(loop));
+    HeartbeatHandler heartbeatHandler =
         new HeartbeatHandler(
             loop,
-            directory,
+            clusterView,
             membership,
             entityMachines,
-            reachability,
+            workerReachability,
             longPolls,
-            new WorkerContacts(loop, evidence, heartbeatSeconds),
-            new WorkerRouter(settings, loop, timing, directory, membership),
-            new MachineAdoption(loop, directory, membership, machineTypes),
+            new LastHeartbeats(loop, evidence, heartbeatSeconds),
+            new WorkerRouter(settings, loop, leaseTiming, clusterView, membership),
+            new MachineAdoption(loop, clusterView, membership, machineTypes),
             new OwnedMachineHeartbeat(
                 loop,
-                timing,
+                leaseTiming,
                 membership,
                 entityMachines,
-                dispatcher,
+                taskScheduler,
                 drainer,
                 schedulingLoop,
                 reconciler,
@@ -289,31 +307,31 @@
             commandWriter);
 
     // What is served.
-    JobStateLookup jobStates = new JobStateLookup(membership, jobs);
+    JobStateLookup jobStates = new JobStateLookup(membership, jobLifecycle);
     api =
         new UserApi(
             loop,
             settings,
-            directory,
+            clusterView,
             membership,
-            peers,
-            new PeerJobViews(peers, jobs),
-            jobs,
+            peerClient,
+            new PeerJobViews(peerClient, jobLifecycle),
+            jobLifecycle,
             jobStates,
-            intake,
-            heartbeats,
+            jobAdmission,
+            heartbeatHandler,
             new Readiness(membership, machineTypes, configuration),
-            traces,
-            new Metrics(loop, directory, membership, configuration, evidence));
+            jobTracer,
+            new Metrics(loop, clusterView, membership, configuration, evidence));
     peerService =
         new PeerService(
             membership,
             configuration,
-            jobs,
+            jobLifecycle,
             jobStates,
-            reachability,
-            transfers,
-            hires,
+            workerReachability,
+            transferRequests,
+            scaleOutRequests,
             budgetLending,
             peerCodec);
   }
@@ -322,35 +340,46 @@
   public void start() {
     membership.start();
     configuration.start();
-    configuration.onChange(this::configurationChanged);
+    configuration.addChangeListener(this::configurationChanged);
     if (configuration.canChange()) {
-      loop.every(RETURN_EXCESS_PERIOD_SECONDS, () -> quotas.returnExcess(membership.holdings()));
+      loop.scheduleWithFixedDelay(
+          RETURN_EXCESS_PERIOD_SECONDS,
+          () -> quotaTransfer.returnExcess(membership.ownedEntities()));
     }
     budgetLending.start();
     entityMaintenance.start();
-    fleet.start();
-    reachability.start();
+    autoscaler.start();
+    workerReachability.start();
     taskStopper.start();
-    loop.every(ANNOUNCE_PERIOD_SECONDS, this::announceSeizedEntities);
+    loop.scheduleWithFixedDelay(ANNOUNCE_PERIOD_SECONDS, this::announceSeizedEntities);
   }
 
   /** What is served to users, workers and health checks. */
-  public Service api() {
+  public RequestHandler api() {
     return api;
   }
 
   /** What is served to the other controllers. */
-  public Service peerService() {
+  public RequestHandler peerService() {
     return peerService;
   }
 
   /** Serves and fires schedules. */
   public void serveSchedules() {
-    Schedules schedules =
-        new Schedules(loop, settings, store, membership, machineTypes, jobs, estimates);
-    schedules.start();
+    ScheduleRegistry scheduleRegistry =
+        new ScheduleRegistry(
+            loop, settings, store, membership, machineTypes, jobLifecycle, runtimeEstimates);
+    scheduleRegistry.start();
     ScheduleApi scheduleApi =
-        new ScheduleApi(loop, random, settings, store, membership, machineTypes, intake, schedules);
+        new ScheduleApi(
+            loop,
+            random,
+            settings,
+            store,
+            membership,
+            machineTypes,
+            jobAdmission,
+            scheduleRegistry);
     api.addOptionalService(others -> scheduleApi);
   }
 
@@ -369,18 +398,18 @@
    * @return what is to be served there
    */
   public KubernetesApi startKubernetes(int port) {
-    Kubernetes kubernetes =
-        new Kubernetes(
+    KubernetesSubsystem kubernetes =
+        new KubernetesSubsystem(
             loop,
             random,
             settings,
             store,
-            directory,
+            clusterView,
             membership,
             configuration,
             machineTypes,
-            jobs,
-            intake,
+            jobLifecycle,
+            jobAdmission,
             http,
             port);
     kubernetes.start();
@@ -393,8 +422,8 @@
   }
 
   /** What is known here of the common rows, for tests. */
-  public Directory directory() {
-    return directory;
+  public ClusterView directory() {
+    return clusterView;
   }
 
   /** The teams and objectives that this controller goes by, for tests. */
@@ -404,7 +433,7 @@
 
   /** Whether workers are heard here, for tests. */
   public WorkerReachability reachability() {
-    return reachability;
+    return workerReachability;
   }
 
   /** What the controller was started with, for tests. */
@@ -414,20 +443,20 @@
 
   /** Machines examined for placement so far, a measure of what that costs. */
   public long machinesExamined() {
-    return dispatcher.machinesExamined();
+    return taskScheduler.machinesExamined();
   }
 
   private void configurationChanged() {
-    quotas.dropUnsent(membership.holdings());
-    quotas.returnExcess(membership.holdings());
+    quotaTransfer.revokeUnsentPlacements(membership.ownedEntities());
+    quotaTransfer.returnExcess(membership.ownedEntities());
     schedulingLoop.requestPass();
   }
 
   /** This controller's state of the configuration, and then those of all peers. */
   private CompletableFuture<List<ConfigurationState>> configurationStates() {
     List<CompletableFuture<ConfigurationState>> all = new ArrayList<>();
-    all.add(CompletableFuture.completedFuture(configuration.state()));
-    all.addAll(peers.configurationStates());
+    all.add(CompletableFuture.completedFuture(configuration.findState()));
+    all.addAll(peerClient.configurationStates());
     return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
         .thenApply(nothing -> all.stream().map(CompletableFuture::join).toList());
   }
@@ -437,41 +466,42 @@
    * message may be lost: it is told until its grace is over in any case.
    */
   private void announceSeizedEntities() {
-    for (OwnedEntity entity : membership.holdings()) {
-      double ownedSeconds = loop.seconds() - entity.gainedS();
-      if (!entity.calm() && ownedSeconds < timing.ttlS() + timing.graceS()) {
-        peers.announce(entity);
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      double ownedSeconds = loop.monotonicSeconds() - entity.acquiredAtSeconds();
+      if (!entity.acquiredGracefully()
+          && ownedSeconds < leaseTiming.ttlSeconds() + leaseTiming.keepAliveGraceSeconds()) {
+        peerClient.announce(entity);
       }
     }
   }
 
   private final class MembershipListener implements Membership.Listener {
     @Override
-    public void gained(OwnedEntity entity) {
-      peers.announce(membership.holdings());
+    public void onEntityAcquired(OwnedEntity entity) {
+      peerClient.announce(membership.ownedEntities());
       entityRecovery.recover(entity);
     }
 
     @Override
-    public void lost(OwnedEntity entity) {
-      peers.announce(membership.holdings());
+    public void onEntityLost(OwnedEntity entity) {
+      peerClient.announce(membership.ownedEntities());
     }
 
     /** Machines may have been passed over to an entity owned here. */
     @Override
-    public void changed() {
-      configuration.rowsChanged();
+    public void onRowsChanged() {
+      configuration.onRowsChanged();
       entityMachines.addTransferred();
     }
 
     @Override
-    public boolean deaf() {
-      return reachability.deaf();
+    public boolean isCutOffFromWorkers() {
+      return workerReachability.isPartitionedFromWorkers();
     }
 
     @Override
-    public void askBack(ControllerId owner) {
-      peers.askBack(owner);
+    public void requestHandback(ControllerId owner) {
+      peerClient.askBack(owner);
     }
   }
 }
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -1,18 +1,18 @@
 package io.violetrail.controller;
 
-import io.violetrail.api.Jobs;
-import io.violetrail.api.Ledger;
+import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.JobStore;
 import io.violetrail.fleet.EntityMachines;
-import io.violetrail.fleet.Hires;
+import io.violetrail.fleet.ScaleOutRequests;
+import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows;
-import io.violetrail.ownership.Timing;
+import io.violetrail.ownership.StateSchema;
 import io.violetrail.scheduling.SchedulingLoop;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.StateWire.Entry;
+import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
@@ -27,37 +27,37 @@
   private static final double RETRY_READ_SECONDS = 0.5;
   private static final double RETRY_MACHINE_TYPES_SECONDS = 0.3;
 
-  private final Loop loop;
-  private final Timing timing;
+  private final EventLoop loop;
+  private final LeaseTiming leaseTiming;
   private final StateStore store;
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final EntityMachines machines;
-  private final Jobs jobs;
-  private final Hires hires;
+  private final JobLifecycle jobLifecycle;
+  private final ScaleOutRequests scaleOutRequests;
   private final SchedulingLoop schedulingLoop;
 
   EntityRecovery(
-      Loop loop,
-      Timing timing,
+      EventLoop loop,
+      LeaseTiming leaseTiming,
       StateStore store,
-      Directory directory,
+      ClusterView clusterView,
       EntityMachines machines,
-      Jobs jobs,
-      Hires hires,
+      JobLifecycle jobLifecycle,
+      ScaleOutRequests scaleOutRequests,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
-    this.timing = timing;
+    this.leaseTiming = leaseTiming;
     this.store = store;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.machines = machines;
-    this.jobs = jobs;
-    this.hires = hires;
+    this.jobLifecycle = jobLifecycle;
+    this.scaleOutRequests = scaleOutRequests;
     this.schedulingLoop = schedulingLoop;
   }
 
   /** The rows of one entity, as read after the move. */
   private record EntityRows(
-      List<Ledger.Stored> openJobs, List<Entry> requests, List<Entry> progress) {}
+      List<JobStore.StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
 
   /** Begins to read; the entity becomes active later, unless it is lost before. */
   void recover(OwnedEntity entity) {
@@ -66,21 +66,21 @@
     }
     var openJobs =
         store
-            .list(Rows.sheets(entity.entity()))
-            .thenCompose(listing -> jobs.open(entity, listing.entries()));
-    var requests = store.list(Rows.hires(entity.entity()));
-    var progress = store.list(Rows.progress(entity.entity()));
+            .list(StateSchema.openJobPrefix(entity.id()))
+            .thenCompose(listing -> jobLifecycle.loadOpenJobs(entity, listing.entries()));
+    var requests = store.list(StateSchema.scaleOutRequestPrefix(entity.id()));
+    var progress = store.list(StateSchema.progressPrefix(entity.id()));
     // Rows of machines as of after the move: from here on only this owner changes them.
-    var common = store.list(Rows.COMMON);
+    var common = store.list(StateSchema.COMMON_PREFIX);
     Futures.logFailure(
         CompletableFuture.allOf(openJobs, requests, progress, common)
             .whenComplete(
                 (nothing, failure) -> {
                   if (failure != null) {
-                    loop.after(RETRY_READ_SECONDS, () -> recover(entity));
+                    loop.schedule(RETRY_READ_SECONDS, () -> recover(entity));
                     return;
                   }
-                  directory.replace(common.join().entries(), common.join().revision());
+                  clusterView.replaceWithListing(common.join().entries(), common.join().revision());
                   activate(
                       entity,
                       new EntityRows(
@@ -94,16 +94,16 @@
       return;
     }
     if (!machines.addAllRecorded(entity, unheardTasksGoneSeconds(entity))) {
-      LOG.info("entity {} waits for the machine types", entity.entity());
-      loop.after(RETRY_MACHINE_TYPES_SECONDS, () -> recover(entity));
+      LOG.info("entity {} waits for the machine types", entity.id());
+      loop.schedule(RETRY_MACHINE_TYPES_SECONDS, () -> recover(entity));
       return;
     }
     entity.activate();
-    jobs.load(entity, rows.openJobs(), rows.progress());
-    hires.resume(entity, rows.requests());
+    jobLifecycle.restore(entity, rows.openJobs(), rows.progress());
+    scaleOutRequests.resumeRequests(entity, rows.requests());
     LOG.info(
         "entity {} version {} active: {} jobs, {} machines",
-        entity.entity(),
+        entity.id(),
         entity.row().version(),
         entity.jobs().size(),
         entity.machines().size());
@@ -115,12 +115,15 @@
    * owner can have kept its worker's lease longer.
    */
   private double unheardTasksGoneSeconds(OwnedEntity entity) {
-    double now = loop.seconds();
+    double now = loop.monotonicSeconds();
     double afterMove =
-        entity.gainedS() + (entity.calm() ? timing.goneAfterAnswerS() : timing.goneAfterSeizureS());
-    double gone = Math.max(afterMove, now + timing.goneAfterAnswerS());
+        entity.acquiredAtSeconds()
+            + (entity.acquiredGracefully()
+                ? leaseTiming.tasksGoneAfterReplySeconds()
+                : leaseTiming.tasksGoneAfterFailoverSeconds());
+    double gone = Math.max(afterMove, now + leaseTiming.tasksGoneAfterReplySeconds());
     // Handed on soon after a seizure: the owner that it was seized from may still be in its grace.
     return Math.max(
-        gone, now + timing.goneAfterLastSeizureS(entity.row().past(), loop.wallMillis()));
+        gone, now + leaseTiming.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -2,14 +2,14 @@
 
 import io.violetrail.cloud.CloudClient;
 import io.violetrail.model.MachineType;
+import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
-import io.violetrail.ownership.Rows;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.StateSchema;
 import io.violetrail.scheduling.SchedulingLoop;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.CloudWire;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.wire.CloudMessages;
+import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.List;
 
 /** Keeps the machine types up to date with the cloud, and stored for other controllers. */
@@ -22,9 +22,9 @@
   /** While no type is known. */
   private static final double FIRST_RETRY_SECONDS = 1;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore stateStore;
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final MachineTypes machineTypes;
   private final SchedulingLoop schedulingLoop;
   private final CloudClient cloud;
@@ -37,15 +37,15 @@
 
   /** Asks the cloud, and stores the types where the directory knows of none. */
   public MachineTypeRefresh(
-      Loop loop,
+      EventLoop loop,
       StateStore stateStore,
-      Directory directory,
+      ClusterView clusterView,
       MachineTypes machineTypes,
       SchedulingLoop schedulingLoop,
       CloudClient cloud) {
     this.loop = loop;
     this.stateStore = stateStore;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.machineTypes = machineTypes;
     this.schedulingLoop = schedulingLoop;
     this.cloud = cloud;
@@ -53,16 +53,16 @@
 
   /** Asks the cloud again if the types known here are old. */
   void refresh() {
-    double now = loop.seconds();
+    double now = loop.monotonicSeconds();
     boolean known = !machineTypes.isEmpty();
     if (now - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
-        || !cloud.mayCall()) {
+        || !cloud.tryAcquireCall()) {
       return;
     }
     refreshedAtSeconds = now;
     Futures.logFailure(
         cloud
-            .types()
+            .fetchMachineTypes()
             .whenComplete(
                 (types, failure) -> {
                   if (failure != null) {
@@ -83,13 +83,16 @@
    * back.
    */
   void store() {
-    if (fromCloud == null || storing || directory.types() != null) {
+    if (fromCloud == null || storing || clusterView.machineTypes() != null) {
       return;
     }
     storing = true;
     Futures.logFailure(
         stateStore
-            .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(fromCloud)))
+            .commit(
+                new Transaction()
+                    .ifRevision(StateSchema.MACHINE_TYPES_KEY, 0)
+                    .put(StateSchema.MACHINE_TYPES_KEY, CloudMessages.machineTypes(fromCloud)))
             .whenComplete((outcome, failure) -> storing = false),
         "store the machine types");
   }
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.violetrail.model.MachineType;
-import io.violetrail.ownership.Directory;
-import io.violetrail.wire.Cbor.Malformed;
-import io.violetrail.wire.CloudWire;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.CloudMessages;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -19,15 +19,15 @@
 public final class MachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypes.class);
 
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final Map<String, MachineType> byName = new HashMap<>();
 
   /** The stored row that {@link #byName} was last filled from, told from others by identity. */
   private Object loadedFrom;
 
   /** Reads the stored types from the rows that the directory follows. */
-  public MachineTypes(Directory directory) {
-    this.directory = directory;
+  public MachineTypes(ClusterView clusterView) {
+    this.clusterView = clusterView;
   }
 
   /** The type of that name; null while it is not known. */
@@ -59,15 +59,15 @@
   }
 
   private void loadStoredTypes() {
-    JsonNode stored = directory.types();
+    JsonNode stored = clusterView.machineTypes();
     if (stored == null || stored == loadedFrom) {
       return;
     }
     loadedFrom = stored;
     try {
-      replaceAll(CloudWire.types(stored));
-    } catch (Malformed e) {
-      LOG.error("the stored machine types cannot be read: {}", e.getMessage());
+      replaceAll(CloudMessages.machineTypes(stored));
+    } catch (MalformedMessageException exception) {
+      LOG.error("the stored machine types cannot be read: {}", exception.getMessage());
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -2,24 +2,24 @@
 
 import com.esotericsoftware.kryo.KryoException;
 import com.google.common.base.Splitter;
+import io.violetrail.api.JobLifecycle;
 import io.violetrail.api.JobStateLookup;
-import io.violetrail.api.Jobs;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.configuration.ConfigurationState;
-import io.violetrail.fleet.Hires;
-import io.violetrail.fleet.Hires.Offer;
+import io.violetrail.fleet.ScaleOutRequests;
+import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
 import io.violetrail.fleet.TransferRequests;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.model.Version;
 import io.violetrail.net.Futures;
-import io.violetrail.net.Service;
+import io.violetrail.net.RequestHandler;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.peer.PeerMessages.JobStatus;
-import io.violetrail.peer.PeerMessages.Reply;
-import io.violetrail.peer.PeerMessages.Request;
+import io.violetrail.peer.PeerMessages.JobViewMessage;
+import io.violetrail.peer.PeerMessages.PeerRequest;
+import io.violetrail.peer.PeerMessages.PeerResponse;
 import io.violetrail.worker.WorkerReachability;
 import java.util.ArrayList;
 import java.util.function.Consumer;
@@ -27,129 +27,138 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers the other controllers' requests. */
-public final class PeerService implements Service {
+public final class PeerService implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerService.class);
 
   private final Membership membership;
   private final Configuration configuration;
-  private final Jobs jobs;
+  private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
-  private final WorkerReachability reachability;
-  private final TransferRequests transfers;
-  private final Hires hires;
-  private final BudgetLending lending;
+  private final WorkerReachability workerReachability;
+  private final TransferRequests transferRequests;
+  private final ScaleOutRequests scaleOutRequests;
+  private final WriteBudgetLending lending;
   private final PeerCodec codec;
 
   /** Answers from the given parts. */
   public PeerService(
       Membership membership,
       Configuration configuration,
-      Jobs jobs,
+      JobLifecycle jobLifecycle,
       JobStateLookup jobStates,
-      WorkerReachability reachability,
-      TransferRequests transfers,
-      Hires hires,
-      BudgetLending lending,
+      WorkerReachability workerReachability,
+      TransferRequests transferRequests,
+      ScaleOutRequests scaleOutRequests,
+      WriteBudgetLending lending,
       PeerCodec codec) {
     this.membership = membership;
     this.configuration = configuration;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.jobStates = jobStates;
-    this.reachability = reachability;
-    this.transfers = transfers;
-    this.hires = hires;
+    this.workerReachability = workerReachability;
+    this.transferRequests = transferRequests;
+    this.scaleOutRequests = scaleOutRequests;
     this.lending = lending;
     this.codec = codec;
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<Answer> done) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
     if (!PeerClient.PATH.equals(path) || !"POST".equals(method)) {
-      done.accept(Answer.empty(404));
+      respond.accept(HttpAnswer.empty(404));
       return;
     }
-    Request request;
+    PeerRequest request;
     try {
-      request = codec.decode(body, Request.class);
-    } catch (KryoException e) {
-      LOG.info("a peer's message is unclear: {}", e.getMessage());
-      done.accept(Answer.empty(400));
+      request = codec.decode(body, PeerRequest.class);
+    } catch (KryoException exception) {
+      LOG.info("a peer's message is unclear: {}", exception.getMessage());
+      respond.accept(HttpAnswer.empty(400));
       return;
     }
     handle(
         request,
-        reply -> done.accept(new Answer(200, codec.encode(reply), 0, "application/octet-stream")));
+        reply ->
+            respond.accept(
+                new HttpAnswer(200, codec.encode(reply), 0, "application/octet-stream")));
   }
 
-  private void handle(Request request, Consumer<Reply> done) {
+  private void handle(PeerRequest request, Consumer<PeerResponse> respond) {
     switch (request.kind()) {
-      case VIEW -> done.accept(jobStatuses(request.subject()));
-      case CANCEL -> cancel(new JobId(request.subject()), done);
-      case HEARS -> done.accept(reachability.hears() ? Reply.YES : Reply.UNKNOWN);
-      case BUDGET -> done.accept(Reply.of(lending.lend(request.number())));
-      case CONFIGURATION -> done.accept(configurationState());
+      case VIEW -> respond.accept(jobStatuses(request.subject()));
+      case CANCEL -> cancel(new JobId(request.subject()), respond);
+      case HEARS ->
+          respond.accept(
+              workerReachability.receivesHeartbeats() ? PeerResponse.YES : PeerResponse.UNKNOWN);
+      case BUDGET -> respond.accept(PeerResponse.of(lending.lend(request.number())));
+      case CONFIGURATION -> respond.accept(configurationState());
       default -> {
         take(request);
-        done.accept(Reply.UNKNOWN);
+        respond.accept(PeerResponse.UNKNOWN);
       }
     }
   }
 
   /** Takes what needs no answer of its own. */
-  private void take(Request request) {
+  private void take(PeerRequest request) {
     switch (request.kind()) {
       case HAND_BACK -> handBack(request);
       case SOLD_OUT -> soldOut(request.subject());
-      case RESOURCES -> transfers.asked(new ControllerId(request.subject()), request.requests());
+      case RESOURCES ->
+          transferRequests.handleRequests(new ControllerId(request.subject()), request.requests());
       case MOVED ->
-          membership.told(new ControllerId(request.subject()), new Version(request.number()));
+          membership.onOwnershipAnnounced(
+              new ControllerId(request.subject()), new Version(request.number()));
       default -> throw new IllegalArgumentException("not a notice: " + request.kind());
     }
   }
 
-  private void handBack(Request request) {
-    OwnedEntity entity = membership.holding(new ControllerId(request.subject()));
+  private void handBack(PeerRequest request) {
+    OwnedEntity entity = membership.findOwnedEntity(new ControllerId(request.subject()));
     if (entity != null && request.subject().equals(request.from())) {
-      membership.release(entity, new ControllerId(request.from()));
+      membership.handBack(entity, new ControllerId(request.from()));
     }
   }
 
   private void soldOut(String subject) {
     String[] offer = subject.split(" ", 3);
     if (offer.length == 3) {
-      hires.soldOut(new Offer(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
+      scaleOutRequests.markSoldOut(
+          new MachineOffering(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
     }
   }
 
-  private Reply configurationState() {
-    ConfigurationState state = configuration.state();
-    return state == null ? Reply.UNKNOWN : Reply.of(state);
+  private PeerResponse configurationState() {
+    ConfigurationState state = configuration.findState();
+    return state == null ? PeerResponse.UNKNOWN : PeerResponse.of(state);
   }
 
-  private Reply jobStatuses(String ids) {
-    ArrayList<JobStatus> known = new ArrayList<>();
-    for (String text : Splitter.on(' ').limit(Views.MOST).split(ids)) {
+  private PeerResponse jobStatuses(String ids) {
+    ArrayList<JobViewMessage> known = new ArrayList<>();
+    for (String text : Splitter.on(' ').limit(JobQueryBatcher.MAX_JOBS_PER_MESSAGE).split(ids)) {
       JobId id = new JobId(text);
       JobView view = jobStates.knownView(id);
       if (view != null) {
-        known.add(JobStatus.of(view, jobs.boundTo(id)));
+        known.add(JobViewMessage.of(view, jobLifecycle.findEntityOf(id)));
       }
     }
-    return new Reply(true, known);
+    return new PeerResponse(true, known);
   }
 
-  private void cancel(JobId id, Consumer<Reply> done) {
-    JobView ended = jobs.terminalView(id);
+  private void cancel(JobId id, Consumer<PeerResponse> done) {
+    JobView ended = jobLifecycle.findTerminalView(id);
     OwnedEntity entity = jobStates.entityOfOpenJob(id);
     if (ended != null) {
-      done.accept(Reply.of(ended));
-    } else if (entity == null || !membership.valid()) {
-      done.accept(Reply.UNKNOWN);
+      done.accept(PeerResponse.of(ended));
+    } else if (entity == null || !membership.isLeaseValid()) {
+      done.accept(PeerResponse.UNKNOWN);
     } else {
       Futures.logFailure(
-          jobs.cancel(entity, entity.jobs().get(id))
+          jobLifecycle
+              .cancel(entity, entity.jobs().get(id))
               .whenComplete(
-                  (view, failure) -> done.accept(failure == null ? Reply.of(view) : Reply.UNKNOWN)),
+                  (view, failure) ->
+                      done.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
           "cancel a job for a peer");
     }
   }
--- a/src/test/java/io/violetrail/simulation/SimulatedDay.java
+++ b/src/test/java/io/violetrail/simulation/SimulatedDay.java
@@ -1,9 +1,9 @@
 package io.violetrail.simulation;
 
 import io.violetrail.config.Settings.Team;
-import io.violetrail.fakes.World;
-import io.violetrail.model.Amounts;
+import io.violetrail.fakes.ClusterSimulation;
 import io.violetrail.model.MachineType;
+import io.violetrail.model.Resources;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
@@ -24,30 +24,30 @@
 
   private final long seed;
   private final Random random;
-  private final World world;
+  private final ClusterSimulation cluster;
   private final MessageDigester digester;
   private final Flavour flavour;
   private final Workload workload;
   private final ApiClient client;
   private final ObservedEvents observed;
-  private final List<Fault> faultsToCome = new ArrayList<>();
+  private final List<InjectedFault> faultsToCome = new ArrayList<>();
   private final List<ActiveFault> active = new ArrayList<>();
-  private final Set<Fault> injected = EnumSet.noneOf(Fault.class);
+  private final Set<InjectedFault> injected = EnumSet.noneOf(InjectedFault.class);
 
-  private record ActiveFault(Fault fault, int lastStep, Runnable heal) {}
+  private record ActiveFault(InjectedFault fault, int lastStep, Runnable heal) {}
 
   SimulatedDay(long seed) {
     this.seed = seed;
     // Choices of the day are apart from those of the simulation, so neither shifts the other.
     random = new Random(seed * 7919 + 1);
-    world = new World(3, seed);
-    digester = new MessageDigester(world);
-    world.onMessage = digester;
+    cluster = new ClusterSimulation(3, seed);
+    digester = new MessageDigester(cluster);
+    cluster.onMessage = digester;
     flavour = Flavour.of(seed);
-    flavour.prepare(world);
-    workload = new Workload(world, random);
-    client = flavour.client(world, random, digester);
-    observed = new ObservedEvents(world);
+    flavour.prepare(cluster);
+    workload = new Workload(cluster, random);
+    client = flavour.client(cluster, random, digester);
+    observed = new ObservedEvents(cluster);
   }
 
   /** Plays the day and returns its line. */
@@ -58,7 +58,7 @@
       injectFault(step);
       workload.act();
       client.act();
-      world.run(random.nextDouble());
+      cluster.runFor(random.nextDouble());
       observed.look();
     }
     endQuietly();
@@ -67,34 +67,34 @@
 
   private void deploy() {
     double unlimited = Double.POSITIVE_INFINITY;
-    world.teams.put("blue", new Team("blue", 0, 0, 12 + random.nextInt(12), unlimited));
-    world.teams.put("gold", new Team("gold", 16 + random.nextInt(16), 0, unlimited, unlimited));
-    world.cloud.types.add(
-        new MachineType("wide", new Amounts(16, 0, 64), 50, 1, 1.9, 0.5, 4, List.of("a", "b")));
-    world.cloud.capacity = 4 + random.nextInt(9);
-    world.cloud.runS = 6 + random.nextInt(20);
-    world.cloud.fetchS = random.nextInt(3);
-    world.cloud.answerS = random.nextInt(2);
-    world.reportsOnChange = random.nextBoolean();
-    world.up();
+    cluster.teams.put("blue", new Team("blue", 0, 0, 12 + random.nextInt(12), unlimited));
+    cluster.teams.put("gold", new Team("gold", 16 + random.nextInt(16), 0, unlimited, unlimited));
+    cluster.cloud.machineTypes.add(
+        new MachineType("wide", new Resources(16, 0, 64), 50, 1, 1.9, 0.5, 4, List.of("a", "b")));
+    cluster.cloud.capacity = 4 + random.nextInt(9);
+    cluster.cloud.taskDurationSeconds = 6 + random.nextInt(20);
+    cluster.cloud.imageFetchSeconds = random.nextInt(3);
+    cluster.cloud.rentalReplyDelaySeconds = random.nextInt(2);
+    cluster.reportsOnChange = random.nextBoolean();
+    cluster.startAllControllers();
   }
 
   private void injectFault(int step) {
     if (active.size() == MOST_FAULTS_AT_A_TIME || random.nextInt(8) != 0) {
       return;
     }
-    Fault fault = nextFault();
+    InjectedFault fault = nextFault();
     if (active.stream().noneMatch(other -> other.fault().scope() == fault.scope())) {
       int lastStep = step + SHORTEST_FAULT_STEPS + random.nextInt(FAULT_STEPS_RANGE);
-      active.add(new ActiveFault(fault, lastStep, fault.inject(world, random)));
+      active.add(new ActiveFault(fault, lastStep, fault.inject(cluster, random)));
       injected.add(fault);
     }
   }
 
   /** Each kind of fault comes up once before any comes up again. */
-  private Fault nextFault() {
+  private InjectedFault nextFault() {
     if (faultsToCome.isEmpty()) {
-      faultsToCome.addAll(List.of(Fault.values()));
+      faultsToCome.addAll(List.of(InjectedFault.values()));
     }
     return faultsToCome.remove(random.nextInt(faultsToCome.size()));
   }
@@ -112,39 +112,40 @@
     workload.cancelAll();
     quietSeconds();
     workload.askAboutAll();
-    world.run(10);
+    cluster.runFor(10);
     client.end();
-    world.launches.forEach(digester::add);
+    cluster.launches.forEach(digester::add);
   }
 
   private void quietSeconds() {
     for (int second = 0; second < QUIET_SECONDS; second++) {
-      world.run(1);
+      cluster.runFor(1);
       observed.look();
     }
   }
 
   private String line() {
-    String brokenRules = world.broken.isEmpty() ? "" : " BROKEN-RULES=" + world.broken.size();
+    String brokenRules =
+        cluster.violations.isEmpty() ? "" : " BROKEN-RULES=" + cluster.violations.size();
     return "%3d %-13s faults=%d %s launches=%d%s messages=%d %s"
         .formatted(
             seed,
             flavour.name().toLowerCase(Locale.ROOT),
             injected.size(),
             observed.summary(),
-            world.launches.size(),
+            cluster.launches.size(),
             brokenRules,
             digester.messages(),
             digester.hex());
   }
 
   /** The kinds of faults that the day had. */
-  Set<Fault> injected() {
+  Set<InjectedFault> injected() {
     return injected;
   }
 
   /** The rules that were broken, as the checker tells of them. */
   List<String> brokenRules() {
-    return world.broken;
+    return cluster.violations;
   }
 }
