--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -5,13 +5,13 @@
 import io.violetrail.config.Settings.Objective;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.ConfigurationChange.Result;
-import io.violetrail.configuration.ConfigurationFormat.Checked;
+import io.violetrail.configuration.ConfigurationFormat.ValidationResult;
 import io.violetrail.configuration.ConfigurationHead.Revision;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
-import io.violetrail.state.StateStore.Unavailable;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.kubernetes.KubeJson;
+import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -35,207 +35,223 @@
  * <p>A change is answered with 200 and its revision, 409 and the revision in force, 400 or 422 with
  * what is wrong by path, or 503 where the outcome is not known.
  */
-public final class ConfigurationApi implements Service {
+public final class ConfigurationApi implements RequestHandler {
   private static final String PATH = "/config";
 
   /** Below the patience of the command line; the change may still be under way. */
-  private static final double DECISION_S = 8;
+  private static final double DECISION_TIMEOUT_SECONDS = 8;
 
-  private static final int MAX_NAME = 64;
-  private static final int MAX_WHY = 200;
-  private static final Set<String> COMMON_FIELDS = Set.of("expected", "request", "who", "why");
+  private static final int MAX_NAME_LENGTH = 64;
+  private static final int MAX_REASON_LENGTH = 200;
+  private static final Set<String> CHANGE_FIELDS = Set.of("expected", "request", "who", "why");
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Configuration configuration;
   private final ConfigurationWriter writer;
-  private final Supplier<CompletableFuture<List<ConfigurationState>>> states;
-  private final Service others;
+  private final Supplier<CompletableFuture<List<ConfigurationState>>> stateCollector;
+  private final RequestHandler fallback;
 
   /**
    * Creates the API of the changeable configuration.
    *
-   * @param states asks every controller for its state
-   * @param others serves all other paths
+   * @param stateCollector asks every controller for its state
+   * @param fallback serves all other paths
    */
   public ConfigurationApi(
-      Loop loop,
+      EventLoop loop,
       Configuration configuration,
       ConfigurationWriter writer,
-      Supplier<CompletableFuture<List<ConfigurationState>>> states,
-      Service others) {
+      Supplier<CompletableFuture<List<ConfigurationState>>> stateCollector,
+      RequestHandler fallback) {
     this.loop = loop;
     this.configuration = configuration;
     this.writer = writer;
-    this.states = states;
-    this.others = others;
+    this.stateCollector = stateCollector;
+    this.fallback = fallback;
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<Answer> done) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> responder) {
     if (!path.equals(PATH) && !path.startsWith(PATH + "/")) {
-      others.handle(method, path, body, done);
+      fallback.handle(method, path, body, responder);
       return;
     }
-    Consumer<Answer> inTime = inTime(done);
+    Consumer<HttpAnswer> timedResponder = withTimeout(responder);
     try {
       switch (method + " " + path) {
-        case "GET /config" -> inTime.accept(json(200, shown()));
-        case "GET /config/status" -> status(inTime);
-        case "GET /config/history" -> history(inTime);
-        case "POST /config" -> apply(body, inTime);
-        case "POST /config/rollback" -> rollback(body, inTime);
-        default -> inTime.accept(error(404, "no such path or method"));
+        case "GET /config" -> timedResponder.accept(jsonAnswer(200, currentConfiguration()));
+        case "GET /config/status" -> showStatus(timedResponder);
+        case "GET /config/history" -> showHistory(timedResponder);
+        case "POST /config" -> applyConfiguration(body, timedResponder);
+        case "POST /config/rollback" -> rollback(body, timedResponder);
+        default -> timedResponder.accept(errorAnswer(404, "no such path or method"));
       }
-    } catch (KubeJson.Malformed e) {
-      inTime.accept(
-          error(400, e.path().isEmpty() ? e.getMessage() : e.path() + ": " + e.getMessage()));
+    } catch (KubernetesJson.MalformedRequestException exception) {
+      timedResponder.accept(
+          errorAnswer(
+              400,
+              exception.path().isEmpty()
+                  ? exception.getMessage()
+                  : exception.path() + ": " + exception.getMessage()));
     }
   }
 
-  private static Answer json(int code, JsonNode body) {
-    return new Answer(code, KubeJson.bytes(body), code == 503 ? 1 : 0, "application/json");
+  private static HttpAnswer jsonAnswer(int httpStatus, JsonNode body) {
+    return new HttpAnswer(
+        httpStatus, KubernetesJson.toBytes(body), httpStatus == 503 ? 1 : 0, "application/json");
   }
 
-  private static Answer error(int code, String why) {
-    return json(code, Cbor.map().put("error", why));
+  private static HttpAnswer errorAnswer(int httpStatus, String reason) {
+    return jsonAnswer(httpStatus, Cbor.newMap().put("error", reason));
   }
 
-  private Consumer<Answer> inTime(Consumer<Answer> done) {
+  private Consumer<HttpAnswer> withTimeout(Consumer<HttpAnswer> responder) {
     AtomicBoolean answered = new AtomicBoolean();
-    Loop.Cancellable timer =
-        loop.after(
-            DECISION_S,
+    EventLoop.Cancellable timer =
+        loop.schedule(
+            DECISION_TIMEOUT_SECONDS,
             () -> {
               if (answered.compareAndSet(false, true)) {
-                done.accept(error(503, "no decision in time; the outcome is not known"));
+                responder.accept(errorAnswer(503, "no decision in time; the outcome is not known"));
               }
             });
     return answer -> {
       if (answered.compareAndSet(false, true)) {
         timer.cancel();
-        done.accept(answer);
+        responder.accept(answer);
       }
     };
   }
 
-  private ObjectNode shown() {
+  private ObjectNode currentConfiguration() {
     Map<String, Team> teams = new LinkedHashMap<>();
-    Set<String> closed = new HashSet<>();
-    for (Team t : configuration.teams()) {
-      teams.put(t.name(), t);
-      if (!configuration.accepts(t.name())) {
-        closed.add(t.name());
+    Set<String> closedTeams = new HashSet<>();
+    for (Team team : configuration.teams()) {
+      teams.put(team.name(), team);
+      if (!configuration.acceptsJobs(team.name())) {
+        closedTeams.add(team.name());
       }
     }
     List<Objective> objectives = configuration.objectives();
-    ObjectNode tree = new ClusterConfiguration(teams, closed, objectives).tree();
-    return tree.put("revision", configuration.revision()).put("fresh", configuration.fresh());
+    ObjectNode tree = new ClusterConfiguration(teams, closedTeams, objectives).toTree();
+    return tree.put("revision", configuration.revision()).put("fresh", configuration.isFresh());
   }
 
-  private void status(Consumer<Answer> done) {
-    states
+  private void showStatus(Consumer<HttpAnswer> responder) {
+    stateCollector
         .get()
         .whenComplete(
-            (all, failure) -> {
-              ObjectNode m = Cbor.map().put("in_force_here", configuration.revision());
-              var list = m.putArray("controllers");
-              for (ConfigurationState s : failure == null ? all : List.<ConfigurationState>of()) {
+            (states, failure) -> {
+              ObjectNode json = Cbor.newMap().put("in_force_here", configuration.revision());
+              var list = json.putArray("controllers");
+              for (ConfigurationState state :
+                  failure == null ? states : List.<ConfigurationState>of()) {
                 list.addObject()
-                    .put("controller", s.controller())
-                    .put("answers", s.inForceSinceMs() > 0)
-                    .put("revision", s.revision())
-                    .put("confirmed_ms_ago", s.confirmedMsAgo())
-                    .put("in_force_since_ms", s.inForceSinceMs())
-                    .put("fresh", s.fresh());
+                    .put("controller", state.controller())
+                    .put("answers", state.inForceSinceMs() > 0)
+                    .put("revision", state.revision())
+                    .put("confirmed_ms_ago", state.confirmedMsAgo())
+                    .put("in_force_since_ms", state.inForceSinceMs())
+                    .put("fresh", state.fresh());
               }
-              done.accept(json(200, m));
+              responder.accept(jsonAnswer(200, json));
             });
   }
 
-  private void history(Consumer<Answer> done) {
+  private void showHistory(Consumer<HttpAnswer> responder) {
     writer
         .history()
         .whenComplete(
             (revisions, failure) -> {
               if (failure != null) {
-                done.accept(error(503, Unavailable.of(failure).getMessage()));
+                responder.accept(
+                    errorAnswer(503, StateUnavailableException.from(failure).getMessage()));
                 return;
               }
-              ObjectNode m = Cbor.map();
-              var list = m.putArray("revisions");
-              for (Revision r : revisions) {
+              ObjectNode json = Cbor.newMap();
+              var list = json.putArray("revisions");
+              for (Revision revision : revisions) {
                 list.addObject()
-                    .put("revision", r.number())
-                    .put("digest", r.digest())
-                    .put("request", r.request())
-                    .put("who", r.who())
-                    .put("why", r.why())
-                    .put("at_ms", r.atMs());
+                    .put("revision", revision.number())
+                    .put("digest", revision.digest())
+                    .put("request", revision.requestId())
+                    .put("who", revision.author())
+                    .put("why", revision.reason())
+                    .put("at_ms", revision.createdMillis());
               }
-              done.accept(json(200, m));
+              responder.accept(jsonAnswer(200, json));
             });
   }
 
-  private void apply(byte[] body, Consumer<Answer> done) throws KubeJson.Malformed {
-    ObjectNode m = KubeJson.parse(body);
-    ObjectNode tree = m.deepCopy();
-    tree.remove(COMMON_FIELDS);
-    Checked checked = ConfigurationFormat.ofTree(tree);
-    if (!checked.valid()) {
-      ObjectNode refusal = Cbor.map().put("error", "the configuration is not valid");
+  private void applyConfiguration(byte[] body, Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException {
+    ObjectNode json = KubernetesJson.parse(body);
+    ObjectNode tree = json.deepCopy();
+    tree.remove(CHANGE_FIELDS);
+    ValidationResult checked = ConfigurationFormat.parseTree(tree);
+    if (!checked.isValid()) {
+      ObjectNode refusal = Cbor.newMap().put("error", "the configuration is not valid");
       var problems = refusal.putArray("problems");
       checked
           .problems()
-          .forEach(p -> problems.addObject().put("path", p.path()).put("why", p.why()));
-      done.accept(json(422, refusal));
+          .forEach(p -> problems.addObject().put("path", p.path()).put("why", p.message()));
+      responder.accept(jsonAnswer(422, refusal));
       return;
     }
-    change(m, checked.configuration(), 0, done);
+    submitChange(json, checked.configuration(), 0, responder);
   }
 
-  private void rollback(byte[] body, Consumer<Answer> done) throws KubeJson.Malformed {
-    ObjectNode m = KubeJson.parse(body);
-    change(m, null, number(m, "to"), done);
+  private void rollback(byte[] body, Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException {
+    ObjectNode json = KubernetesJson.parse(body);
+    submitChange(json, null, readNumber(json, "to"), responder);
   }
 
-  private void change(
-      ObjectNode m, ClusterConfiguration content, long rollbackTo, Consumer<Answer> done)
-      throws KubeJson.Malformed {
+  private void submitChange(
+      ObjectNode json,
+      ClusterConfiguration content,
+      long rollbackRevision,
+      Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException {
     ConfigurationChange change =
         new ConfigurationChange(
-            number(m, "expected"),
-            text(m, "request", MAX_NAME),
-            text(m, "who", MAX_NAME),
-            text(m, "why", MAX_WHY),
+            readNumber(json, "expected"),
+            readText(json, "request", MAX_NAME_LENGTH),
+            readText(json, "who", MAX_NAME_LENGTH),
+            readText(json, "why", MAX_REASON_LENGTH),
             content,
-            rollbackTo);
-    writer.apply(change).thenAccept(result -> done.accept(answer(result)));
+            rollbackRevision);
+    writer.apply(change).thenAccept(result -> responder.accept(toAnswer(result)));
   }
 
-  private static Answer answer(Result result) {
-    ObjectNode m = Cbor.map().put("revision", result.revision());
+  private static HttpAnswer toAnswer(Result result) {
+    ObjectNode json = Cbor.newMap().put("revision", result.revision());
     if (!result.message().isEmpty()) {
-      m.put("error", result.message());
+      json.put("error", result.message());
     }
     return switch (result.outcome()) {
-      case APPLIED -> json(200, m);
-      case CONFLICT -> json(409, m);
-      case REFUSED -> json(422, m);
-      case UNKNOWN -> json(503, m.put("error", "the outcome is not known: " + result.message()));
+      case APPLIED -> jsonAnswer(200, json);
+      case CONFLICT -> jsonAnswer(409, json);
+      case REFUSED -> jsonAnswer(422, json);
+      case UNKNOWN ->
+          jsonAnswer(503, json.put("error", "the outcome is not known: " + result.message()));
     };
   }
 
-  private static long number(ObjectNode m, String field) throws KubeJson.Malformed {
-    if (!m.path(field).isIntegralNumber() || m.get(field).asLong() < 0) {
-      throw new KubeJson.Malformed(field, "must be an integer of at least 0");
+  private static long readNumber(ObjectNode json, String field)
+      throws KubernetesJson.MalformedRequestException {
+    if (!json.path(field).isIntegralNumber() || json.get(field).asLong() < 0) {
+      throw new KubernetesJson.MalformedRequestException(field, "must be an integer of at least 0");
     }
-    return m.get(field).asLong();
+    return json.get(field).asLong();
   }
 
-  private static String text(ObjectNode m, String field, int most) throws KubeJson.Malformed {
-    String value = m.path(field).isTextual() ? m.get(field).asText() : "";
-    if (value.isBlank() || value.length() > most) {
-      throw new KubeJson.Malformed(field, "must be text of 1 to " + most + " characters");
+  private static String readText(ObjectNode json, String field, int maxLength)
+      throws KubernetesJson.MalformedRequestException {
+    String value = json.path(field).isTextual() ? json.get(field).asText() : "";
+    if (value.isBlank() || value.length() > maxLength) {
+      throw new KubernetesJson.MalformedRequestException(
+          field, "must be text of 1 to " + maxLength + " characters");
     }
     return value;
   }
--- a/src/main/java/io/violetrail/configuration/ConfigurationChange.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationChange.java
@@ -3,18 +3,18 @@
 /**
  * What an operator asks for.
  *
- * @param expected the revision that it is to replace
- * @param request names the request: a repeat under the same name changes nothing more
- * @param content what is to be in force; null to go back to {@code rollbackTo}
- * @param rollbackTo a kept revision whose content is to be in force again
+ * @param expectedRevision the revision that it is to replace
+ * @param requestId names the request: a repeat under the same name changes nothing more
+ * @param content what is to be in force; null to go back to {@code rollbackRevision}
+ * @param rollbackRevision a kept revision whose content is to be in force again
  */
 public record ConfigurationChange(
-    long expected,
-    String request,
-    String who,
-    String why,
+    long expectedRevision,
+    String requestId,
+    String author,
+    String reason,
     ClusterConfiguration content,
-    long rollbackTo) {
+    long rollbackRevision) {
 
   /** What became of it. */
   public enum Outcome {
@@ -36,7 +36,7 @@
   public record Result(Outcome outcome, long revision, String message) {}
 
   /** Equal for repeats of the same request. */
-  String asked() {
-    return content == null ? "rollback " + rollbackTo : content.digest();
+  String requestDigest() {
+    return content == null ? "rollback " + rollbackRevision : content.digest();
   }
 }
--- a/src/main/java/io/violetrail/configuration/ConfigurationDiff.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationDiff.java
@@ -16,56 +16,56 @@
    */
   public static List<String> between(ClusterConfiguration from, ClusterConfiguration to) {
     ConfigurationDiff diff = new ConfigurationDiff();
-    to.teams().forEach((name, team) -> diff.team(from, to, team));
+    to.teams().forEach((name, team) -> diff.compareTeam(from, to, team));
     for (String name : from.teams().keySet()) {
-      if (!to.teams().containsKey(name) && !from.closed().contains(name)) {
+      if (!to.teams().containsKey(name) && !from.closedTeams().contains(name)) {
         diff.lines.add("- team " + name + " (closed: it finishes what it has)");
       }
     }
-    diff.objectives(from.objectives(), to.objectives());
+    diff.compareObjectives(from.objectives(), to.objectives());
     return List.copyOf(diff.lines);
   }
 
-  private void team(ClusterConfiguration from, ClusterConfiguration to, Team team) {
-    Team former = from.teams().get(team.name());
-    if (former == null) {
+  private void compareTeam(ClusterConfiguration from, ClusterConfiguration to, Team team) {
+    Team previous = from.teams().get(team.name());
+    if (previous == null) {
       lines.add("+ team " + team.name());
       return;
     }
-    field(team.name(), "cpus", former.cpus(), team.cpus());
-    field(team.name(), "gpus", former.gpus(), team.gpus());
-    field(team.name(), "cpus_max", former.cpusMax(), team.cpusMax());
-    field(team.name(), "gpus_max", former.gpusMax(), team.gpusMax());
-    boolean wasClosed = from.closed().contains(team.name());
-    boolean isClosed = to.closed().contains(team.name());
+    compareField(team.name(), "cpus", previous.guaranteedCpus(), team.guaranteedCpus());
+    compareField(team.name(), "gpus", previous.guaranteedGpus(), team.guaranteedGpus());
+    compareField(team.name(), "cpus_max", previous.maxCpus(), team.maxCpus());
+    compareField(team.name(), "gpus_max", previous.maxGpus(), team.maxGpus());
+    boolean wasClosed = from.closedTeams().contains(team.name());
+    boolean isClosed = to.closedTeams().contains(team.name());
     if (wasClosed != isClosed) {
       lines.add("~ team " + team.name() + ": " + (isClosed ? "closed" : "open again"));
     }
   }
 
-  private void field(String team, String field, double from, double to) {
+  private void compareField(String team, String field, double from, double to) {
     if (from != to) {
-      lines.add("~ team " + team + ": " + field + " " + text(from) + " -> " + text(to));
+      lines.add("~ team " + team + ": " + field + " " + format(from) + " -> " + format(to));
     }
   }
 
-  private static String text(double amount) {
+  private static String format(double amount) {
     return Double.isInfinite(amount) ? "no limit" : String.valueOf(amount);
   }
 
-  private void objectives(List<Objective> from, List<Objective> to) {
-    from.stream().filter(o -> !to.contains(o)).forEach(o -> lines.add("- objective " + text(o)));
-    to.stream().filter(o -> !from.contains(o)).forEach(o -> lines.add("+ objective " + text(o)));
+  private void compareObjectives(List<Objective> from, List<Objective> to) {
+    from.stream().filter(o -> !to.contains(o)).forEach(o -> lines.add("- objective " + format(o)));
+    to.stream().filter(o -> !from.contains(o)).forEach(o -> lines.add("+ objective " + format(o)));
   }
 
-  private static String text(Objective o) {
+  private static String format(Objective objective) {
     return String.format(
         java.util.Locale.ROOT,
         "%s%s: %s within %s s, %s times the deadline",
-        o.kind(),
-        o.jobClass() == null ? "" : " of " + o.jobClass(),
-        o.share(),
-        o.withinS(),
-        o.times());
+        objective.kind(),
+        objective.jobClass() == null ? "" : " of " + objective.jobClass(),
+        objective.share(),
+        objective.withinSeconds(),
+        objective.deadlineFactor());
   }
 }
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -5,13 +5,13 @@
 import io.violetrail.config.Settings.Objective;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.ConfigurationParts.Assembled;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
-import io.violetrail.ownership.Timing;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.Unavailable;
-import io.violetrail.wire.StateWire.Change;
-import io.violetrail.wire.StateWire.Entry;
+import io.violetrail.state.StateStore.StateUnavailableException;
+import io.violetrail.wire.StateStoreMessages.Entry;
+import io.violetrail.wire.StateStoreMessages.RowChange;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -23,13 +23,14 @@
 /**
  * Follows the stored configuration.
  *
- * <p>Bounded staleness: a task starts nowhere later than {@link #IN_FORCE_S} after another revision
- * was stored, unless by that revision. The head row is read with each renewal of the lease. A
- * reading that shows the revision in force here confirms it as of its <em>sending</em>: a later one
- * cannot have been stored before. Tasks are launched only while the last confirmation is younger
- * than {@link #STALE_S}, and workers drop an answer that is older than {@link #ANSWER_S}. The
- * argument rests on this controller's steady clock alone, so it holds for one that is slow, cut
- * off, frozen, just started, or that has just taken an entity over.
+ * <p>Bounded staleness: a task starts nowhere later than {@link #MAX_STALENESS_SECONDS} after
+ * another revision was stored, unless by that revision. The head row is read with each renewal of
+ * the lease. A reading that shows the revision in force here confirms it as of its
+ * <em>sending</em>: a later one cannot have been stored before. Tasks are launched only while the
+ * last confirmation is younger than {@link #MAX_CONFIRMATION_AGE_SECONDS}, and workers drop an
+ * answer that is older than {@link #MAX_ANSWER_AGE_SECONDS}. The argument rests on this
+ * controller's steady clock alone, so it holds for one that is slow, cut off, frozen, just started,
+ * or that has just taken an entity over.
  *
  * <p>The watch of the common rows only makes learning faster. Owned by the controller's lock;
  * nothing here survives a crash, and a new process begins unconfirmed.
@@ -38,24 +39,25 @@
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFollower.class);
 
   /** Within which a stored revision is in force everywhere, or nothing is started. */
-  public static final double IN_FORCE_S = 8;
+  public static final double MAX_STALENESS_SECONDS = 8;
 
   /** A worker drops an answer that is older than this (PROTOCOL, "Workers"). */
-  static final double ANSWER_S = 4;
+  static final double MAX_ANSWER_AGE_SECONDS = 4;
 
-  private static final double DRIFT = 0.002;
+  private static final double MAX_CLOCK_DRIFT = 0.002;
 
   /** A confirmation older than this does not vouch for what is started. */
-  static final double STALE_S = (IN_FORCE_S - ANSWER_S) * (1 - DRIFT);
+  static final double MAX_CONFIRMATION_AGE_SECONDS =
+      (MAX_STALENESS_SECONDS - MAX_ANSWER_AGE_SECONDS) * (1 - MAX_CLOCK_DRIFT);
 
   /** Readings are no rarer than this, however long the lease is. */
-  private static final double LONGEST_PERIOD_S = 1.5;
+  private static final double MAX_POLL_SECONDS = 1.5;
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore store;
-  private final Directory directory;
-  private final double periodS;
+  private final ClusterView clusterView;
+  private final double pollSeconds;
   private final List<Runnable> listeners = new ArrayList<>();
   private ClusterConfiguration content;
   private ConfigurationHead head = ConfigurationHead.NONE;
@@ -63,10 +65,10 @@
   /** The parts of the content in force, which the next one mostly shares. */
   private Map<String, JsonNode> parts = Map.of();
 
-  private double confirmedS = Double.NEGATIVE_INFINITY;
-  private long inForceSinceMs;
-  private boolean reading;
-  private boolean again;
+  private double confirmedAtSeconds = Double.NEGATIVE_INFINITY;
+  private long inForceSinceMillis;
+  private boolean readInFlight;
+  private boolean readAgain;
   private boolean wasFresh;
 
   /**
@@ -74,24 +76,28 @@
    * {@code start()}.
    */
   public ConfigurationFollower(
-      Settings settings, Loop loop, StateStore store, Directory directory, Timing timing) {
+      Settings settings,
+      EventLoop loop,
+      StateStore store,
+      ClusterView clusterView,
+      LeaseTiming timing) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
-    this.directory = directory;
-    this.periodS = Math.min(LONGEST_PERIOD_S, timing.renewS());
-    this.content = ClusterConfiguration.of(settings);
-    this.inForceSinceMs = loop.wallMillis();
+    this.clusterView = clusterView;
+    this.pollSeconds = Math.min(MAX_POLL_SECONDS, timing.renewIntervalSeconds());
+    this.content = ClusterConfiguration.fromSettings(settings);
+    this.inForceSinceMillis = loop.wallMillis();
   }
 
   @Override
   public void start() {
-    confirm();
-    loop.every(periodS, this::confirm);
+    readHead();
+    loop.scheduleWithFixedDelay(pollSeconds, this::readHead);
   }
 
   @Override
-  public Team team(String name) {
+  public Team findTeam(String name) {
     return content.teams().get(name);
   }
 
@@ -106,8 +112,8 @@
   }
 
   @Override
-  public boolean accepts(String team) {
-    return content.teams().containsKey(team) && !content.closed().contains(team);
+  public boolean acceptsJobs(String team) {
+    return content.teams().containsKey(team) && !content.closedTeams().contains(team);
   }
 
   @Override
@@ -120,106 +126,109 @@
    * claimed more of a limit under the one before.
    */
   @Override
-  public boolean fresh() {
-    return loop.seconds() - confirmedS < STALE_S && directory.revision() >= head.stamp();
+  public boolean isFresh() {
+    return loop.monotonicSeconds() - confirmedAtSeconds < MAX_CONFIRMATION_AGE_SECONDS
+        && clusterView.revision() >= head.modRevision();
   }
 
   @Override
   public long revision() {
-    return head.number();
+    return head.currentNumber();
   }
 
   @Override
-  public long stamp() {
-    return head.stamp();
+  public long modRevision() {
+    return head.modRevision();
   }
 
   @Override
-  public ConfigurationState state() {
-    double ago = loop.seconds() - confirmedS;
+  public ConfigurationState findState() {
+    double confirmedSecondsAgo = loop.monotonicSeconds() - confirmedAtSeconds;
     return new ConfigurationState(
         settings.self().value(),
         revision(),
-        Double.isInfinite(ago) ? -1 : Math.round(1000 * ago),
-        inForceSinceMs,
-        fresh());
+        Double.isInfinite(confirmedSecondsAgo) ? -1 : Math.round(1000 * confirmedSecondsAgo),
+        inForceSinceMillis,
+        isFresh());
   }
 
   @Override
-  public void rowsChanged() {
-    Entry row = directory.configuration();
-    if (row != null && row.stamp() > head.stamp()) {
-      confirm();
+  public void onRowsChanged() {
+    Entry row = clusterView.configurationEntry();
+    if (row != null && row.modRevision() > head.modRevision()) {
+      readHead();
     }
   }
 
   @Override
-  public void onChange(Runnable step) {
-    listeners.add(step);
+  public void addChangeListener(Runnable listener) {
+    listeners.add(listener);
   }
 
-  private void confirm() {
-    tellFreshness();
-    if (reading) {
-      again = true;
+  private void readHead() {
+    logFreshnessChange();
+    if (readInFlight) {
+      readAgain = true;
       return;
     }
-    reading = true;
-    double sentS = loop.seconds();
+    readInFlight = true;
+    double sentAtSeconds = loop.monotonicSeconds();
     store
-        .getNow(ConfigurationHead.KEY)
+        .getUrgent(ConfigurationHead.KEY)
         .thenCompose(
             row -> {
-              ConfigurationHead found = ConfigurationHead.of(row);
+              ConfigurationHead found = ConfigurationHead.fromRow(row);
               if (row.value() != null) {
-                directory.apply(new Change(row.key(), row.value(), row.stamp()));
+                clusterView.apply(new RowChange(row.key(), row.value(), row.modRevision()));
               }
-              if (found.stamp() <= head.stamp()) {
+              if (found.modRevision() <= head.modRevision()) {
                 return CompletableFuture.completedFuture(
-                    new Read(found, new Assembled(content, parts)));
+                    new ReadResult(found, new Assembled(content, parts)));
               }
-              return ConfigurationParts.read(store, found.newest(), parts)
-                  .thenApply(read -> new Read(found, read));
+              return ConfigurationParts.readContent(store, found.findLatest(), parts)
+                  .thenApply(read -> new ReadResult(found, read));
             })
         .whenComplete(
             (read, failure) -> {
-              reading = false;
+              readInFlight = false;
               if (failure == null) {
-                confirmed(read, sentS);
+                applyRead(read, sentAtSeconds);
               } else {
-                LOG.debug("configuration not confirmed: {}", Unavailable.of(failure).getMessage());
+                LOG.debug(
+                    "configuration not confirmed: {}",
+                    StateUnavailableException.from(failure).getMessage());
               }
-              if (again) {
-                again = false;
-                confirm();
+              if (readAgain) {
+                readAgain = false;
+                readHead();
               }
             });
   }
 
-  private record Read(ConfigurationHead head, Assembled assembled) {}
+  private record ReadResult(ConfigurationHead head, Assembled assembled) {}
 
-  private void confirmed(Read read, double sentS) {
-    if (read.head().stamp() > head.stamp()) {
+  private void applyRead(ReadResult read, double sentAtSeconds) {
+    if (read.head().modRevision() > head.modRevision()) {
       head = read.head();
       content = read.assembled().content();
-      parts = read.assembled().parts();
-      inForceSinceMs = loop.wallMillis();
+      parts = read.assembled().partsByDigest();
+      inForceSinceMillis = loop.wallMillis();
       LOG.info(
           "configuration revision {} of {} ({}) is in force",
-          head.number(),
-          head.newest().who(),
-          head.newest().why());
-      confirmedS = sentS;
+          head.currentNumber(),
+          head.findLatest().author(),
+          head.findLatest().reason());
+      confirmedAtSeconds = sentAtSeconds;
       List.copyOf(listeners).forEach(Runnable::run);
-    } else if (read.head().stamp() == head.stamp()) {
-      confirmedS = Math.max(confirmedS, sentS);
+    } else if (read.head().modRevision() == head.modRevision()) {
+      confirmedAtSeconds = Math.max(confirmedAtSeconds, sentAtSeconds);
     }
-    tellFreshness();
+    logFreshnessChange();
   }
 
-  private void tellFreshness() {
-    if (fresh() != wasFresh) {
-      wasFresh = fresh();
+  private void logFreshnessChange() {
+    if (isFresh() != wasFresh) {
+      wasFresh = isFresh();
       LOG.info(
           wasFresh
               ? "configuration revision {} is confirmed"
--- a/src/main/java/io/violetrail/configuration/ConfigurationHead.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationHead.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.StateWire.Entry;
+import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -15,16 +15,16 @@
  * in force at once.
  *
  * @param revisions the newest first
- * @param stamp the row's; 0 if there is none, and the platform's file is in force
+ * @param modRevision the row's; 0 if there is none, and the platform's file is in force
  */
-public record ConfigurationHead(List<Revision> revisions, long stamp) {
+public record ConfigurationHead(List<Revision> revisions, long modRevision) {
   /** Where the head stands: among the rows that every controller watches. */
-  public static final String KEY = io.violetrail.ownership.Rows.CONFIGURATION;
+  public static final String KEY = io.violetrail.ownership.StateSchema.CONFIGURATION_KEY;
 
   /** Where the parts stand, which nobody watches. */
-  static final String PARTS = "config/part/";
+  static final String PART_KEY_PREFIX = "config/part/";
 
-  static final int KEPT_REVISIONS = 12;
+  static final int MAX_REVISIONS = 12;
 
   static final ConfigurationHead NONE = new ConfigurationHead(List.of(), 0);
 
@@ -32,92 +32,93 @@
    * One revision.
    *
    * @param digest of its content
-   * @param parts digests of the rows that hold it, in order
-   * @param request names the request that asked for it
-   * @param asked digest of what was asked for, before teams that it leaves out were closed
+   * @param partDigests digests of the rows that hold it, in order
+   * @param requestId names the request that asked for it
+   * @param requestDigest digest of what was asked for, before teams that it leaves out were closed
    */
   public record Revision(
       long number,
       String digest,
-      List<String> parts,
-      String request,
-      String asked,
-      String who,
-      String why,
-      long atMs) {
+      List<String> partDigests,
+      String requestId,
+      String requestDigest,
+      String author,
+      String reason,
+      long createdMillis) {
 
-    List<String> keys() {
-      return parts.stream().map(ConfigurationHead::partKey).toList();
+    List<String> partKeys() {
+      return partDigests.stream().map(ConfigurationHead::partKey).toList();
     }
   }
 
   static String partKey(String digest) {
-    return PARTS + digest;
+    return PART_KEY_PREFIX + digest;
   }
 
-  long number() {
+  long currentNumber() {
     return revisions.isEmpty() ? 0 : revisions.get(0).number();
   }
 
-  Revision newest() {
+  Revision findLatest() {
     return revisions.isEmpty() ? null : revisions.get(0);
   }
 
   /** The kept revision of that number; null if there is none. */
-  Revision revision(long number) {
+  Revision findRevision(long number) {
     return revisions.stream().filter(r -> r.number() == number).findFirst().orElse(null);
   }
 
   /** The kept revision that the request made; null if there is none. */
-  Revision madeBy(String request) {
-    return revisions.stream().filter(r -> r.request().equals(request)).findFirst().orElse(null);
+  Revision findByRequest(String requestId) {
+    return revisions.stream().filter(r -> r.requestId().equals(requestId)).findFirst().orElse(null);
   }
 
   /** This head with another revision in force; the oldest ones go. */
-  ConfigurationHead with(Revision next) {
-    List<Revision> all = new ArrayList<>(revisions);
-    all.add(0, next);
+  ConfigurationHead withRevision(Revision next) {
+    List<Revision> allRevisions = new ArrayList<>(revisions);
+    allRevisions.add(0, next);
     return new ConfigurationHead(
-        List.copyOf(all.subList(0, Math.min(KEPT_REVISIONS, all.size()))), stamp);
+        List.copyOf(allRevisions.subList(0, Math.min(MAX_REVISIONS, allRevisions.size()))),
+        modRevision);
   }
 
-  ObjectNode value() {
-    ObjectNode value = Cbor.map();
+  ObjectNode toRow() {
+    ObjectNode value = Cbor.newMap();
     ArrayNode list = value.putArray("revisions");
-    for (Revision r : revisions) {
+    for (Revision kept : revisions) {
       ObjectNode revision = list.addObject();
-      r.parts().forEach(revision.putArray("parts")::add);
+      kept.partDigests().forEach(revision.putArray("parts")::add);
       revision
-          .put("number", r.number())
-          .put("digest", r.digest())
-          .put("request", r.request())
-          .put("asked", r.asked())
-          .put("who", r.who())
-          .put("why", r.why())
-          .put("at", r.atMs());
+          .put("number", kept.number())
+          .put("digest", kept.digest())
+          .put("request", kept.requestId())
+          .put("asked", kept.requestDigest())
+          .put("who", kept.author())
+          .put("why", kept.reason())
+          .put("at", kept.createdMillis());
     }
     return value;
   }
 
-  static ConfigurationHead of(Entry row) {
+  static ConfigurationHead fromRow(Entry row) {
     if (row == null || row.value() == null) {
       return NONE;
     }
-    List<Revision> all = new ArrayList<>();
-    for (JsonNode r : row.value().path("revisions")) {
-      List<String> parts = new ArrayList<>();
-      r.path("parts").forEach(p -> parts.add(p.asText()));
-      all.add(
+    List<Revision> revisions = new ArrayList<>();
+    for (JsonNode node : row.value().path("revisions")) {
+      List<String> partDigests = new ArrayList<>();
+      node.path("parts").forEach(p -> partDigests.add(p.asText()));
+      revisions.add(
           new Revision(
-              r.path("number").asLong(),
-              r.path("digest").asText(),
-              List.copyOf(parts),
-              r.path("request").asText(),
-              r.path("asked").asText(),
-              r.path("who").asText(),
-              r.path("why").asText(),
-              r.path("at").asLong()));
+              node.path("number").asLong(),
+              node.path("digest").asText(),
+              List.copyOf(partDigests),
+              node.path("request").asText(),
+              node.path("asked").asText(),
+              node.path("who").asText(),
+              node.path("why").asText(),
+              node.path("at").asLong()));
     }
-    return new ConfigurationHead(List.copyOf(all), row.stamp());
+    return new ConfigurationHead(List.copyOf(revisions), row.modRevision());
   }
 }
--- a/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
@@ -6,9 +6,9 @@
 import io.violetrail.configuration.ConfigurationChange.Outcome;
 import io.violetrail.configuration.ConfigurationChange.Result;
 import io.violetrail.configuration.ConfigurationHead.Revision;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -34,19 +34,19 @@
   /**
    * Parts that no head names are removed once they are older: a writer may be about to name them.
    */
-  private static final double UNUSED_PART_S = 600;
+  private static final double UNUSED_PART_RETENTION_SECONDS = 600;
 
   /** Of the head's value; the rest is for the form that values are counted in. */
-  private static final double FILLED = 0.9;
+  private static final double FILL_FRACTION = 0.9;
 
-  private static final int MAX_TRIES = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore store;
 
   /** Creates a writer that stores configuration revisions through {@code store}. */
-  public ConfigurationWriter(Settings settings, Loop loop, StateStore store) {
+  public ConfigurationWriter(Settings settings, EventLoop loop, StateStore store) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
@@ -63,94 +63,100 @@
             });
   }
 
-  private CompletableFuture<Result> attempt(ConfigurationChange change, int tries) {
+  private CompletableFuture<Result> attempt(ConfigurationChange change, int attempt) {
     return readHead()
         .thenCompose(
             head -> {
-              Result decided = decided(change, head);
+              Result decided = findCertainOutcome(change, head);
               return decided != null
                   ? CompletableFuture.completedFuture(decided)
-                  : contents(change, head)
-                      .thenCompose(contents -> store(change, head, contents, tries));
+                  : readContents(change, head)
+                      .thenCompose(contents -> storeRevision(change, head, contents, attempt));
             });
   }
 
   private CompletableFuture<ConfigurationHead> readHead() {
-    return store.getForUser(ConfigurationHead.KEY).thenApply(ConfigurationHead::of);
+    return store.getForUser(ConfigurationHead.KEY).thenApply(ConfigurationHead::fromRow);
   }
 
   /** The outcome if it is certain without a write; null if it is not. */
-  private static Result decided(ConfigurationChange change, ConfigurationHead head) {
-    Revision made = head.madeBy(change.request());
-    if (made != null) {
-      return made.asked().equals(change.asked())
-          ? new Result(Outcome.APPLIED, made.number(), "")
+  private static Result findCertainOutcome(ConfigurationChange change, ConfigurationHead head) {
+    Revision existing = head.findByRequest(change.requestId());
+    if (existing != null) {
+      return existing.requestDigest().equals(change.requestDigest())
+          ? new Result(Outcome.APPLIED, existing.number(), "")
           : new Result(
-              Outcome.REFUSED, head.number(), "the request's name was used for another change");
+              Outcome.REFUSED,
+              head.currentNumber(),
+              "the request's name was used for another change");
     }
-    if (head.number() != change.expected()) {
+    if (head.currentNumber() != change.expectedRevision()) {
       return new Result(
-          Outcome.CONFLICT, head.number(), "revision " + head.number() + " is in force");
+          Outcome.CONFLICT,
+          head.currentNumber(),
+          "revision " + head.currentNumber() + " is in force");
     }
-    if (change.content() == null && head.revision(change.rollbackTo()) == null) {
+    if (change.content() == null && head.findRevision(change.rollbackRevision()) == null) {
       return new Result(
           Outcome.REFUSED,
-          head.number(),
-          "revision " + change.rollbackTo() + " is not kept any more, or never was");
+          head.currentNumber(),
+          "revision " + change.rollbackRevision() + " is not kept any more, or never was");
     }
     return null;
   }
 
   /** What is in force, and what is asked for. */
-  private record Contents(ClusterConfiguration former, ClusterConfiguration asked) {}
-
-  private CompletableFuture<Contents> contents(ConfigurationChange change, ConfigurationHead head) {
-    CompletableFuture<ClusterConfiguration> former =
-        head.newest() == null
-            ? CompletableFuture.completedFuture(ClusterConfiguration.of(settings))
-            : read(head.newest());
-    CompletableFuture<ClusterConfiguration> asked =
+  private record Contents(ClusterConfiguration previous, ClusterConfiguration requested) {}
+
+  private CompletableFuture<Contents> readContents(
+      ConfigurationChange change, ConfigurationHead head) {
+    CompletableFuture<ClusterConfiguration> previous =
+        head.findLatest() == null
+            ? CompletableFuture.completedFuture(ClusterConfiguration.fromSettings(settings))
+            : readContent(head.findLatest());
+    CompletableFuture<ClusterConfiguration> requested =
         change.content() != null
             ? CompletableFuture.completedFuture(change.content())
-            : read(head.revision(change.rollbackTo()));
-    return former.thenCombine(asked, Contents::new);
+            : readContent(head.findRevision(change.rollbackRevision()));
+    return previous.thenCombine(requested, Contents::new);
   }
 
-  private CompletableFuture<ClusterConfiguration> read(Revision revision) {
-    return ConfigurationParts.read(store, revision, Map.of())
+  private CompletableFuture<ClusterConfiguration> readContent(Revision revision) {
+    return ConfigurationParts.readContent(store, revision, Map.of())
         .thenApply(ConfigurationParts.Assembled::content);
   }
 
-  private CompletableFuture<Result> store(
-      ConfigurationChange change, ConfigurationHead head, Contents contents, int tries) {
-    ClusterConfiguration next = contents.asked().after(contents.former());
+  private CompletableFuture<Result> storeRevision(
+      ConfigurationChange change, ConfigurationHead head, Contents contents, int attempt) {
+    ClusterConfiguration next = contents.requested().replacing(contents.previous());
     if (next.teams().size() > ConfigurationFormat.MAX_TEAMS) {
       return CompletableFuture.completedFuture(
           new Result(
               Outcome.REFUSED,
-              head.number(),
+              head.currentNumber(),
               "with the closed teams there are more than " + ConfigurationFormat.MAX_TEAMS));
     }
     Map<String, ObjectNode> parts =
-        ConfigurationParts.split(next, settings.stateLimits().valueBytes(), loop.wallMillis());
+        ConfigurationParts.split(
+            next, settings.stateStoreLimits().maxValueBytes(), loop.wallMillis());
     Revision revision =
         new Revision(
-            head.number() + 1,
+            head.currentNumber() + 1,
             next.digest(),
             List.copyOf(parts.keySet()),
-            change.request(),
-            change.asked(),
-            change.who(),
-            change.why(),
+            change.requestId(),
+            change.requestDigest(),
+            change.author(),
+            change.reason(),
             loop.wallMillis());
-    ConfigurationHead newHead = bounded(head.with(revision));
+    ConfigurationHead newHead = trimToValueLimit(head.withRevision(revision));
     return storeParts(parts)
         .thenCompose(stamps -> storeHead(head, newHead, stamps))
         .thenCompose(
             applied -> {
-              if (!applied && tries < MAX_TRIES) {
+              if (!applied && attempt < MAX_ATTEMPTS) {
                 // Another change came first, or this one did by a try whose answer was lost.
-                return attempt(change, tries + 1);
+                return attempt(change, attempt + 1);
               }
               if (applied) {
                 LOG.info("configuration revision {} stored", revision.number());
@@ -164,74 +170,80 @@
   }
 
   /** Drops the oldest revisions until the row fits a value. */
-  private ConfigurationHead bounded(ConfigurationHead head) {
+  private ConfigurationHead trimToValueLimit(ConfigurationHead head) {
     ConfigurationHead fitting = head;
-    int most = (int) (settings.stateLimits().valueBytes() * FILLED);
-    while (fitting.revisions().size() > 1 && fitting.value().toString().length() > most) {
+    int maxChars = (int) (settings.stateStoreLimits().maxValueBytes() * FILL_FRACTION);
+    while (fitting.revisions().size() > 1 && fitting.toRow().toString().length() > maxChars) {
       List<Revision> fewer = fitting.revisions().subList(0, fitting.revisions().size() - 1);
-      fitting = new ConfigurationHead(List.copyOf(fewer), fitting.stamp());
+      fitting = new ConfigurationHead(List.copyOf(fewer), fitting.modRevision());
     }
     return fitting;
   }
 
   /** Writes the parts that are not there yet; completes with the stamps of all of them. */
   private CompletableFuture<Map<String, Long>> storeParts(Map<String, ObjectNode> parts) {
-    Map<String, Long> stamps = new TreeMap<>();
+    Map<String, Long> modRevisions = new TreeMap<>();
     List<CompletableFuture<Void>> writes = new ArrayList<>();
     parts.forEach(
         (digest, part) -> {
           String key = ConfigurationHead.partKey(digest);
-          writes.add(storePart(key, part).thenAccept(stamp -> stamps.put(key, stamp)));
+          writes.add(storePart(key, part).thenAccept(stamp -> modRevisions.put(key, stamp)));
         });
     return CompletableFuture.allOf(writes.toArray(CompletableFuture[]::new))
-        .thenApply(nothing -> stamps);
+        .thenApply(nothing -> modRevisions);
   }
 
   /** Completes with the part's stamp; most parts are there from the revision before. */
   private CompletableFuture<Long> storePart(String key, ObjectNode part) {
     return store
-        .getNow(key)
+        .getUrgent(key)
         .thenCompose(
-            there -> {
-              if (there.value() != null) {
-                return CompletableFuture.completedFuture(there.stamp());
+            existing -> {
+              if (existing.value() != null) {
+                return CompletableFuture.completedFuture(existing.modRevision());
               }
               return store
-                  .settle(new Txn().when(key, 0).set(key, part))
+                  .commit(new Transaction().ifRevision(key, 0).put(key, part))
                   .thenCompose(
                       outcome ->
                           outcome.applied()
                               ? CompletableFuture.completedFuture(outcome.revision())
-                              : store.getNow(key).thenApply(row -> row.stamp()));
+                              : store.getUrgent(key).thenApply(row -> row.modRevision()));
             });
   }
 
   private CompletableFuture<Boolean> storeHead(
-      ConfigurationHead before, ConfigurationHead next, Map<String, Long> partStamps) {
-    Txn txn =
-        new Txn()
-            .when(ConfigurationHead.KEY, before.stamp())
-            .set(ConfigurationHead.KEY, next.value());
-    partStamps.forEach(txn::when);
-    return store.settle(txn).thenApply(outcome -> outcome.applied());
+      ConfigurationHead before, ConfigurationHead next, Map<String, Long> partModRevisions) {
+    Transaction transaction =
+        new Transaction()
+            .ifRevision(ConfigurationHead.KEY, before.modRevision())
+            .put(ConfigurationHead.KEY, next.toRow());
+    partModRevisions.forEach(transaction::ifRevision);
+    return store.commit(transaction).thenApply(outcome -> outcome.applied());
   }
 
   /** Removes old parts that no kept revision names. What fails is left to the next change. */
   private void removeUnused(ConfigurationHead head) {
-    Set<String> named = new HashSet<>();
-    head.revisions().forEach(r -> named.addAll(r.keys()));
-    long before = loop.wallMillis() - (long) (1000 * UNUSED_PART_S);
+    Set<String> namedKeys = new HashSet<>();
+    head.revisions().forEach(r -> namedKeys.addAll(r.partKeys()));
+    long cutoffMillis = loop.wallMillis() - (long) (1000 * UNUSED_PART_RETENTION_SECONDS);
     store
-        .list(ConfigurationHead.PARTS)
+        .list(ConfigurationHead.PART_KEY_PREFIX)
         .thenAccept(
             listing ->
                 listing.entries().stream()
-                    .filter(e -> !named.contains(e.key()) && writtenMs(e.value()) < before)
+                    .filter(
+                        e ->
+                            !namedKeys.contains(e.key()) && writtenMillis(e.value()) < cutoffMillis)
                     .forEach(
-                        e -> store.settleLast(new Txn().when(e.key(), e.stamp()).drop(e.key()))));
+                        e ->
+                            store.commitInBackground(
+                                new Transaction()
+                                    .ifRevision(e.key(), e.modRevision())
+                                    .delete(e.key()))));
   }
 
-  private static long writtenMs(JsonNode part) {
+  private static long writtenMillis(JsonNode part) {
     return part == null ? Long.MAX_VALUE : part.path("at").asLong(Long.MAX_VALUE);
   }
 
--- a/src/main/java/io/violetrail/configuration/FixedConfiguration.java
+++ b/src/main/java/io/violetrail/configuration/FixedConfiguration.java
@@ -3,7 +3,7 @@
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.Objective;
 import io.violetrail.config.Settings.Team;
-import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.ClusterView;
 import java.util.Collection;
 import java.util.List;
 
@@ -13,15 +13,15 @@
  */
 public final class FixedConfiguration implements Configuration {
   private final Settings settings;
-  private final Directory directory;
+  private final ClusterView clusterView;
 
-  public FixedConfiguration(Settings settings, Directory directory) {
+  public FixedConfiguration(Settings settings, ClusterView clusterView) {
     this.settings = settings;
-    this.directory = directory;
+    this.clusterView = clusterView;
   }
 
   @Override
-  public Team team(String name) {
+  public Team findTeam(String name) {
     return settings.teams().get(name);
   }
 
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public boolean accepts(String team) {
+  public boolean acceptsJobs(String team) {
     return settings.teams().containsKey(team);
   }
 
@@ -46,8 +46,8 @@
   }
 
   @Override
-  public boolean fresh() {
-    return directory.configuration() == null;
+  public boolean isFresh() {
+    return clusterView.configurationEntry() == null;
   }
 
   @Override
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public long stamp() {
+  public long modRevision() {
     return 0;
   }
 }
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -1,13 +1,13 @@
 package io.violetrail.controller;
 
-import io.violetrail.api.Intake;
+import io.violetrail.api.JobAdmission;
+import io.violetrail.api.JobLifecycle;
 import io.violetrail.api.JobStateLookup;
-import io.violetrail.api.Jobs;
 import io.violetrail.api.Metrics;
 import io.violetrail.api.Readiness;
 import io.violetrail.api.UserApi;
 import io.violetrail.calendar.ScheduleApi;
-import io.violetrail.calendar.Schedules;
+import io.violetrail.calendar.ScheduleRegistry;
 import io.violetrail.cloud.CloudClient;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
@@ -18,57 +18,57 @@
 import io.violetrail.configuration.ConfigurationWriter;
 import io.violetrail.configuration.FixedConfiguration;
 import io.violetrail.evidence.EvidenceLog;
-import io.violetrail.fleet.Boots;
+import io.violetrail.fleet.Autoscaler;
+import io.violetrail.fleet.BootTimes;
 import io.violetrail.fleet.EntityMachines;
-import io.violetrail.fleet.Fleet;
-import io.violetrail.fleet.Hires;
-import io.violetrail.fleet.Inventory;
 import io.violetrail.fleet.MachineTransfer;
 import io.violetrail.fleet.MachineTypeRefresh;
 import io.violetrail.fleet.MachineTypes;
+import io.violetrail.fleet.OrphanedMachines;
 import io.violetrail.fleet.QuotaTransfer;
 import io.violetrail.fleet.ScaleIn;
 import io.violetrail.fleet.ScaleOut;
-import io.violetrail.fleet.Spares;
+import io.violetrail.fleet.ScaleOutRequests;
 import io.violetrail.fleet.TransferRequests;
-import io.violetrail.kubernetes.Kubernetes;
+import io.violetrail.fleet.WarmCapacity;
 import io.violetrail.kubernetes.KubernetesApi;
+import io.violetrail.kubernetes.KubernetesSubsystem;
 import io.violetrail.model.ControllerId;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Timing;
-import io.violetrail.peer.BudgetLending;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.PeerCodec;
 import io.violetrail.peer.PeerJobViews;
 import io.violetrail.peer.PeerService;
-import io.violetrail.scheduling.Aims;
-import io.violetrail.scheduling.Dispatcher;
+import io.violetrail.peer.WriteBudgetLending;
+import io.violetrail.scheduling.BinPacker;
 import io.violetrail.scheduling.EntityMaintenance;
-import io.violetrail.scheduling.Estimates;
 import io.violetrail.scheduling.GangRepair;
 import io.violetrail.scheduling.MachineDrainer;
 import io.violetrail.scheduling.MachineLivenessMonitor;
-import io.violetrail.scheduling.PendingJobs;
-import io.violetrail.scheduling.Placer;
+import io.violetrail.scheduling.PendingQueues;
 import io.violetrail.scheduling.Preemption;
+import io.violetrail.scheduling.RuntimeEstimates;
 import io.violetrail.scheduling.SchedulingLoop;
+import io.violetrail.scheduling.ServiceLevelObjectives;
 import io.violetrail.scheduling.TaskFailureHandler;
+import io.violetrail.scheduling.TaskScheduler;
 import io.violetrail.state.StateStore;
-import io.violetrail.tracing.Traces;
+import io.violetrail.tracing.JobTracer;
 import io.violetrail.worker.CommandWriter;
 import io.violetrail.worker.HeartbeatHandler;
+import io.violetrail.worker.LastHeartbeats;
 import io.violetrail.worker.LeaseRenewal;
 import io.violetrail.worker.LongPolls;
 import io.violetrail.worker.MachineAdoption;
 import io.violetrail.worker.OwnedMachineHeartbeat;
 import io.violetrail.worker.ReportReconciler;
 import io.violetrail.worker.TaskStopper;
-import io.violetrail.worker.WorkerContacts;
 import io.violetrail.worker.WorkerReachability;
 import io.violetrail.worker.WorkerRouter;
 import java.util.ArrayList;
@@ -90,29 +90,29 @@
   private static final double RETURN_EXCESS_PERIOD_SECONDS = 1;
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Random random;
-  private final Http http;
-  private final Timing timing;
+  private final HttpClient http;
+  private final LeaseTiming timing;
   private final StateStore store;
-  private final Directory directory;
+  private final ClusterView directory;
   private final Membership membership;
   private final Configuration configuration;
   private final MachineTypes machineTypes;
   private final SchedulingLoop schedulingLoop;
-  private final Estimates estimates = new Estimates();
+  private final RuntimeEstimates estimates = new RuntimeEstimates();
   private final PeerClient peers;
   private final QuotaTransfer quotas;
   private final TaskStopper taskStopper;
-  private final Jobs jobs;
-  private final Intake intake;
+  private final JobLifecycle jobs;
+  private final JobAdmission intake;
   private final EntityMachines entityMachines;
-  private final Dispatcher dispatcher;
+  private final TaskScheduler dispatcher;
   private final EntityMaintenance entityMaintenance;
-  private final Fleet fleet;
+  private final Autoscaler fleet;
   private final EntityRecovery entityRecovery;
   private final WorkerReachability reachability;
-  private final BudgetLending budgetLending;
+  private final WriteBudgetLending budgetLending;
   private final UserApi api;
   private final PeerService peerService;
 
@@ -125,56 +125,61 @@
    * @param traces notes the ways of jobs
    */
   public Controller(
-      Settings settings, Options options, Loop loop, Http http, Random random, Traces traces) {
+      Settings settings,
+      Options options,
+      EventLoop loop,
+      HttpClient http,
+      Random random,
+      JobTracer traces) {
     this.settings = settings;
     this.loop = loop;
     this.http = http;
     this.random = random;
 
     // The state service, and what is known of the common rows.
-    timing = Timing.of(settings, options.lapseS());
+    timing = LeaseTiming.from(settings, options.leaseTtlSeconds());
     store = new StateStore(loop, http, settings);
-    directory = new Directory(settings);
+    directory = new ClusterView(settings);
     membership = new Membership(settings, loop, store, directory, timing, new MembershipListener());
     configuration =
-        options.configuration()
+        options.configurationEnabled()
             ? new ConfigurationFollower(settings, loop, store, directory, timing)
             : new FixedConfiguration(settings, directory);
     EvidenceLog evidence = new EvidenceLog(loop, EVIDENCE::info);
     PeerCodec peerCodec = new PeerCodec();
     peers = new PeerClient(settings, directory, http, peerCodec);
-    budgetLending = new BudgetLending(settings, loop, store, directory, peers);
+    budgetLending = new WriteBudgetLending(settings, loop, store, directory, peers);
 
     // Machines and jobs.
     machineTypes = new MachineTypes(directory);
     schedulingLoop = new SchedulingLoop(loop);
-    Boots bootTimes = new Boots();
-    Spares spares = new Spares(configuration);
-    Aims aims = new Aims(configuration);
-    PendingJobs pendingJobs = new PendingJobs(loop, aims, estimates, schedulingLoop);
+    BootTimes bootTimes = new BootTimes();
+    WarmCapacity spares = new WarmCapacity(configuration);
+    ServiceLevelObjectives objectives = new ServiceLevelObjectives(configuration);
+    PendingQueues pendingQueues = new PendingQueues(loop, objectives, estimates, schedulingLoop);
     taskStopper = new TaskStopper(loop, membership, http);
     quotas = new QuotaTransfer(loop, store, directory, membership, settings, configuration);
     entityMachines =
         new EntityMachines(loop, directory, membership, machineTypes, bootTimes, schedulingLoop);
     jobs =
-        new Jobs(
+        new JobLifecycle(
             loop,
             store,
-            settings.stateLimits(),
+            settings.stateStoreLimits(),
             membership,
-            pendingJobs,
-            aims,
+            pendingQueues,
+            objectives,
             spares,
             taskStopper,
             traces);
-    intake = new Intake(store, membership, configuration, machineTypes, jobs, traces);
+    intake = new JobAdmission(store, membership, configuration, machineTypes, jobs, traces);
 
     // Scheduling.
-    double heartbeatSeconds = settings.workers().reportS();
+    double heartbeatSeconds = settings.workerTiming().heartbeatIntervalSeconds();
     LongPolls longPolls = new LongPolls(loop, heartbeatSeconds);
-    Preemption preemption = new Preemption(taskStopper::halted);
+    Preemption preemption = new Preemption(taskStopper::enqueueStop);
     MachineDrainer drainer = new MachineDrainer(loop, preemption);
-    Placer placer = new Placer(aims, estimates, random, options.sample());
+    BinPacker placer = new BinPacker(objectives, estimates, random, options.placementSampleSize());
     MachineTransfer machineTransfer =
         new MachineTransfer(
             loop, membership, machineTypes, entityMachines, drainer, quotas, longPolls);
@@ -185,19 +190,19 @@
             directory,
             membership,
             machineTypes,
-            pendingJobs,
-            aims,
+            pendingQueues,
+            objectives,
             estimates,
             quotas,
             machineTransfer,
             peers);
     dispatcher =
-        new Dispatcher(
+        new TaskScheduler(
             loop,
             membership,
             configuration,
             machineTypes,
-            pendingJobs,
+            pendingQueues,
             placer,
             preemption,
             drainer,
@@ -209,7 +214,7 @@
         new EntityMaintenance(
             loop,
             membership,
-            pendingJobs,
+            pendingQueues,
             schedulingLoop,
             new MachineLivenessMonitor(
                 directory, timing, heartbeatSeconds, EntityMaintenance.PERIOD_SECONDS),
@@ -218,15 +223,15 @@
 
     // The fleet.
     CloudClient cloud = new CloudClient(loop, http, settings);
-    Hires hires = new Hires(loop, store, directory, membership, peers, cloud);
+    ScaleOutRequests hires = new ScaleOutRequests(loop, store, directory, membership, peers, cloud);
     fleet =
-        new Fleet(
+        new Autoscaler(
             loop,
             membership,
             new MachineTypeRefresh(loop, store, directory, machineTypes, schedulingLoop, cloud),
             new ScaleIn(
                 settings,
-                options.idleS(),
+                options.maxIdleSeconds(),
                 loop,
                 timing,
                 directory,
@@ -241,16 +246,16 @@
                 random,
                 directory,
                 machineTypes,
-                pendingJobs,
+                pendingQueues,
                 placer,
-                aims,
+                objectives,
                 estimates,
                 quotas,
                 bootTimes,
                 spares,
                 hires),
             hires,
-            new Inventory(
+            new OrphanedMachines(
                 settings, loop, directory, membership, machineTypes, entityMachines, cloud));
     entityRecovery =
         new EntityRecovery(
@@ -271,7 +276,7 @@
             entityMachines,
             reachability,
             longPolls,
-            new WorkerContacts(loop, evidence, heartbeatSeconds),
+            new LastHeartbeats(loop, evidence, heartbeatSeconds),
             new WorkerRouter(settings, loop, timing, directory, membership),
             new MachineAdoption(loop, directory, membership, machineTypes),
             new OwnedMachineHeartbeat(
@@ -322,32 +327,33 @@
   public void start() {
     membership.start();
     configuration.start();
-    configuration.onChange(this::configurationChanged);
+    configuration.addChangeListener(this::configurationChanged);
     if (configuration.canChange()) {
-      loop.every(RETURN_EXCESS_PERIOD_SECONDS, () -> quotas.returnExcess(membership.holdings()));
+      loop.scheduleWithFixedDelay(
+          RETURN_EXCESS_PERIOD_SECONDS, () -> quotas.returnExcess(membership.ownedEntities()));
     }
     budgetLending.start();
     entityMaintenance.start();
     fleet.start();
     reachability.start();
     taskStopper.start();
-    loop.every(ANNOUNCE_PERIOD_SECONDS, this::announceSeizedEntities);
+    loop.scheduleWithFixedDelay(ANNOUNCE_PERIOD_SECONDS, this::announceSeizedEntities);
   }
 
   /** What is served to users, workers and health checks. */
-  public Service api() {
+  public RequestHandler api() {
     return api;
   }
 
   /** What is served to the other controllers. */
-  public Service peerService() {
+  public RequestHandler peerService() {
     return peerService;
   }
 
   /** Serves and fires schedules. */
   public void serveSchedules() {
-    Schedules schedules =
-        new Schedules(loop, settings, store, membership, machineTypes, jobs, estimates);
+    ScheduleRegistry schedules =
+        new ScheduleRegistry(loop, settings, store, membership, machineTypes, jobs, estimates);
     schedules.start();
     ScheduleApi scheduleApi =
         new ScheduleApi(loop, random, settings, store, membership, machineTypes, intake, schedules);
@@ -369,8 +375,8 @@
    * @return what is to be served there
    */
   public KubernetesApi startKubernetes(int port) {
-    Kubernetes kubernetes =
-        new Kubernetes(
+    KubernetesSubsystem kubernetes =
+        new KubernetesSubsystem(
             loop,
             random,
             settings,
@@ -393,7 +399,7 @@
   }
 
   /** What is known here of the common rows, for tests. */
-  public Directory directory() {
+  public ClusterView directory() {
     return directory;
   }
 
@@ -418,15 +424,15 @@
   }
 
   private void configurationChanged() {
-    quotas.dropUnsent(membership.holdings());
-    quotas.returnExcess(membership.holdings());
+    quotas.revokeUnsentPlacements(membership.ownedEntities());
+    quotas.returnExcess(membership.ownedEntities());
     schedulingLoop.requestPass();
   }
 
   /** This controller's state of the configuration, and then those of all peers. */
   private CompletableFuture<List<ConfigurationState>> configurationStates() {
     List<CompletableFuture<ConfigurationState>> all = new ArrayList<>();
-    all.add(CompletableFuture.completedFuture(configuration.state()));
+    all.add(CompletableFuture.completedFuture(configuration.findState()));
     all.addAll(peers.configurationStates());
     return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
         .thenApply(nothing -> all.stream().map(CompletableFuture::join).toList());
@@ -437,9 +443,10 @@
    * message may be lost: it is told until its grace is over in any case.
    */
   private void announceSeizedEntities() {
-    for (OwnedEntity entity : membership.holdings()) {
-      double ownedSeconds = loop.seconds() - entity.gainedS();
-      if (!entity.calm() && ownedSeconds < timing.ttlS() + timing.graceS()) {
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      double ownedSeconds = loop.monotonicSeconds() - entity.acquiredAtSeconds();
+      if (!entity.acquiredGracefully()
+          && ownedSeconds < timing.ttlSeconds() + timing.keepAliveGraceSeconds()) {
         peers.announce(entity);
       }
     }
@@ -447,30 +454,30 @@
 
   private final class MembershipListener implements Membership.Listener {
     @Override
-    public void gained(OwnedEntity entity) {
-      peers.announce(membership.holdings());
+    public void onEntityAcquired(OwnedEntity entity) {
+      peers.announce(membership.ownedEntities());
       entityRecovery.recover(entity);
     }
 
     @Override
-    public void lost(OwnedEntity entity) {
-      peers.announce(membership.holdings());
+    public void onEntityLost(OwnedEntity entity) {
+      peers.announce(membership.ownedEntities());
     }
 
     /** Machines may have been passed over to an entity owned here. */
     @Override
-    public void changed() {
-      configuration.rowsChanged();
+    public void onRowsChanged() {
+      configuration.onRowsChanged();
       entityMachines.addTransferred();
     }
 
     @Override
-    public boolean deaf() {
-      return reachability.deaf();
+    public boolean isCutOffFromWorkers() {
+      return reachability.isPartitionedFromWorkers();
     }
 
     @Override
-    public void askBack(ControllerId owner) {
+    public void requestHandback(ControllerId owner) {
       peers.askBack(owner);
     }
   }
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -1,17 +1,17 @@
 package io.violetrail.controller;
 
-import io.violetrail.api.Jobs;
-import io.violetrail.api.Ledger;
+import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.JobStore;
 import io.violetrail.fleet.EntityMachines;
-import io.violetrail.fleet.Hires;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.fleet.ScaleOutRequests;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows;
-import io.violetrail.ownership.Timing;
+import io.violetrail.ownership.StateSchema;
 import io.violetrail.scheduling.SchedulingLoop;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.StateWire.Entry;
+import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
@@ -26,23 +26,23 @@
   private static final double RETRY_READ_SECONDS = 0.5;
   private static final double RETRY_MACHINE_TYPES_SECONDS = 0.3;
 
-  private final Loop loop;
-  private final Timing timing;
+  private final EventLoop loop;
+  private final LeaseTiming timing;
   private final StateStore store;
-  private final Directory directory;
+  private final ClusterView directory;
   private final EntityMachines machines;
-  private final Jobs jobs;
-  private final Hires hires;
+  private final JobLifecycle jobs;
+  private final ScaleOutRequests hires;
   private final SchedulingLoop schedulingLoop;
 
   EntityRecovery(
-      Loop loop,
-      Timing timing,
+      EventLoop loop,
+      LeaseTiming timing,
       StateStore store,
-      Directory directory,
+      ClusterView directory,
       EntityMachines machines,
-      Jobs jobs,
-      Hires hires,
+      JobLifecycle jobs,
+      ScaleOutRequests hires,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
     this.timing = timing;
@@ -56,7 +56,7 @@
 
   /** The rows of one entity, as read after the move. */
   private record EntityRows(
-      List<Ledger.Stored> openJobs, List<Entry> requests, List<Entry> progress) {}
+      List<JobStore.StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
 
   /** Begins to read; the entity becomes active later, unless it is lost before. */
   void recover(OwnedEntity entity) {
@@ -65,20 +65,20 @@
     }
     var openJobs =
         store
-            .list(Rows.sheets(entity.entity()))
-            .thenCompose(listing -> jobs.open(entity, listing.entries()));
-    var requests = store.list(Rows.hires(entity.entity()));
-    var progress = store.list(Rows.progress(entity.entity()));
+            .list(StateSchema.openJobPrefix(entity.id()))
+            .thenCompose(listing -> jobs.loadOpenJobs(entity, listing.entries()));
+    var requests = store.list(StateSchema.scaleOutRequestPrefix(entity.id()));
+    var progress = store.list(StateSchema.progressPrefix(entity.id()));
     // Rows of machines as of after the move: from here on only this owner changes them.
-    var common = store.list(Rows.COMMON);
+    var common = store.list(StateSchema.COMMON_PREFIX);
     CompletableFuture.allOf(openJobs, requests, progress, common)
         .whenComplete(
             (nothing, failure) -> {
               if (failure != null) {
-                loop.after(RETRY_READ_SECONDS, () -> recover(entity));
+                loop.schedule(RETRY_READ_SECONDS, () -> recover(entity));
                 return;
               }
-              directory.replace(common.join().entries(), common.join().revision());
+              directory.replaceWithListing(common.join().entries(), common.join().revision());
               activate(
                   entity,
                   new EntityRows(
@@ -91,16 +91,16 @@
       return;
     }
     if (!machines.addAllRecorded(entity, unheardTasksGoneSeconds(entity))) {
-      LOG.info("entity {} waits for the machine types", entity.entity());
-      loop.after(RETRY_MACHINE_TYPES_SECONDS, () -> recover(entity));
+      LOG.info("entity {} waits for the machine types", entity.id());
+      loop.schedule(RETRY_MACHINE_TYPES_SECONDS, () -> recover(entity));
       return;
     }
     entity.activate();
-    jobs.load(entity, rows.openJobs(), rows.progress());
-    hires.resume(entity, rows.requests());
+    jobs.restore(entity, rows.openJobs(), rows.progress());
+    hires.resumeRequests(entity, rows.requests());
     LOG.info(
         "entity {} version {} active: {} jobs, {} machines",
-        entity.entity(),
+        entity.id(),
         entity.row().version(),
         entity.jobs().size(),
         entity.machines().size());
@@ -112,11 +112,15 @@
    * owner can have kept its worker's lease longer.
    */
   private double unheardTasksGoneSeconds(OwnedEntity entity) {
-    double now = loop.seconds();
+    double now = loop.monotonicSeconds();
     double afterMove =
-        entity.gainedS() + (entity.calm() ? timing.goneAfterAnswerS() : timing.goneAfterSeizureS());
-    double gone = Math.max(afterMove, now + timing.goneAfterAnswerS());
+        entity.acquiredAtSeconds()
+            + (entity.acquiredGracefully()
+                ? timing.tasksGoneAfterReplySeconds()
+                : timing.tasksGoneAfterFailoverSeconds());
+    double gone = Math.max(afterMove, now + timing.tasksGoneAfterReplySeconds());
     // Handed on soon after a seizure: the owner that it was seized from may still be in its grace.
-    return Math.max(gone, now + timing.goneAfterLastSeizureS(entity.row().past(), loop.wallMillis()));
+    return Math.max(
+        gone, now + timing.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/evidence/ReplyKind.java
+++ b/src/main/java/io/violetrail/evidence/HeartbeatReplyKind.java
@@ -1,7 +1,7 @@
 package io.violetrail.evidence;
 
 /** What an answer to a worker's report does to the worker. */
-public enum ReplyKind {
+public enum HeartbeatReplyKind {
   /** Its lease is renewed, by the token of its machine's owner. */
   RENEWED,
 
--- a/src/main/java/io/violetrail/evidence/GoneProof.java
+++ b/src/main/java/io/violetrail/evidence/TerminationEvidence.java
@@ -1,7 +1,7 @@
 package io.violetrail.evidence;
 
 /** Why a task is known not to be on a machine any more, so that it may start elsewhere. */
-public enum GoneProof {
+public enum TerminationEvidence {
   /** The decision was withdrawn before any worker was told. */
   NEVER_SENT,
 
--- a/src/main/java/io/violetrail/fleet/Fleet.java
+++ b/src/main/java/io/violetrail/fleet/Autoscaler.java
@@ -1,61 +1,61 @@
 package io.violetrail.fleet;
 
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 
 /** Scales the fleet of each owned entity in and out, once a second. */
-public final class Fleet {
+public final class Autoscaler {
   private static final double PERIOD_SECONDS = 1;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Membership membership;
   private final MachineTypeRefresh machineTypeRefresh;
   private final ScaleIn scaleIn;
   private final ScaleOut scaleOut;
-  private final Hires hires;
-  private final Inventory inventory;
+  private final ScaleOutRequests scaleOutRequests;
+  private final OrphanedMachines orphanedMachines;
 
   /** Works on what the membership says is owned here. */
-  public Fleet(
-      Loop loop,
+  public Autoscaler(
+      EventLoop loop,
       Membership membership,
       MachineTypeRefresh machineTypeRefresh,
       ScaleIn scaleIn,
       ScaleOut scaleOut,
-      Hires hires,
-      Inventory inventory) {
+      ScaleOutRequests hires,
+      OrphanedMachines inventory) {
     this.loop = loop;
     this.membership = membership;
     this.machineTypeRefresh = machineTypeRefresh;
     this.scaleIn = scaleIn;
     this.scaleOut = scaleOut;
-    this.hires = hires;
-    this.inventory = inventory;
+    this.scaleOutRequests = hires;
+    this.orphanedMachines = inventory;
   }
 
   /** Begins the periodic work, and asks for the machine types at once. */
   public void start() {
-    loop.every(PERIOD_SECONDS, this::runOnce);
+    loop.scheduleWithFixedDelay(PERIOD_SECONDS, this::runOnce);
     loop.execute(machineTypeRefresh::refresh);
   }
 
   private void runOnce() {
-    double now = loop.seconds();
+    double nowSeconds = loop.monotonicSeconds();
     scaleOut.drawTaste();
-    hires.tick(now);
-    if (!membership.valid()) {
+    scaleOutRequests.dropStale(nowSeconds);
+    if (!membership.isLeaseValid()) {
       return;
     }
-    for (OwnedEntity entity : membership.holdings()) {
-      if (entity.active()) {
-        scaleIn.returnUseless(entity, now);
-        hires.repeat(entity);
-        scaleOut.rent(entity, now);
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      if (entity.isActive()) {
+        scaleIn.returnUseless(entity, nowSeconds);
+        scaleOutRequests.resendUncertain(entity);
+        scaleOut.rent(entity, nowSeconds);
       }
     }
     machineTypeRefresh.refresh();
     machineTypeRefresh.store();
-    inventory.tick(now);
+    orphanedMachines.scanIfDue(nowSeconds);
   }
 }
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -1,16 +1,16 @@
 package io.violetrail.fleet;
 
-import io.violetrail.evidence.GoneProof;
+import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Version;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.MachineRow;
-import io.violetrail.scheduling.Placement;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.scheduling.SchedulingLoop;
+import io.violetrail.scheduling.TaskPlacement;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -19,16 +19,16 @@
 
 /**
  * The machines of the entities owned here: how they join an entity, come up, get another fencing
- * token and leave. What must outlive the process goes through {@link OwnedEntity#register}.
+ * token and leave. What must outlive the process goes through {@link OwnedEntity#machineRecords}.
  */
 public final class EntityMachines {
   private static final Logger LOG = LoggerFactory.getLogger(EntityMachines.class);
 
-  private final Loop loop;
-  private final Directory directory;
+  private final EventLoop loop;
+  private final ClusterView directory;
   private final Membership membership;
   private final MachineTypes machineTypes;
-  private final Boots bootTimes;
+  private final BootTimes bootTimes;
   private final SchedulingLoop schedulingLoop;
 
   /** Machines that the cloud has taken back while their rows still stand. */
@@ -36,11 +36,11 @@
 
   /** Learns boot times, and asks for a scheduling pass when machines become usable. */
   public EntityMachines(
-      Loop loop,
-      Directory directory,
+      EventLoop loop,
+      ClusterView directory,
       Membership membership,
       MachineTypes machineTypes,
-      Boots bootTimes,
+      BootTimes bootTimes,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
     this.directory = directory;
@@ -58,7 +58,7 @@
     }
     // A machine from outside the entity can hide none of its tasks: they start only on recorded
     // machines.
-    return add(entity, row, loop.seconds());
+    return add(entity, row, loop.monotonicSeconds());
   }
 
   private Machine add(OwnedEntity entity, MachineRow row, double unheardGoneS) {
@@ -66,10 +66,9 @@
     if (type == null) {
       return null;
     }
-    double now = loop.seconds();
-    double rentedS = now - Math.max(0, loop.wallMillis() - row.rentedMs()) / 1000.0;
-    Machine machine =
-        new Machine(row, type, entity.fencingToken(row), now, rentedS, unheardGoneS);
+    double now = loop.monotonicSeconds();
+    double rentedS = now - Math.max(0, loop.wallMillis() - row.rentedAtMillis()) / 1000.0;
+    Machine machine = new Machine(row, type, entity.fencingToken(row), now, rentedS, unheardGoneS);
     entity.addMachine(machine);
     return machine;
   }
@@ -82,7 +81,7 @@
    * @return false, with no machine added, while some machine's type is not known
    */
   public boolean addAllRecorded(OwnedEntity entity, double unheardGoneS) {
-    for (MachineRow row : directory.machinesOf(entity.entity())) {
+    for (MachineRow row : directory.machineRowsOf(entity.id())) {
       if (add(entity, row, unheardGoneS) == null) {
         entity.removeAllMachines();
         return false;
@@ -93,9 +92,9 @@
 
   /** Adds machines that other entities have passed over to entities owned here. */
   public void addTransferred() {
-    for (OwnedEntity entity : membership.holdings()) {
-      if (entity.active()) {
-        directory.machinesOf(entity.entity()).forEach(row -> addTransferred(entity, row));
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      if (entity.isActive()) {
+        directory.machineRowsOf(entity.id()).forEach(row -> addTransferred(entity, row));
       }
     }
   }
@@ -104,11 +103,15 @@
     if (entity.machines().containsKey(row.id()) || returned.contains(row.id())) {
       return;
     }
-    Machine machine = add(entity, row, loop.seconds());
+    Machine machine = add(entity, row, loop.monotonicSeconds());
     if (machine != null) {
       // A machine is passed over empty, so it hides nothing.
       machine.joinedEmpty();
-      LOG.info("machine {} joins entity {} with term {}", row.id(), entity.entity(), machine.since());
+      LOG.info(
+          "machine {} joins entity {} with term {}",
+          row.id(),
+          entity.id(),
+          machine.acquiredVersion());
       schedulingLoop.requestPass();
     }
   }
@@ -116,43 +119,43 @@
   /** Records that a machine has reported, before anything may be launched on it. */
   public void markUp(OwnedEntity entity, Machine machine) {
     if (mayRewrite(entity, machine)) {
-      rewrite(entity, machine, machine.row().nowUp());
+      rewrite(entity, machine, machine.row().withReported());
     }
   }
 
   /** The worker has seen a higher token than ours: its term is raised above that. */
   public void raiseTerm(OwnedEntity entity, Machine machine, Version seen) {
     if (mayRewrite(entity, machine)) {
-      Version term = seen.nextFor(entity.row().version().owner());
+      Version term = seen.nextOwnedBy(entity.row().version().ownerIndex());
       LOG.info("machine {} has seen {}: its term becomes {}", machine.id(), seen, term);
-      rewrite(entity, machine, machine.row().raised(term));
+      rewrite(entity, machine, machine.row().withTerm(term));
     }
   }
 
   private boolean mayRewrite(OwnedEntity entity, Machine machine) {
-    return !machine.marking() && entity.active() && membership.valid();
+    return !machine.rowWriteInFlight() && entity.isActive() && membership.isLeaseValid();
   }
 
   private void rewrite(OwnedEntity entity, Machine machine, MachineRow next) {
     machine.startRewrite();
     entity
-        .register()
-        .change(machine.row(), next)
+        .machineRecords()
+        .rewrite(machine.row(), next)
         .whenComplete(
             (stored, failure) -> {
               machine.endRewrite();
               if (failure == null) {
                 rewritten(machine, stored);
               } else {
-                membership.suspect();
+                membership.verifyOwnership();
               }
             });
   }
 
   private void rewritten(Machine machine, MachineRow stored) {
-    double now = loop.seconds();
-    if (!machine.row().up()) {
-      bootTimes.up(machine.type(), now - machine.rentedS(), now);
+    double now = loop.monotonicSeconds();
+    if (!machine.row().hasReported()) {
+      bootTimes.recordBoot(machine.type(), now - machine.rentedAtSeconds(), now);
       // Its boot is not idleness: dear machines were returned the moment they came up.
       machine.becameIdle(now);
     }
@@ -162,8 +165,8 @@
 
   /** Removes a machine that the cloud has taken back for sure. */
   public void remove(OwnedEntity entity, Machine machine) {
-    for (Placement placement : List.copyOf(machine.tasks().values())) {
-      entity.unplace(placement, loop.seconds(), GoneProof.RETURNED);
+    for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
+      entity.removePlacement(placement, loop.monotonicSeconds(), TerminationEvidence.RETURNED);
     }
     entity.removeMachine(machine);
     returned.add(machine.id());
@@ -184,8 +187,8 @@
   public void verifyOwner(OwnedEntity entity, Machine machine) {
     membership.relistThen(
         () -> {
-          MachineRow row = directory.machine(machine.id());
-          if (row == null || !row.entity().equals(entity.entity())) {
+          MachineRow row = directory.findMachineRow(machine.id());
+          if (row == null || !row.entity().equals(entity.id())) {
             entity.removeMachine(machine);
           } else {
             machine.promiseFailed(row);
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -1,14 +1,14 @@
 package io.violetrail.fleet;
 
 import io.violetrail.config.Settings.HostPort;
-import io.violetrail.model.Amounts;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
+import io.violetrail.model.Resources;
 import io.violetrail.model.TaskId;
 import io.violetrail.model.Version;
-import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.scheduling.Job;
-import io.violetrail.scheduling.Placement;
+import io.violetrail.scheduling.TaskPlacement;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -25,36 +25,36 @@
    * The version under which this controller's hold on the machine began; older reports prove no
    * absence.
    */
-  private final Version since;
+  private final Version acquiredVersion;
 
-  private final Map<TaskId, Placement> tasks = new LinkedHashMap<>();
-  private final Set<String> images = new HashSet<>();
+  private final Map<TaskId, TaskPlacement> placements = new LinkedHashMap<>();
+  private final Set<String> cachedImages = new HashSet<>();
 
   /**
    * Tasks of jobs that are over, or that nobody knows, seen here: they count until they are gone.
    */
-  private final Map<TaskId, Amounts> strays = new HashMap<>();
+  private final Map<TaskId, Resources> unknownTasks = new HashMap<>();
 
   /** What is free, worked out anew only after a change: placement asks far more often. */
-  private Amounts room;
+  private Resources freeCapacity;
 
-  private long session;
-  private long sequence;
+  private long lastSession;
+  private long lastSequence;
 
   /** Reports of earlier sessions are leftovers: those sessions' leases are surely over. */
-  private long firstSession;
+  private long firstValidSession;
 
   /** It reported under our term, so what it holds is known. */
-  private boolean heard;
+  private boolean tasksKnown;
 
   /** Until then, an unheard machine may hold any task. */
-  private double unheardGoneS;
+  private double unreportedTasksGoneAtSeconds;
 
-  private double heardS;
-  private double answeredS;
-  private final double rentedS;
-  private double idleSinceS;
-  private Double noticeS;
+  private double lastHeartbeatAtSeconds;
+  private double lastAnsweredAtSeconds;
+  private final double rentedAtSeconds;
+  private double idleSinceSeconds;
+  private Double preemptionNoticeSeconds;
   private boolean draining;
   private boolean returning;
 
@@ -64,72 +64,72 @@
    */
   private boolean returnUncertain;
 
-  private boolean silent;
+  private boolean unresponsive;
 
   /** Promised to another entity until then; nothing starts here meanwhile. */
-  private boolean promised;
+  private boolean transferInFlight;
 
   /** A more urgent job for which room is being made here; others keep out until then. */
-  private Job reservedFor;
+  private Job reservedForJob;
 
-  private double reservedUntilS;
+  private double reservedUntilSeconds;
 
   /** No spare work is started here until then: others need the machine. */
-  private double clearedUntilS;
+  private double bestEffortBarredUntilSeconds;
 
   /** Nothing is started here until then: it is emptied for another entity. */
-  private double evictedUntilS = Double.NEGATIVE_INFINITY;
+  private double reservedForTransferUntilSeconds = Double.NEGATIVE_INFINITY;
 
   /** When it came to this entity's present owner. */
-  private final double joinedS;
+  private final double joinedAtSeconds;
 
   /** Where its worker answers; null until it has reported here. */
   private HostPort endpoint;
 
   /** Tasks here that are not spare work. */
-  private int wanted;
+  private int regularTaskCount;
 
-  private boolean marking;
+  private boolean rowWriteInFlight;
 
   /** Failures here of each job since something ended well here. */
-  private final Map<Job, Integer> failures = new HashMap<>();
+  private final Map<Job, Integer> failuresByJob = new HashMap<>();
 
   /** It fails what it starts, by what its failures say now. */
-  private boolean sick;
+  private boolean quarantined;
 
   /** Seconds of full use so far, by the scarcer of processors and accelerators. */
-  private double usedS;
+  private double fullUseSeconds;
 
   /** A machine that joins an entity now, rented just now and certain to hold nothing. */
-  public Machine(MachineRow row, MachineType type, Version since, double now) {
-    this(row, type, since, now, now, 0);
+  public Machine(MachineRow row, MachineType type, Version acquiredVersion, double nowSeconds) {
+    this(row, type, acquiredVersion, nowSeconds, nowSeconds, 0);
   }
 
   /**
    * A machine that joins an entity.
    *
-   * @param since the version under which this controller's hold on it begins
-   * @param now seconds of the steady clock
+   * @param acquiredVersion the version under which this controller's hold on it begins
+   * @param nowSeconds seconds of the steady clock
    * @param rentedS when it was rented, in the same seconds
    * @param unheardGoneS until when it may hold tasks that nobody here knows of
    */
   public Machine(
       MachineRow row,
       MachineType type,
-      Version since,
-      double now,
+      Version acquiredVersion,
+      double nowSeconds,
       double rentedS,
       double unheardGoneS) {
     this.row = row;
     this.type = type;
-    this.since = since;
-    this.rentedS = rentedS;
-    this.unheardGoneS = unheardGoneS;
-    this.joinedS = now;
-    this.idleSinceS = now;
-    this.heardS = now;
-    this.answeredS = now;
-    this.heard = !row.up();
+    this.acquiredVersion = acquiredVersion;
+    this.rentedAtSeconds = rentedS;
+    this.unreportedTasksGoneAtSeconds = unheardGoneS;
+    this.joinedAtSeconds = nowSeconds;
+    this.idleSinceSeconds = nowSeconds;
+    this.lastHeartbeatAtSeconds = nowSeconds;
+    this.lastAnsweredAtSeconds = nowSeconds;
+    this.tasksKnown = !row.hasReported();
   }
 
   public MachineId id() {
@@ -150,98 +150,98 @@
    * The version under which this controller's hold on the machine began; older reports prove no
    * absence.
    */
-  public Version since() {
-    return since;
+  public Version acquiredVersion() {
+    return acquiredVersion;
   }
 
   /** The newest report was in this session of the worker; 0 before the first. */
-  public long session() {
-    return session;
+  public long lastSession() {
+    return lastSession;
   }
 
   /** The newest report's number within its session. */
-  public long sequence() {
-    return sequence;
+  public long lastSequence() {
+    return lastSequence;
   }
 
   /** Reports of earlier sessions are leftovers: those sessions' leases are surely over. */
-  public long firstSession() {
-    return firstSession;
+  public long firstValidSession() {
+    return firstValidSession;
   }
 
   /** A report has come: nothing is concluded from it yet. */
   public void reportArrived(HostPort workerEndpoint, double now) {
-    heardS = now;
-    answeredS = now;
+    lastHeartbeatAtSeconds = now;
+    lastAnsweredAtSeconds = now;
     endpoint = workerEndpoint;
   }
 
   /** A report that was kept open is answered now. */
   public void reportAnswered(double now) {
-    answeredS = now;
+    lastAnsweredAtSeconds = now;
   }
 
   /** Notes which report of the worker is the newest. */
   public void newestReport(long newSession, long newSequence) {
-    session = newSession;
-    sequence = newSequence;
+    lastSession = newSession;
+    lastSequence = newSequence;
   }
 
   /** A report under the current term was taken: what the machine holds is known. */
   public void reportTaken(Double newNoticeS) {
-    noticeS = newNoticeS;
-    heard = true;
-    silent = false;
+    preemptionNoticeSeconds = newNoticeS;
+    tasksKnown = true;
+    unresponsive = false;
   }
 
   /** It has come empty from another entity, so what it holds is known. */
   void joinedEmpty() {
-    heard = true;
+    tasksKnown = true;
   }
 
   /** Whether it has reported under our term, so that what it holds is known. */
-  public boolean heard() {
-    return heard;
+  public boolean tasksKnown() {
+    return tasksKnown;
   }
 
   /** Until then, in seconds of the steady clock, a machine that has not reported may hold tasks. */
-  public double unheardGoneS() {
-    return unheardGoneS;
+  public double unreportedTasksGoneAtSeconds() {
+    return unreportedTasksGoneAtSeconds;
   }
 
   /** Its worker's lease may be kept until then by another controller. */
   public void mayHoldTasksUntil(double untilSeconds) {
-    unheardGoneS = Math.max(unheardGoneS, untilSeconds);
+    unreportedTasksGoneAtSeconds = Math.max(unreportedTasksGoneAtSeconds, untilSeconds);
   }
 
   /** When its last report came, in seconds of the steady clock. */
-  public double heardS() {
-    return heardS;
+  public double lastHeartbeatAtSeconds() {
+    return lastHeartbeatAtSeconds;
   }
 
   /** When its last report was answered, in seconds of the steady clock. */
-  public double answeredS() {
-    return answeredS;
+  public double lastAnsweredAtSeconds() {
+    return lastAnsweredAtSeconds;
   }
 
   /** When it was rented, in seconds of the steady clock. */
-  public double rentedS() {
-    return rentedS;
+  public double rentedAtSeconds() {
+    return rentedAtSeconds;
   }
 
   /** Since when nothing but spare work has been here. */
-  public double idleSinceS() {
-    return idleSinceS;
+  public double idleSinceSeconds() {
+    return idleSinceSeconds;
   }
 
   /** It has nothing to do from now on. */
   public void becameIdle(double now) {
-    idleSinceS = now;
+    idleSinceSeconds = now;
   }
 
   /** Seconds until the cloud takes it back, as last reported; null if there is no notice. */
-  public Double noticeS() {
-    return noticeS;
+  public Double preemptionNoticeSeconds() {
+    return preemptionNoticeSeconds;
   }
 
   /** Whether it goes out of use: what runs is saved, and nothing new starts. */
@@ -264,7 +264,9 @@
     returning = true;
   }
 
-  /** The cloud has refused to take it back, and will not do so late, unless it was unclear before. */
+  /**
+   * The cloud has refused to take it back, and will not do so late, unless it was unclear before.
+   */
   void returnRefused() {
     returning = returnUncertain;
   }
@@ -275,76 +277,76 @@
   }
 
   /** Whether its reports have stopped coming. */
-  public boolean silent() {
-    return silent;
+  public boolean unresponsive() {
+    return unresponsive;
   }
 
   /** Its reports have stopped coming. */
   public void markSilent() {
-    silent = true;
+    unresponsive = true;
   }
 
   /** Its worker's lease is certainly over, and so are its tasks and its session. */
   public void leaseExpired() {
-    firstSession = session + 1;
-    strays(Map.of());
+    firstValidSession = lastSession + 1;
+    replaceUnknownTasks(Map.of());
   }
 
   /** Whether it is being passed to another entity. */
-  boolean promised() {
-    return promised;
+  boolean transferInFlight() {
+    return transferInFlight;
   }
 
   /** It is being passed to another entity: nothing starts here meanwhile. */
   void promise() {
-    promised = true;
+    transferInFlight = true;
   }
 
   /** It was not passed to another entity after all. */
   void promiseFailed(MachineRow stored) {
     row = stored;
-    promised = false;
+    transferInFlight = false;
   }
 
   /** A more urgent job for which room is being made here; null if there is none. */
-  public Job reservedFor() {
-    return reservedFor;
+  public Job reservedForJob() {
+    return reservedForJob;
   }
 
   /** Until when others keep out of the reserved room. */
-  public double reservedUntilS() {
-    return reservedUntilS;
+  public double reservedUntilSeconds() {
+    return reservedUntilSeconds;
   }
 
   /** Keeps the room that is made here for a more urgent job. */
   public void reserve(Job job, double untilSeconds) {
-    reservedFor = job;
-    reservedUntilS = untilSeconds;
+    reservedForJob = job;
+    reservedUntilSeconds = untilSeconds;
   }
 
   /** No spare work is started here until then: others need the machine. */
-  public double clearedUntilS() {
-    return clearedUntilS;
+  public double bestEffortBarredUntilSeconds() {
+    return bestEffortBarredUntilSeconds;
   }
 
   /** Keeps spare work away until then. */
   public void keepSpareWorkAway(double untilSeconds) {
-    clearedUntilS = untilSeconds;
+    bestEffortBarredUntilSeconds = untilSeconds;
   }
 
   /** Nothing is started here until then: it is emptied for another entity. */
-  public double evictedUntilS() {
-    return evictedUntilS;
+  public double reservedForTransferUntilSeconds() {
+    return reservedForTransferUntilSeconds;
   }
 
   /** Starts nothing here until then. */
   public void keepEmpty(double untilSeconds) {
-    evictedUntilS = untilSeconds;
+    reservedForTransferUntilSeconds = untilSeconds;
   }
 
   /** When it came to this entity's present owner. */
-  public double joinedS() {
-    return joinedS;
+  public double joinedAtSeconds() {
+    return joinedAtSeconds;
   }
 
   /** Where its worker answers; null until it has reported here. */
@@ -353,18 +355,18 @@
   }
 
   /** Whether a write of its record is under way. */
-  boolean marking() {
-    return marking;
+  boolean rowWriteInFlight() {
+    return rowWriteInFlight;
   }
 
   /** A write of its record begins. */
   void startRewrite() {
-    marking = true;
+    rowWriteInFlight = true;
   }
 
   /** A write of its record has ended, as it may be without effect. */
   void endRewrite() {
-    marking = false;
+    rowWriteInFlight = false;
   }
 
   /** Its record was stored. */
@@ -374,152 +376,163 @@
 
   /** Whether the image is there, as far as reports have shown. */
   public boolean hasImage(String image) {
-    return images.contains(image);
+    return cachedImages.contains(image);
   }
 
   /** A task with the image has run here. */
   public void imageSeen(String image) {
-    images.add(image);
+    cachedImages.add(image);
   }
 
   /** Failures here of each job since something ended well here; not to be changed. */
-  public Map<Job, Integer> failures() {
-    return Collections.unmodifiableMap(failures);
+  public Map<Job, Integer> failuresByJob() {
+    return Collections.unmodifiableMap(failuresByJob);
   }
 
   /** A task of the job has failed here. */
   public void countFailure(Job job) {
-    failures.merge(job, 1, Integer::sum);
+    failuresByJob.merge(job, 1, Integer::sum);
   }
 
   /** Something has ended well here. */
   public void clearFailures() {
-    failures.clear();
+    failuresByJob.clear();
   }
 
   /** Whether it fails what it starts, by what its failures say now. */
-  public boolean sick() {
-    return sick;
+  public boolean quarantined() {
+    return quarantined;
   }
 
   /** Says whether it fails what it starts. */
   public void setSick(boolean nowSick) {
-    sick = nowSick;
+    quarantined = nowSick;
   }
 
   /** Seconds of full use so far, by the scarcer of processors and accelerators. */
-  public double usedS() {
-    return usedS;
+  public double fullUseSeconds() {
+    return fullUseSeconds;
   }
 
   /** Counts the present use for so many seconds more. */
   public void countUse(double seconds) {
-    usedS += seconds * share();
+    fullUseSeconds += seconds * utilization();
   }
 
   /** Tasks placed here, by name; not to be changed. */
-  public Map<TaskId, Placement> tasks() {
-    return Collections.unmodifiableMap(tasks);
+  public Map<TaskId, TaskPlacement> placements() {
+    return Collections.unmodifiableMap(placements);
   }
 
-  public Placement task(TaskId id) {
-    return tasks.get(id);
+  public TaskPlacement findPlacement(TaskId taskId) {
+    return placements.get(taskId);
   }
 
   /**
    * Adds a task and invalidates the cached free resources; a placement of the same task is
    * replaced.
    */
-  public void add(Placement p) {
-    Placement before = tasks.put(p.task(), p);
-    wanted += (p.job().spareWork() ? 0 : 1) - (before == null || before.job().spareWork() ? 0 : 1);
-    room = null;
+  public void addPlacement(TaskPlacement placement) {
+    TaskPlacement previous = placements.put(placement.taskId(), placement);
+    regularTaskCount +=
+        (placement.job().bestEffort() ? 0 : 1)
+            - (previous == null || previous.job().bestEffort() ? 0 : 1);
+    freeCapacity = null;
   }
 
   /** Removes a task if exactly this placement is recorded, and returns whether it was. */
-  public boolean remove(Placement p) {
-    room = null;
-    boolean removed = tasks.remove(p.task(), p);
-    wanted -= removed && !p.job().spareWork() ? 1 : 0;
+  public boolean removePlacement(TaskPlacement placement) {
+    freeCapacity = null;
+    boolean removed = placements.remove(placement.taskId(), placement);
+    regularTaskCount -= removed && !placement.job().bestEffort() ? 1 : 0;
     return removed;
   }
 
-  public Map<TaskId, Amounts> strays() {
-    return Collections.unmodifiableMap(strays);
+  public Map<TaskId, Resources> unknownTasks() {
+    return Collections.unmodifiableMap(unknownTasks);
   }
 
   /**
    * Replaces the tasks that the worker reports but the controller does not know, with what they
    * use.
    */
-  public void strays(Map<TaskId, Amounts> now) {
-    if (!now.isEmpty() || !strays.isEmpty()) {
-      strays.clear();
-      strays.putAll(now);
-      room = null;
+  public void replaceUnknownTasks(Map<TaskId, Resources> reported) {
+    if (!reported.isEmpty() || !unknownTasks.isEmpty()) {
+      unknownTasks.clear();
+      unknownTasks.putAll(reported);
+      freeCapacity = null;
     }
   }
 
   /** Returns the free resources, which are computed again only after the tasks have changed. */
-  public Amounts room() {
-    if (room == null) {
-      room = free();
+  public Resources freeCapacity() {
+    if (freeCapacity == null) {
+      freeCapacity = computeFreeCapacity();
     }
-    return room;
-  }
-
-  private Amounts free() {
-    double cpus = type.size().cpus();
-    double gpus = type.size().gpus();
-    double memory = type.size().memoryGb();
-    for (Placement p : tasks.values()) {
-      Amounts a = p.job().spec().task();
-      cpus -= a.cpus();
-      gpus -= a.gpus();
-      memory -= a.memoryGb();
+    return freeCapacity;
+  }
+
+  private Resources computeFreeCapacity() {
+    double cpus = type.capacity().cpus();
+    double gpus = type.capacity().gpus();
+    double memory = type.capacity().memoryGb();
+    for (TaskPlacement placement : placements.values()) {
+      Resources amounts = placement.job().spec().taskResources();
+      cpus -= amounts.cpus();
+      gpus -= amounts.gpus();
+      memory -= amounts.memoryGb();
     }
-    for (Amounts a : strays.values()) {
-      cpus -= a.cpus();
-      gpus -= a.gpus();
-      memory -= a.memoryGb();
+    for (Resources amounts : unknownTasks.values()) {
+      cpus -= amounts.cpus();
+      gpus -= amounts.gpus();
+      memory -= amounts.memoryGb();
     }
-    return new Amounts(cpus, gpus, memory);
+    return new Resources(cpus, gpus, memory);
   }
 
   /** What would be free without the spare work here. */
-  public Amounts withoutSpare() {
-    Amounts all = room();
-    if (tasks.size() > wanted) {
-      for (Placement p : tasks.values()) {
-        all = p.job().spareWork() ? all.plus(p.job().spec().task()) : all;
+  public Resources freeCapacityWithoutBestEffort() {
+    Resources capacity = freeCapacity();
+    if (placements.size() > regularTaskCount) {
+      for (TaskPlacement placement : placements.values()) {
+        capacity =
+            placement.job().bestEffort()
+                ? capacity.plus(placement.job().spec().taskResources())
+                : capacity;
       }
     }
-    return all;
+    return capacity;
   }
 
   /** Whether new tasks may be decided for this machine. */
-  public boolean open() {
-    return row.up() && heard && !draining && !returning && !silent && !promised && noticeS == null;
+  public boolean isSchedulable() {
+    return row.hasReported()
+        && tasksKnown
+        && !draining
+        && !returning
+        && !unresponsive
+        && !transferInFlight
+        && preemptionNoticeSeconds == null;
   }
 
   /** The share in use now. */
-  public double share() {
-    Amounts used = type.size().minus(room());
-    double gpus = type.size().gpus() > 0 ? used.gpus() / type.size().gpus() : 0;
-    return Math.max(used.cpus() / type.size().cpus(), gpus);
+  public double utilization() {
+    Resources used = type.capacity().minus(freeCapacity());
+    double gpus = type.capacity().gpus() > 0 ? used.gpus() / type.capacity().gpus() : 0;
+    return Math.max(used.cpus() / type.capacity().cpus(), gpus);
   }
 
-  public boolean empty() {
-    return tasks.isEmpty() && strays.isEmpty();
+  public boolean isEmpty() {
+    return placements.isEmpty() && unknownTasks.isEmpty();
   }
 
   /** Whether nothing but spare work is here, if anything. */
-  public boolean spare() {
-    return wanted == 0 && strays.isEmpty();
+  public boolean hasOnlyBestEffortTasks() {
+    return regularTaskCount == 0 && unknownTasks.isEmpty();
   }
 
   /** Whether it may still hold a task that this controller does not know of. */
-  public boolean uncertain(double now) {
-    return !heard && now < unheardGoneS;
+  public boolean mayHoldUnreportedTasks(double nowSeconds) {
+    return !tasksKnown && nowSeconds < unreportedTasksGoneAtSeconds;
   }
 }
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -1,12 +1,12 @@
 package io.violetrail.fleet;
 
-import io.violetrail.model.Amounts;
+import io.violetrail.model.Resources;
 import io.violetrail.model.Version;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.EntityRow;
-import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.ownership.StateSchema.EntityRow;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.peer.ResourceRequest;
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.MachineDrainer;
@@ -24,15 +24,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineTransfer.class);
 
   /** So long a machine is kept free for the request for which it is emptied. */
-  private static final double EVICTED_S = 30;
+  private static final double EVICTION_HOLD_SECONDS = 30;
 
   /** What is used more than this is not emptied for others: too much work would be lost. */
-  private static final double HALF = 0.5;
+  private static final double MAX_EVICTED_UTILIZATION = 0.5;
 
   /** A machine is not emptied for others sooner after it has come. */
-  private static final double SETTLED_S = 60;
+  private static final double MIN_RESIDENCE_SECONDS = 60;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final EntityMachines entityMachines;
@@ -42,7 +42,7 @@
 
   /** Passes machines by conditional writes, once the drainer has emptied them. */
   public MachineTransfer(
-      Loop loop,
+      EventLoop loop,
       Membership membership,
       MachineTypes machineTypes,
       EntityMachines entityMachines,
@@ -59,41 +59,50 @@
   }
 
   /** Gives idle machines of a held entity that suit the request. */
-  void give(
-      OwnedEntity h, EntityRow target, ResourceRequest request, Map<String, Amounts> freeQuotas) {
-    double now = loop.seconds();
-    List<Job> first = wantingBefore(h, request, freeQuotas, now);
-    if (!request.starving() && wantedHere(h, request)) {
+  void transferMachines(
+      OwnedEntity entity,
+      EntityRow target,
+      ResourceRequest request,
+      Map<String, Resources> freeQuotas) {
+    double nowSeconds = loop.monotonicSeconds();
+    List<Job> jobsAhead = startableJobsAheadOf(entity, request, freeQuotas, nowSeconds);
+    if (!request.starving() && isWantedHere(entity, request)) {
       return;
     }
-    int left = request.tasks();
-    for (Machine m : List.copyOf(h.machines().values())) {
-      if (left <= 0) {
+    int tasksLeft = request.tasks();
+    for (Machine machine : List.copyOf(entity.machines().values())) {
+      if (tasksLeft <= 0) {
         return;
       }
-      int fit = m.type().size().count(request.task());
+      int taskSlots = machine.type().capacity().countFitting(request.requestedAmounts());
       // What was emptied for such a request passes, though what was stopped for it waits here now.
-      boolean free = request.starving() && now <= m.evictedUntilS() || !wantedHere(first, m);
-      if (fit > 0 && m.empty() && passable(m, request) && free) {
-        left -= fit;
-        pass(h, m, target);
+      boolean isFree =
+          request.starving() && nowSeconds <= machine.reservedForTransferUntilSeconds()
+              || !isWantedHere(jobsAhead, machine);
+      if (taskSlots > 0 && machine.isEmpty() && isTransferable(machine, request) && isFree) {
+        tasksLeft -= taskSlots;
+        transferMachine(entity, machine, target);
       }
     }
-    if (!first.isEmpty()) {
+    if (!jobsAhead.isEmpty()) {
       return;
     }
-    for (Machine m : h.machines().values()) {
-      int fit = m.type().size().count(request.task());
-      if (left > 0 && fit > 0 && !m.empty() && m.spare() && passable(m, request)) {
+    for (Machine machine : entity.machines().values()) {
+      int taskSlots = machine.type().capacity().countFitting(request.requestedAmounts());
+      if (tasksLeft > 0
+          && taskSlots > 0
+          && !machine.isEmpty()
+          && machine.hasOnlyBestEffortTasks()
+          && isTransferable(machine, request)) {
         // It passes at the next asking, once what runs there in spare room has saved.
-        left -= fit;
-        drainer.clearSpareWork(h, m);
+        tasksLeft -= taskSlots;
+        drainer.clearSpareWork(entity, machine);
       }
     }
     // For the rest of what runs in part already nobody else's work is stopped: wide arrays wait for
     // long, and what was lost elsewhere was more than they gained.
-    if (left > 0 && request.starving() && request.mayEvict()) {
-      evict(h, request, left, now);
+    if (tasksLeft > 0 && request.starving() && request.mayEvict()) {
+      evictLeastLoss(entity, request, tasksLeft, nowSeconds);
     }
   }
 
@@ -102,101 +111,113 @@
    * of two entities cannot share a machine. They pass at a later asking. What waits here itself, or
    * came just now, is not touched, so that no machine goes to and fro.
    */
-  private void evict(OwnedEntity h, ResourceRequest request, int tasks, double now) {
-    List<Machine> used = new ArrayList<>();
-    int left = tasks;
-    for (Machine m : h.machines().values()) {
-      boolean useful = passable(m, request) && m.type().size().count(request.task()) > 0;
-      if (useful && now <= m.evictedUntilS()) {
-        left -= m.type().size().count(request.task());
-      } else if (useful
-          && !m.empty()
-          && m.share() <= HALF
-          && m.room().count(request.task()) > 0
-          && now - m.joinedS() > SETTLED_S) {
-        used.add(m);
+  private void evictLeastLoss(
+      OwnedEntity entity, ResourceRequest request, int taskCount, double nowSeconds) {
+    List<Machine> candidates = new ArrayList<>();
+    int tasksLeft = taskCount;
+    for (Machine machine : entity.machines().values()) {
+      boolean isUseful =
+          isTransferable(machine, request)
+              && machine.type().capacity().countFitting(request.requestedAmounts()) > 0;
+      if (isUseful && nowSeconds <= machine.reservedForTransferUntilSeconds()) {
+        tasksLeft -= machine.type().capacity().countFitting(request.requestedAmounts());
+      } else if (isUseful
+          && !machine.isEmpty()
+          && machine.utilization() <= MAX_EVICTED_UTILIZATION
+          && machine.freeCapacity().countFitting(request.requestedAmounts()) > 0
+          && nowSeconds - machine.joinedAtSeconds() > MIN_RESIDENCE_SECONDS) {
+        candidates.add(machine);
       }
     }
-    if (left <= 0 || used.isEmpty() || waitsHere(h)) {
+    if (tasksLeft <= 0 || candidates.isEmpty() || hasWaitingJobs(entity)) {
       return;
     }
-    used.sort(Comparator.comparingDouble(m -> Preemption.loss(m, now)));
-    for (Machine m : used) {
-      if (left > 0) {
-        left -= m.type().size().count(request.task());
-        LOG.info("machine {} is emptied for {} of another entity", m.id(), request.job());
-        drainer.evictAll(h, m, EVICTED_S);
+    candidates.sort(Comparator.comparingDouble(m -> Preemption.lostCpuSeconds(m, nowSeconds)));
+    for (Machine machine : candidates) {
+      if (tasksLeft > 0) {
+        tasksLeft -= machine.type().capacity().countFitting(request.requestedAmounts());
+        LOG.info("machine {} is emptied for {} of another entity", machine.id(), request.job());
+        drainer.evictAll(entity, machine, EVICTION_HOLD_SECONDS);
       }
     }
   }
 
-  private static boolean waitsHere(OwnedEntity h) {
-    for (Job job : h.jobs().values()) {
-      if (job.phase() == Job.Phase.OPEN && job.unplaced() > 0 && !job.spareWork()) {
+  private static boolean hasWaitingJobs(OwnedEntity entity) {
+    for (Job job : entity.jobs().values()) {
+      if (job.phase() == Job.Phase.OPEN && job.unplacedCount() > 0 && !job.bestEffort()) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean passable(Machine m, ResourceRequest request) {
+  private boolean isTransferable(Machine machine, ResourceRequest request) {
     // Too dear for the request, a machine only passed to and fro, idle and paid for.
-    double ratio =
+    double priceRatio =
         machineTypes
             .prices()
-            .ratio(request.task(), request.typeList(), m.type(), m.row().spot(), request.tasks());
-    return m.open()
-        && ratio <= request.worth()
-        && suits(m, request.gpus())
-        && request.allows(m.row().type(), m.row().zone(), m.row().spot());
+            .priceRatio(
+                request.requestedAmounts(),
+                request.allowedTypes(),
+                machine.type(),
+                machine.row().spot(),
+                request.tasks());
+    return machine.isSchedulable()
+        && priceRatio <= request.worth()
+        && suitsAcceleratorNeed(machine, request.gpus())
+        && request.allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot());
   }
 
   /** Accelerators do not go to work that needs none. */
-  static boolean suits(Machine m, double gpus) {
-    return m.type().size().gpus() == 0 || gpus > 0;
+  static boolean suitsAcceleratorNeed(Machine machine, double gpus) {
+    return machine.type().capacity().gpus() == 0 || gpus > 0;
   }
 
   /**
    * Whether an own job that is more urgent, or has waited longer, waits for the same kind of room.
    */
-  private static boolean wantedHere(OwnedEntity h, ResourceRequest request) {
-    return h.jobs().values().stream().anyMatch(job -> waitsBefore(job, request));
+  private static boolean isWantedHere(OwnedEntity entity, ResourceRequest request) {
+    return entity.jobs().values().stream().anyMatch(job -> waitsAheadOf(job, request));
   }
 
-  private static boolean waitsBefore(Job job, ResourceRequest request) {
+  private static boolean waitsAheadOf(Job job, ResourceRequest request) {
     return job.phase() == Job.Phase.OPEN
-        && job.unplaced() > 0
-        && !job.spareWork()
-        && !job.trial().suspect()
-        && RequestOrder.before(job, request)
-        && (job.spec().task().gpus() > 0) == (request.gpus() > 0);
+        && job.unplacedCount() > 0
+        && !job.bestEffort()
+        && !job.failureHistory().isSuspect()
+        && RequestOrder.isAheadOf(job, request)
+        && (job.spec().taskResources().gpus() > 0) == (request.gpus() > 0);
   }
 
   /**
    * Own jobs that are more urgent, or have waited longer, wait for the same kind of room, and have
    * the part of their team's limit for it.
    */
-  private List<Job> wantingBefore(
-      OwnedEntity h, ResourceRequest request, Map<String, Amounts> freeQuotas, double now) {
-    List<Job> first = new ArrayList<>();
-    for (Job job : h.jobs().values()) {
-      if (waitsBefore(job, request)
-          && job.gathers(now)
+  private List<Job> startableJobsAheadOf(
+      OwnedEntity entity,
+      ResourceRequest request,
+      Map<String, Resources> freeQuotas,
+      double nowSeconds) {
+    List<Job> jobsAhead = new ArrayList<>();
+    for (Job job : entity.jobs().values()) {
+      if (waitsAheadOf(job, request)
+          && job.mayHoldReservations(nowSeconds)
           && freeQuotas
-                  .computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now))
-                  .count(job.spec().task())
+                  .computeIfAbsent(
+                      job.spec().team(), team -> quotas.availableQuota(entity, team, nowSeconds))
+                  .countFitting(job.spec().taskResources())
               > 0) {
-        first.add(job);
+        jobsAhead.add(job);
       }
     }
-    return first;
+    return jobsAhead;
   }
 
   /** Whether one of the jobs may and could start on the machine. */
-  private static boolean wantedHere(List<Job> jobs, Machine m) {
+  private static boolean isWantedHere(List<Job> jobs, Machine machine) {
     for (Job job : jobs) {
-      if (job.spec().allows(m.row().type(), m.row().zone(), m.row().spot())
-          && m.type().size().count(job.spec().task()) > 0) {
+      if (job.spec().allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())
+          && machine.type().capacity().countFitting(job.spec().taskResources()) > 0) {
         return true;
       }
     }
@@ -204,26 +225,34 @@
   }
 
   /** One conditional write gives the machine to the other entity and raises its term. */
-  private void pass(OwnedEntity h, Machine m, EntityRow target) {
-    m.promise();
-    Version above = h.token(m).compareTo(target.version()) > 0 ? h.token(m) : target.version();
-    MachineRow next = m.row().passedTo(target.entity(), above.nextFor(target.version().owner()));
-    h.register()
-        .pass(m.row(), next, target)
+  private void transferMachine(OwnedEntity entity, Machine machine, EntityRow target) {
+    machine.promise();
+    Version highestVersion =
+        entity.fencingTokenFor(machine).compareTo(target.version()) > 0
+            ? entity.fencingTokenFor(machine)
+            : target.version();
+    MachineRow newRow =
+        machine
+            .row()
+            .transferredTo(
+                target.entity(), highestVersion.nextOwnedBy(target.version().ownerIndex()));
+    entity
+        .machineRecords()
+        .transfer(machine.row(), newRow, target)
         .whenComplete(
             (row, failure) -> {
               if (failure == null) {
                 LOG.info(
                     "machine {} passes from entity {} to {} with term {}",
-                    m.id(),
-                    h.entity(),
-                    next.entity(),
-                    next.term());
-                h.removeMachine(m);
+                    machine.id(),
+                    entity.id(),
+                    newRow.entity(),
+                    newRow.term());
+                entity.removeMachine(machine);
                 membership.rowsChanged();
-                longPolls.answer(m.id());
+                longPolls.answer(machine.id());
               } else {
-                entityMachines.verifyOwner(h, m);
+                entityMachines.verifyOwner(entity, machine);
               }
             });
   }
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -2,13 +2,13 @@
 
 import io.violetrail.cloud.CloudClient;
 import io.violetrail.model.MachineType;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
-import io.violetrail.ownership.Rows;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.StateSchema;
 import io.violetrail.scheduling.SchedulingLoop;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.CloudWire;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.wire.CloudMessages;
+import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.List;
 
 /** Keeps the machine types up to date with the cloud, and stored for other controllers. */
@@ -21,9 +21,9 @@
   /** While no type is known. */
   private static final double FIRST_RETRY_SECONDS = 1;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore stateStore;
-  private final Directory directory;
+  private final ClusterView directory;
   private final MachineTypes machineTypes;
   private final SchedulingLoop schedulingLoop;
   private final CloudClient cloud;
@@ -36,9 +36,9 @@
 
   /** Asks the cloud, and stores the types where the directory knows of none. */
   public MachineTypeRefresh(
-      Loop loop,
+      EventLoop loop,
       StateStore stateStore,
-      Directory directory,
+      ClusterView directory,
       MachineTypes machineTypes,
       SchedulingLoop schedulingLoop,
       CloudClient cloud) {
@@ -52,15 +52,15 @@
 
   /** Asks the cloud again if the types known here are old. */
   void refresh() {
-    double now = loop.seconds();
+    double now = loop.monotonicSeconds();
     boolean known = !machineTypes.isEmpty();
     if (now - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
-        || !cloud.mayCall()) {
+        || !cloud.tryAcquireCall()) {
       return;
     }
     refreshedAtSeconds = now;
     cloud
-        .types()
+        .fetchMachineTypes()
         .whenComplete(
             (types, failure) -> {
               if (failure != null) {
@@ -80,12 +80,15 @@
    * back.
    */
   void store() {
-    if (fromCloud == null || storing || directory.types() != null) {
+    if (fromCloud == null || storing || directory.machineTypes() != null) {
       return;
     }
     storing = true;
     stateStore
-        .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(fromCloud)))
+        .commit(
+            new Transaction()
+                .ifRevision(StateSchema.MACHINE_TYPES_KEY, 0)
+                .put(StateSchema.MACHINE_TYPES_KEY, CloudMessages.machineTypes(fromCloud)))
         .whenComplete((outcome, failure) -> storing = false);
   }
 }
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.violetrail.model.MachineType;
-import io.violetrail.ownership.Directory;
-import io.violetrail.wire.Cbor.Malformed;
-import io.violetrail.wire.CloudWire;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.CloudMessages;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -19,14 +19,14 @@
 public final class MachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypes.class);
 
-  private final Directory directory;
+  private final ClusterView directory;
   private final Map<String, MachineType> byName = new HashMap<>();
 
   /** The stored row that {@link #byName} was last filled from. */
   private JsonNode loadedFrom;
 
   /** Reads the stored types from the rows that the directory follows. */
-  public MachineTypes(Directory directory) {
+  public MachineTypes(ClusterView directory) {
     this.directory = directory;
   }
 
@@ -59,15 +59,15 @@
   }
 
   private void loadStoredTypes() {
-    JsonNode stored = directory.types();
+    JsonNode stored = directory.machineTypes();
     if (stored == null || stored == loadedFrom) {
       return;
     }
     loadedFrom = stored;
     try {
-      replaceAll(CloudWire.types(stored));
-    } catch (Malformed e) {
-      LOG.error("the stored machine types cannot be read: {}", e.getMessage());
+      replaceAll(CloudMessages.machineTypes(stored));
+    } catch (MalformedMessageException exception) {
+      LOG.error("the stored machine types cannot be read: {}", exception.getMessage());
     }
   }
 }
--- a/src/main/java/io/violetrail/fleet/Prices.java
+++ b/src/main/java/io/violetrail/fleet/Prices.java
@@ -1,8 +1,8 @@
 package io.violetrail.fleet;
 
-import io.violetrail.model.Amounts;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.MachineType;
+import io.violetrail.model.Resources;
 import java.util.Collection;
 import java.util.List;
 
@@ -14,39 +14,46 @@
     this.types = types;
   }
 
-  /** The hourly price of a type for each of {@code sharers} tasks, or of as many as fit. */
-  private static double perTask(Amounts task, MachineType type, boolean spot, int sharers) {
-    return type.price(spot) / Math.max(1, Math.min(type.size().count(task), sharers));
+  /** The hourly price of a type for each of {@code sharingTasks} tasks, or of as many as fit. */
+  private static double pricePerTask(
+      Resources task, MachineType type, boolean spot, int sharingTasks) {
+    return type.priceFor(spot)
+        / Math.max(1, Math.min(type.capacity().countFitting(task), sharingTasks));
   }
 
   /** That price as a multiple of the cheapest ordinary one. */
-  public double ratio(JobSpec job, MachineType type, boolean spot, int sharers) {
-    return ratio(job.task(), job.types(), type, spot, sharers);
+  public double priceRatio(JobSpec job, MachineType type, boolean spot, int sharingTasks) {
+    return priceRatio(job.taskResources(), job.machineTypes(), type, spot, sharingTasks);
   }
 
   /** The same for a task that may use the types named, or any if that is null. */
-  public double ratio(
-      Amounts task, List<String> allowed, MachineType type, boolean spot, int sharers) {
+  public double priceRatio(
+      Resources task, List<String> allowedTypes, MachineType type, boolean spot, int sharingTasks) {
     double cheapest = Double.POSITIVE_INFINITY;
-    for (MachineType t : types) {
-      if (t.size().count(task) > 0 && (allowed == null || allowed.contains(t.name()))) {
-        cheapest = Math.min(cheapest, perTask(task, t, false, sharers));
+    for (MachineType candidate : types) {
+      if (candidate.capacity().countFitting(task) > 0
+          && (allowedTypes == null || allowedTypes.contains(candidate.name()))) {
+        cheapest = Math.min(cheapest, pricePerTask(task, candidate, false, sharingTasks));
       }
     }
-    return perTask(task, type, spot, sharers) / cheapest;
+    return pricePerTask(task, type, spot, sharingTasks) / cheapest;
   }
 
   /**
    * Whether tasks worth so many times the cheapest ordinary price may keep a machine of this price
    * for themselves. A dear machine pays only when enough of them share it.
    */
-  public boolean worth(JobSpec job, MachineType type, boolean spot, int sharers, double worth) {
-    return ratio(job, type, spot, sharers) <= worth;
+  public boolean isWorthwhile(
+      JobSpec job, MachineType type, boolean spot, int sharingTasks, double maxPriceRatio) {
+    return priceRatio(job, type, spot, sharingTasks) <= maxPriceRatio;
   }
 
   /** How long a machine may be idle: the less, the more it costs an hour. */
-  public double idleS(MachineType type, boolean spot, double idleS) {
-    double cheapest = types.stream().mapToDouble(MachineType::price).min().orElse(type.price());
-    return Math.max(idleS / 10, Math.min(idleS, idleS * cheapest / type.price(spot)));
+  public double maxIdleSeconds(MachineType type, boolean spot, double configuredIdleSeconds) {
+    double cheapest =
+        types.stream().mapToDouble(MachineType::onDemandPrice).min().orElse(type.onDemandPrice());
+    return Math.max(
+        configuredIdleSeconds / 10,
+        Math.min(configuredIdleSeconds, configuredIdleSeconds * cheapest / type.priceFor(spot)));
   }
 }
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -4,23 +4,23 @@
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.Configuration;
-import io.violetrail.evidence.GoneProof;
-import io.violetrail.model.Amounts;
+import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.model.ControllerId;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.model.Resources;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows;
+import io.violetrail.ownership.StateSchema;
 import io.violetrail.peer.ResourceRequest;
 import io.violetrail.scheduling.Job;
-import io.violetrail.scheduling.Placement;
+import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.Unavailable;
-import io.violetrail.wire.StateWire.Change;
-import io.violetrail.wire.StateWire.Entry;
-import io.violetrail.wire.StateWire.Outcome;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.state.StateStore.StateUnavailableException;
+import io.violetrail.wire.StateStoreMessages.Entry;
+import io.violetrail.wire.StateStoreMessages.RowChange;
+import io.violetrail.wire.StateStoreMessages.Transaction;
+import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -45,73 +45,78 @@
   private static final Logger LOG = LoggerFactory.getLogger(QuotaTransfer.class);
 
   /** So often a move is drawn up anew when others have rewritten the row meanwhile. */
-  private static final int MAX_TRIES = 4;
+  private static final int MAX_ATTEMPTS = 4;
 
-  private static final double AGAIN_S = 0.3;
+  private static final double RETRY_SECONDS = 0.3;
 
   /** The part of a slice that its entity is expected to have free. */
-  private static final double EXPECTED_FREE = 0.5;
+  private static final double EXPECTED_FREE_FRACTION = 0.5;
 
-  private static final Amounts UNBOUNDED =
-      new Amounts(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0);
+  private static final Resources UNBOUNDED =
+      new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore store;
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final Settings settings;
   private final Configuration configuration;
-  private final TeamSlices slices;
+  private final TeamQuotaShares quotaShares;
 
   /**
    * Moves under way by entity and team, with the part of the entity's slice that is out of use
    * until their outcome is known.
    */
-  private final Map<String, Amounts> underWay = new HashMap<>();
+  private final Map<String, Resources> withheldByMove = new HashMap<>();
 
   /**
    * Creates the quota transfers of one controller between the entities that share each team's
    * limit.
    */
   public QuotaTransfer(
-      Loop loop,
+      EventLoop loop,
       StateStore store,
-      Directory directory,
+      ClusterView clusterView,
       Membership membership,
       Settings settings,
       Configuration configuration) {
     this.loop = loop;
     this.store = store;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.settings = settings;
     this.configuration = configuration;
-    this.slices = new TeamSlices(directory, settings, configuration);
+    this.quotaShares = new TeamQuotaShares(clusterView, settings, configuration);
   }
 
   /**
    * What may be started of a held entity's slice of a team's limit: nothing while the slices add up
    * to more than the limit in force.
    */
-  public Amounts free(OwnedEntity h, String team, double now) {
-    Team t = configuration.team(team);
-    if (t == null) {
-      return Amounts.NONE;
+  public Resources availableQuota(OwnedEntity entity, String teamName, double nowSeconds) {
+    Team team = configuration.findTeam(teamName);
+    if (team == null) {
+      return Resources.NONE;
     }
-    return slices.exceed(t) ? TeamSlices.NOTHING : unused(h, team, now);
+    return quotaShares.isOvercommitted(team)
+        ? TeamQuotaShares.NO_QUOTA
+        : unusedShare(entity, teamName, nowSeconds);
   }
 
   /** What is left of a held entity's slice, whatever the limit in force says. */
-  private Amounts unused(OwnedEntity h, String team, double now) {
-    Amounts outOfUse = underWay.getOrDefault(key(h, team), Amounts.NONE);
-    if (Double.isInfinite(outOfUse.cpus()) || Double.isInfinite(outOfUse.gpus())) {
-      return TeamSlices.NOTHING;
+  private Resources unusedShare(OwnedEntity entity, String teamName, double nowSeconds) {
+    Resources withheld = withheldByMove.getOrDefault(moveKey(entity, teamName), Resources.NONE);
+    if (Double.isInfinite(withheld.cpus()) || Double.isInfinite(withheld.gpus())) {
+      return TeamQuotaShares.NO_QUOTA;
     }
-    return slices.of(h.entity(), team).minus(outOfUse).minus(h.used(team, now));
+    return quotaShares
+        .shareOf(entity.id(), teamName)
+        .minus(withheld)
+        .minus(entity.usageOf(teamName, nowSeconds));
   }
 
-  private static String key(OwnedEntity h, String team) {
-    return h.entity() + "/" + team;
+  private static String moveKey(OwnedEntity entity, String teamName) {
+    return entity.id() + "/" + teamName;
   }
 
   /**
@@ -119,44 +124,50 @@
    * first. Where everybody is asked for all of it at once, all but one write the row in vain, and
    * the rest of what is lacking waits for the next asking.
    */
-  List<ResourceRequest> split(ResourceRequest request, ControllerId to) {
+  List<ResourceRequest> splitAmongDonors(ResourceRequest request, ControllerId recipient) {
     List<ControllerId> donors = new ArrayList<>(settings.controllers());
-    donors.remove(to);
+    donors.remove(recipient);
     donors.sort(
         Comparator.comparingDouble(
-            (ControllerId e) -> -share(slices.of(e, request.team()), request.team())));
+            (ControllerId e) ->
+                -fractionOfLimit(quotaShares.shareOf(e, request.team()), request.team())));
     List<ResourceRequest> parts = new ArrayList<>();
-    Amounts rest = new Amounts(request.cpus(), request.gpus(), 0);
+    Resources remaining = new Resources(request.cpus(), request.gpus(), 0);
     for (ControllerId donor : donors) {
-      Amounts expected = slices.of(donor, request.team()).times(EXPECTED_FREE);
-      boolean last = donor.equals(donors.get(donors.size() - 1));
-      Amounts part = last ? rest : smaller(rest, expected);
-      if (worthAWrite(part)) {
-        parts.add(request.from(donor, part));
-        rest = rest.minus(part);
+      Resources expected = quotaShares.shareOf(donor, request.team()).times(EXPECTED_FREE_FRACTION);
+      boolean isLast = donor.equals(donors.get(donors.size() - 1));
+      Resources part = isLast ? remaining : elementwiseMin(remaining, expected);
+      if (isWorthWriting(part)) {
+        parts.add(request.fromDonor(donor, part));
+        remaining = remaining.minus(part);
       }
     }
     return parts;
   }
 
   /** How much of the team's limit an amount is. */
-  private double share(Amounts a, String team) {
-    Team t = configuration.team(team);
-    double cpus = t == null || Double.isInfinite(t.cpusMax()) ? 0 : a.cpus() / t.cpusMax();
-    double gpus = t == null || Double.isInfinite(t.gpusMax()) ? 0 : a.gpus() / t.gpusMax();
-    return Math.max(cpus, gpus);
+  private double fractionOfLimit(Resources amounts, String teamName) {
+    Team team = configuration.findTeam(teamName);
+    double cpuFraction =
+        team == null || Double.isInfinite(team.maxCpus()) ? 0 : amounts.cpus() / team.maxCpus();
+    double gpuFraction =
+        team == null || Double.isInfinite(team.maxGpus()) ? 0 : amounts.gpus() / team.maxGpus();
+    return Math.max(cpuFraction, gpuFraction);
   }
 
-  private static boolean worthAWrite(Amounts a) {
-    return a.cpus() >= TeamSlices.LEAST || a.gpus() >= TeamSlices.LEAST;
+  private static boolean isWorthWriting(Resources amounts) {
+    return amounts.cpus() >= TeamQuotaShares.MIN_SHARE
+        || amounts.gpus() >= TeamQuotaShares.MIN_SHARE;
   }
 
-  private static Amounts smaller(Amounts a, Amounts b) {
-    return new Amounts(Math.min(a.cpus(), b.cpus()), Math.min(a.gpus(), b.gpus()), 0);
+  private static Resources elementwiseMin(Resources left, Resources right) {
+    return new Resources(
+        Math.min(left.cpus(), right.cpus()), Math.min(left.gpus(), right.gpus()), 0);
   }
 
-  private static Amounts larger(Amounts a, Amounts b) {
-    return new Amounts(Math.max(a.cpus(), b.cpus()), Math.max(a.gpus(), b.gpus()), 0);
+  private static Resources elementwiseMax(Resources left, Resources right) {
+    return new Resources(
+        Math.max(left.cpus(), right.cpus()), Math.max(left.gpus(), right.gpus()), 0);
   }
 
   /**
@@ -164,56 +175,62 @@
    * tasks alone: a task that needs more than one entity's slice, or a gang that needs all of the
    * limit, is put together from what each of the others can spare.
    */
-  void give(OwnedEntity h, ControllerId to, ResourceRequest request) {
-    Team team = configuration.team(request.team());
-    if (team == null || underWay.containsKey(key(h, request.team()))) {
+  void grant(OwnedEntity entity, ControllerId recipient, ResourceRequest request) {
+    Team team = configuration.findTeam(request.team());
+    if (team == null || withheldByMove.containsKey(moveKey(entity, request.team()))) {
       return;
     }
-    double now = loop.seconds();
-    Amounts spare = free(h, request.team(), now).minus(waiting(h, request, now)).notNegative();
-    Amounts part =
-        new Amounts(
-            TeamSlices.finite(Math.min(request.cpus(), spare.cpus()), team.cpusMax()),
-            TeamSlices.finite(Math.min(request.gpus(), spare.gpus()), team.gpusMax()),
+    double nowSeconds = loop.monotonicSeconds();
+    Resources spare =
+        availableQuota(entity, request.team(), nowSeconds)
+            .minus(demandAheadOf(entity, request, nowSeconds))
+            .clampToZero();
+    Resources amount =
+        new Resources(
+            TeamQuotaShares.zeroIfUnlimited(Math.min(request.cpus(), spare.cpus()), team.maxCpus()),
+            TeamQuotaShares.zeroIfUnlimited(Math.min(request.gpus(), spare.gpus()), team.maxGpus()),
             0);
-    if (!worthAWrite(part)) {
+    if (!isWorthWriting(amount)) {
       return;
     }
-    Amounts enough =
-        request.asksAll()
-            ? slices.of(to, request.team()).plus(new Amounts(request.cpus(), request.gpus(), 0))
+    Resources sufficientShare =
+        request.isForAllDonors()
+            ? quotaShares
+                .shareOf(recipient, request.team())
+                .plus(new Resources(request.cpus(), request.gpus(), 0))
             : UNBOUNDED;
-    start(new Gift(h, team, part, to, enough), part);
+    startMove(new QuotaGrant(entity, team, amount, recipient, sufficientShare), amount);
   }
 
   /** What jobs here that go before the request still wait for. */
-  private static Amounts waiting(OwnedEntity h, ResourceRequest request, double now) {
-    Amounts sum = Amounts.NONE;
-    for (Job job : h.jobs().values()) {
+  private static Resources demandAheadOf(
+      OwnedEntity entity, ResourceRequest request, double nowSeconds) {
+    Resources sum = Resources.NONE;
+    for (Job job : entity.jobs().values()) {
       if (job.phase() == Job.Phase.OPEN
-          && RequestOrder.before(job, request)
+          && RequestOrder.isAheadOf(job, request)
           && job.spec().team().equals(request.team())
-          && job.gathers(now)) {
-        sum = sum.plus(job.spec().task().times(job.mayStart(now)));
+          && job.mayHoldReservations(nowSeconds)) {
+        sum = sum.plus(job.spec().taskResources().times(job.startableCount(nowSeconds)));
       }
     }
-    return new Amounts(sum.cpus(), sum.gpus(), 0);
+    return new Resources(sum.cpus(), sum.gpus(), 0);
   }
 
   /**
    * Takes what is lacking from the part of a raised limit that is in nobody's slice; false if there
    * is no such part.
    */
-  boolean claim(OwnedEntity h, String team, Amounts lacking) {
-    Team t = configuration.team(team);
-    if (t == null || !configuration.canChange() || slices.exceed(t)) {
+  boolean claimUnclaimed(OwnedEntity entity, String teamName, Resources lacking) {
+    Team team = configuration.findTeam(teamName);
+    if (team == null || !configuration.canChange() || quotaShares.isOvercommitted(team)) {
       return false;
     }
-    if (!worthAWrite(smaller(lacking, slices.unclaimed(t)))) {
+    if (!isWorthWriting(elementwiseMin(lacking, quotaShares.unclaimedQuota(team)))) {
       return false;
     }
-    if (!underWay.containsKey(key(h, team))) {
-      start(new Claim(h, t, lacking, configuration.stamp()), Amounts.NONE);
+    if (!withheldByMove.containsKey(moveKey(entity, teamName))) {
+      startMove(new QuotaClaim(entity, team, lacking, configuration.modRevision()), Resources.NONE);
     }
     return true;
   }
@@ -224,36 +241,41 @@
    * parts are even ones, whatever the slices were: in proportion to them, each write made the next
    * one due.
    */
-  public void returnExcess(Collection<OwnedEntity> holdings) {
-    if (!configuration.canChange() || !membership.valid() || !configuration.fresh()) {
+  public void returnExcess(Collection<OwnedEntity> ownedEntities) {
+    if (!configuration.canChange() || !membership.isLeaseValid() || !configuration.isFresh()) {
       return;
     }
-    double now = loop.seconds();
+    double nowSeconds = loop.monotonicSeconds();
     for (Team team : configuration.teams()) {
-      if (slices.exceed(team)) {
-        for (OwnedEntity h : holdings) {
-          if (h.active() && !underWay.containsKey(key(h, team.name()))) {
-            returnExcess(h, team, now);
+      if (quotaShares.isOvercommitted(team)) {
+        for (OwnedEntity entity : ownedEntities) {
+          if (entity.isActive() && !withheldByMove.containsKey(moveKey(entity, team.name()))) {
+            returnExcess(entity, team, nowSeconds);
           }
         }
       }
     }
   }
 
-  private void returnExcess(OwnedEntity h, Team team, double now) {
-    Amounts slice = slices.of(h.entity(), team.name());
-    int parts = settings.controllers().size();
-    Amounts due = smaller(slice, new Amounts(team.cpusMax() / parts, team.gpusMax() / parts, 0));
-    Amounts keep = larger(due, h.used(team.name(), now));
-    Amounts excess = new Amounts(slice.cpus() - keep.cpus(), slice.gpus() - keep.gpus(), 0);
+  private void returnExcess(OwnedEntity entity, Team team, double nowSeconds) {
+    Resources currentShare = quotaShares.shareOf(entity.id(), team.name());
+    int controllerCount = settings.controllers().size();
+    Resources evenShare =
+        elementwiseMin(
+            currentShare,
+            new Resources(team.maxCpus() / controllerCount, team.maxGpus() / controllerCount, 0));
+    Resources retained = elementwiseMax(evenShare, entity.usageOf(team.name(), nowSeconds));
+    Resources excess =
+        new Resources(
+            currentShare.cpus() - retained.cpus(), currentShare.gpus() - retained.gpus(), 0);
     // Unlimited before and after: nothing of it is excess.
-    excess = new Amounts(number(excess.cpus()), number(excess.gpus()), 0).notNegative();
-    if (worthAWrite(excess)) {
-      start(new Return(h, team, excess, keep), excess);
+    excess = new Resources(zeroIfNaN(excess.cpus()), zeroIfNaN(excess.gpus()), 0).clampToZero();
+    if (isWorthWriting(excess)) {
+      startMove(new QuotaReturn(entity, team, excess, retained), excess);
     }
   }
 
-  private static double number(double amount) {
+  private static double zeroIfNaN(double amount) {
     return Double.isNaN(amount) ? 0 : amount;
   }
 
@@ -261,174 +283,189 @@
    * Takes back placements that no worker was told of, of teams whose slices exceed their limits:
    * they were decided on by the revision before.
    */
-  public void dropUnsent(Collection<OwnedEntity> holdings) {
-    double now = loop.seconds();
-    for (OwnedEntity h : holdings) {
-      h.machines().values().stream()
-          .flatMap(m -> List.copyOf(m.tasks().values()).stream())
-          .filter(Placement::revocable)
-          .filter(p -> exceeded(p.job().spec().team()))
+  public void revokeUnsentPlacements(Collection<OwnedEntity> ownedEntities) {
+    double nowSeconds = loop.monotonicSeconds();
+    for (OwnedEntity entity : ownedEntities) {
+      entity.machines().values().stream()
+          .flatMap(m -> List.copyOf(m.placements().values()).stream())
+          .filter(TaskPlacement::isRevocable)
+          .filter(p -> isOvercommitted(p.job().spec().team()))
           .toList()
-          .forEach(p -> h.unplace(p, now, GoneProof.NEVER_SENT));
+          .forEach(p -> entity.removePlacement(p, nowSeconds, TerminationEvidence.NEVER_SENT));
     }
   }
 
-  private boolean exceeded(String team) {
-    Team t = configuration.team(team);
-    return t == null || slices.exceed(t);
+  private boolean isOvercommitted(String teamName) {
+    Team team = configuration.findTeam(teamName);
+    return team == null || quotaShares.isOvercommitted(team);
   }
 
   /** A change of one held entity's slice. */
-  private abstract static class Move {
-    final OwnedEntity holder;
+  private abstract static class QuotaMove {
+    final OwnedEntity entity;
     final Team team;
 
-    Move(OwnedEntity holder, Team team) {
-      this.holder = holder;
+    QuotaMove(OwnedEntity entity, Team team) {
+      this.entity = entity;
       this.team = team;
     }
 
     String key() {
-      return QuotaTransfer.key(holder, team.name());
+      return QuotaTransfer.moveKey(entity, team.name());
     }
 
-    String row() {
-      return Rows.SLICE + team.name();
+    String rowKey() {
+      return StateSchema.QUOTA_SHARE_PREFIX + team.name();
     }
 
     /** The team's row after the move, by the newest view of it; null if it is to be dropped. */
-    abstract ObjectNode draft(TeamSlices slices);
+    abstract ObjectNode draftRow(TeamQuotaShares quotaShares);
 
     /** What else must hold when it is applied. */
-    void conditions(Txn txn) {}
+    void addConditions(Transaction transaction) {}
 
-    abstract String what();
+    abstract String describe();
   }
 
   /**
    * A part of a slice for another entity. What the target has been given by others since the
    * request is not given once more.
    */
-  private static final class Gift extends Move {
-    private final Amounts part;
-    private final ControllerId to;
-    private final Amounts enough;
-
-    Gift(OwnedEntity holder, Team team, Amounts part, ControllerId to, Amounts enough) {
-      super(holder, team);
-      this.part = part;
-      this.to = to;
-      this.enough = enough;
+  private static final class QuotaGrant extends QuotaMove {
+    private final Resources amount;
+    private final ControllerId recipient;
+    private final Resources sufficientShare;
+
+    QuotaGrant(
+        OwnedEntity entity,
+        Team team,
+        Resources amount,
+        ControllerId recipient,
+        Resources sufficientShare) {
+      super(entity, team);
+      this.amount = amount;
+      this.recipient = recipient;
+      this.sufficientShare = sufficientShare;
     }
 
     @Override
-    ObjectNode draft(TeamSlices slices) {
-      Amounts has = slices.of(to, team.name());
-      Amounts lacking =
-          new Amounts(missing(enough.cpus(), has.cpus()), missing(enough.gpus(), has.gpus()), 0);
-      Amounts now = smaller(part, lacking);
-      if (!worthAWrite(now)) {
+    ObjectNode draftRow(TeamQuotaShares quotaShares) {
+      Resources currentShare = quotaShares.shareOf(recipient, team.name());
+      Resources lacking =
+          new Resources(
+              missingAmount(sufficientShare.cpus(), currentShare.cpus()),
+              missingAmount(sufficientShare.gpus(), currentShare.gpus()),
+              0);
+      Resources granted = elementwiseMin(amount, lacking);
+      if (!isWorthWriting(granted)) {
         return null;
       }
-      return slices.row(
+      return quotaShares.buildRow(
           team,
-          (e, s) -> e.equals(holder.entity()) ? s.minus(now) : e.equals(to) ? s.plus(now) : s);
+          (e, s) ->
+              e.equals(entity.id()) ? s.minus(granted) : e.equals(recipient) ? s.plus(granted) : s);
     }
 
     /** What is unlimited is never missing: its part of the gift is 0 anyway. */
-    private static double missing(double enough, double has) {
-      return Double.isInfinite(enough) ? enough : Math.max(0, enough - has);
+    private static double missingAmount(double sufficient, double current) {
+      return Double.isInfinite(sufficient) ? sufficient : Math.max(0, sufficient - current);
     }
 
     @Override
-    String what() {
-      return "gives " + to + " up to " + part.cpus() + " cpus and " + part.gpus() + " gpus";
+    String describe() {
+      return "gives "
+          + recipient
+          + " up to "
+          + amount.cpus()
+          + " cpus and "
+          + amount.gpus()
+          + " gpus";
     }
   }
 
   /** A part of a slice given back, since the limit was lowered. */
-  private static final class Return extends Move {
-    private final Amounts part;
-    private final Amounts keep;
-
-    Return(OwnedEntity holder, Team team, Amounts part, Amounts keep) {
-      super(holder, team);
-      this.part = part;
-      this.keep = keep;
+  private static final class QuotaReturn extends QuotaMove {
+    private final Resources amount;
+    private final Resources retained;
+
+    QuotaReturn(OwnedEntity entity, Team team, Resources amount, Resources retained) {
+      super(entity, team);
+      this.amount = amount;
+      this.retained = retained;
     }
 
     @Override
-    ObjectNode draft(TeamSlices slices) {
-      return slices.exceed(team)
-          ? slices.row(team, (e, s) -> e.equals(holder.entity()) ? rest(s) : s)
+    ObjectNode draftRow(TeamQuotaShares quotaShares) {
+      return quotaShares.isOvercommitted(team)
+          ? quotaShares.buildRow(team, (e, s) -> e.equals(entity.id()) ? remainingShare(s) : s)
           : null;
     }
 
-    private Amounts rest(Amounts slice) {
-      return new Amounts(
-          Double.isInfinite(part.cpus()) ? keep.cpus() : slice.cpus() - part.cpus(),
-          Double.isInfinite(part.gpus()) ? keep.gpus() : slice.gpus() - part.gpus(),
+    private Resources remainingShare(Resources share) {
+      return new Resources(
+          Double.isInfinite(amount.cpus()) ? retained.cpus() : share.cpus() - amount.cpus(),
+          Double.isInfinite(amount.gpus()) ? retained.gpus() : share.gpus() - amount.gpus(),
           0);
     }
 
     @Override
-    String what() {
-      return "gives back " + part.cpus() + " cpus and " + part.gpus() + " gpus";
+    String describe() {
+      return "gives back " + amount.cpus() + " cpus and " + amount.gpus() + " gpus";
     }
   }
 
   /** More of a raised limit, while the revision that allows it is in force. */
-  private static final class Claim extends Move {
-    private final Amounts lacking;
+  private static final class QuotaClaim extends QuotaMove {
+    private final Resources lacking;
     private final long configurationStamp;
 
-    Claim(OwnedEntity holder, Team team, Amounts lacking, long configurationStamp) {
-      super(holder, team);
+    QuotaClaim(OwnedEntity entity, Team team, Resources lacking, long configurationStamp) {
+      super(entity, team);
       this.lacking = lacking;
       this.configurationStamp = configurationStamp;
     }
 
     @Override
-    ObjectNode draft(TeamSlices slices) {
-      Amounts part = smaller(lacking, slices.unclaimed(team));
-      if (!worthAWrite(part)) {
+    ObjectNode draftRow(TeamQuotaShares quotaShares) {
+      Resources claimed = elementwiseMin(lacking, quotaShares.unclaimedQuota(team));
+      if (!isWorthWriting(claimed)) {
         return null;
       }
-      return slices.row(team, (e, s) -> e.equals(holder.entity()) ? s.plus(part) : s);
+      return quotaShares.buildRow(team, (e, s) -> e.equals(entity.id()) ? s.plus(claimed) : s);
     }
 
     @Override
-    void conditions(Txn txn) {
-      txn.when(Rows.CONFIGURATION, configurationStamp);
+    void addConditions(Transaction transaction) {
+      transaction.ifRevision(StateSchema.CONFIGURATION_KEY, configurationStamp);
     }
 
     @Override
-    String what() {
+    String describe() {
       return "claims up to " + lacking.cpus() + " cpus and " + lacking.gpus() + " gpus";
     }
   }
 
-  private void start(Move move, Amounts outOfUse) {
-    underWay.put(move.key(), outOfUse);
-    attempt(move, 1);
+  private void startMove(QuotaMove move, Resources withheld) {
+    withheldByMove.put(move.key(), withheld);
+    attemptMove(move, 1);
   }
 
-  private void attempt(Move move, int tries) {
-    ObjectNode[] drawn = new ObjectNode[1];
+  private void attemptMove(QuotaMove move, int attemptNumber) {
+    ObjectNode[] draftedRow = new ObjectNode[1];
     store
-        .settleLate(
+        .commitDeferred(
             () -> {
-              drawn[0] = covered(move) ? move.draft(slices) : null;
-              return drawn[0] == null ? null : transaction(move, drawn[0]);
+              draftedRow[0] = coversUsage(move) ? move.draftRow(quotaShares) : null;
+              return draftedRow[0] == null ? null : buildTransaction(move, draftedRow[0]);
             })
         .whenComplete(
             (outcome, failure) -> {
-              if (drawn[0] == null) {
-                underWay.remove(move.key());
+              if (draftedRow[0] == null) {
+                withheldByMove.remove(move.key());
               } else if (failure == null && outcome.applied()) {
-                applied(move, drawn[0], outcome);
+                completeMove(move, draftedRow[0], outcome);
               } else {
-                refused(move, outcome, tries);
+                retryOrAbandon(move, outcome, attemptNumber);
               }
             });
   }
@@ -438,28 +475,28 @@
    * answer was lost may have been applied: then the part is missing from the slice already, and
    * giving it once more would take what runs.
    */
-  private boolean covered(Move move) {
-    Amounts rest = unused(move.holder, move.team.name(), loop.seconds());
-    return move.holder.active()
-        && rest.cpus() >= -TeamSlices.LEAST
-        && rest.gpus() >= -TeamSlices.LEAST;
+  private boolean coversUsage(QuotaMove move) {
+    Resources remaining = unusedShare(move.entity, move.team.name(), loop.monotonicSeconds());
+    return move.entity.isActive()
+        && remaining.cpus() >= -TeamQuotaShares.MIN_SHARE
+        && remaining.gpus() >= -TeamQuotaShares.MIN_SHARE;
   }
 
-  private Txn transaction(Move move, ObjectNode row) {
-    Entry before = directory.slice(move.team.name());
-    Txn txn =
-        move.holder
-            .fenced()
-            .when(move.row(), before == null ? 0 : before.stamp())
-            .set(move.row(), row);
-    move.conditions(txn);
-    return txn;
+  private Transaction buildTransaction(QuotaMove move, ObjectNode row) {
+    Entry currentRow = clusterView.findQuotaShare(move.team.name());
+    Transaction transaction =
+        move.entity
+            .fencedTransaction()
+            .ifRevision(move.rowKey(), currentRow == null ? 0 : currentRow.modRevision())
+            .put(move.rowKey(), row);
+    move.addConditions(transaction);
+    return transaction;
   }
 
-  private void applied(Move move, ObjectNode row, Outcome outcome) {
-    directory.apply(new Change(move.row(), row, outcome.revision()));
-    underWay.remove(move.key());
-    LOG.info("entity {} {} of team {}", move.holder.entity(), move.what(), move.team.name());
+  private void completeMove(QuotaMove move, ObjectNode row, TransactionOutcome outcome) {
+    clusterView.apply(new RowChange(move.rowKey(), row, outcome.revision()));
+    withheldByMove.remove(move.key());
+    LOG.info("entity {} {} of team {}", move.entity.id(), move.describe(), move.team.name());
   }
 
   /**
@@ -468,30 +505,31 @@
    * listing of all common rows after each refusal was most of what controllers read where teams are
    * many. No try can be applied after it, since its condition has failed for good.
    */
-  private void refused(Move move, Outcome outcome, int tries) {
-    boolean moved = outcome == null || outcome.failed().contains(Rows.entity(move.holder.entity()));
-    if (moved) {
-      membership.relistThen(() -> underWay.remove(move.key()));
+  private void retryOrAbandon(QuotaMove move, TransactionOutcome outcome, int attemptNumber) {
+    boolean entityMoved =
+        outcome == null || outcome.failedKeys().contains(StateSchema.entityKey(move.entity.id()));
+    if (entityMoved) {
+      membership.relistThen(() -> withheldByMove.remove(move.key()));
       return;
     }
     store
-        .get(move.row())
+        .get(move.rowKey())
         .whenComplete(
             (entry, failure) -> {
               if (failure != null) {
-                Unavailable why = Unavailable.of(failure);
-                LOG.debug("slices of team {} not read: {}", move.team.name(), why.getMessage());
-                loop.after(AGAIN_S, () -> refused(move, outcome, tries));
+                StateUnavailableException cause = StateUnavailableException.from(failure);
+                LOG.debug("slices of team {} not read: {}", move.team.name(), cause.getMessage());
+                loop.schedule(RETRY_SECONDS, () -> retryOrAbandon(move, outcome, attemptNumber));
                 return;
               }
               if (entry.value() != null) {
-                directory.apply(new Change(move.row(), entry.value(), entry.stamp()));
+                clusterView.apply(new RowChange(move.rowKey(), entry.value(), entry.modRevision()));
               }
-              boolean superseded = outcome.failed().contains(Rows.CONFIGURATION);
-              if (tries < MAX_TRIES && !superseded) {
-                attempt(move, tries + 1);
+              boolean superseded = outcome.failedKeys().contains(StateSchema.CONFIGURATION_KEY);
+              if (attemptNumber < MAX_ATTEMPTS && !superseded) {
+                attemptMove(move, attemptNumber + 1);
               } else {
-                underWay.remove(move.key());
+                withheldByMove.remove(move.key());
               }
             });
   }
--- a/src/main/java/io/violetrail/fleet/RequestOrder.java
+++ b/src/main/java/io/violetrail/fleet/RequestOrder.java
@@ -13,11 +13,11 @@
    * millisecond: with two that differed, a slice went to and fro between two entities every second,
    * and neither job started; where both sides saw themselves first, neither gave its part.
    */
-  static boolean before(Job job, ResourceRequest request) {
+  static boolean isAheadOf(Job job, ResourceRequest request) {
     int priority = job.spec().priority().ordinal();
-    if (priority != request.priority() || job.arrivedMs() != request.arrivedMs()) {
+    if (priority != request.priority() || job.arrivedAtMillis() != request.arrivedMs()) {
       return priority < request.priority()
-          || priority == request.priority() && job.arrivedMs() < request.arrivedMs();
+          || priority == request.priority() && job.arrivedAtMillis() < request.arrivedMs();
     }
     return job.spec().id().value().compareTo(request.job()) < 0;
   }
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -1,15 +1,15 @@
 package io.violetrail.fleet;
 
 import io.violetrail.cloud.CloudClient;
-import io.violetrail.cloud.CloudClient.Return;
+import io.violetrail.cloud.CloudClient.ReturnOutcome;
 import io.violetrail.config.Settings;
 import io.violetrail.model.JobSpec;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Timing;
-import io.violetrail.wire.CloudWire;
+import io.violetrail.wire.CloudMessages;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -26,14 +26,14 @@
 
   private final Settings settings;
   private final double idleSeconds;
-  private final Loop loop;
-  private final Timing timing;
-  private final Directory directory;
+  private final EventLoop loop;
+  private final LeaseTiming timing;
+  private final ClusterView directory;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final EntityMachines entityMachines;
-  private final Boots bootTimes;
-  private final Spares spares;
+  private final BootTimes bootTimes;
+  private final WarmCapacity spares;
   private final CloudClient cloud;
   private boolean returning;
 
@@ -46,14 +46,14 @@
   public ScaleIn(
       Settings settings,
       double idleSeconds,
-      Loop loop,
-      Timing timing,
-      Directory directory,
+      EventLoop loop,
+      LeaseTiming timing,
+      ClusterView directory,
       Membership membership,
       MachineTypes machineTypes,
       EntityMachines entityMachines,
-      Boots bootTimes,
-      Spares spares,
+      BootTimes bootTimes,
+      WarmCapacity spares,
       CloudClient cloud) {
     this.settings = settings;
     this.idleSeconds = idleSeconds;
@@ -69,78 +69,86 @@
   }
 
   /** Returns the entity's machines that are of no use, as many as one call may name. */
-  void returnUseless(OwnedEntity h, double now) {
+  void returnUseless(OwnedEntity entity, double now) {
     List<Machine> out = new ArrayList<>();
     Map<JobSpec, Integer> surplus = null;
-    for (Machine m : h.machines().values()) {
-      if (m.returning()) {
-        out.add(m);
-      } else if (ofNoUse(m, now)) {
+    for (Machine machine : entity.machines().values()) {
+      if (machine.returning()) {
+        out.add(machine);
+      } else if (ofNoUse(machine, now)) {
         if (surplus == null) {
-          surplus = surplus(h, now);
+          surplus = surplus(entity, now);
         }
-        if (!idle(m) || dispensable(m, surplus)) {
-          takeOutOfUse(m, out);
+        if (!idle(machine) || dispensable(machine, surplus)) {
+          takeOutOfUse(machine, out);
         }
       }
     }
-    if (!out.isEmpty() && !returning && cloud.mayCall()) {
-      returnToCloud(h, out);
+    if (!out.isEmpty() && !returning && cloud.tryAcquireCall()) {
+      returnToCloud(entity, out);
     }
   }
 
-  private static void takeOutOfUse(Machine m, List<Machine> out) {
-    if (m.empty() || !idle(m)) {
-      m.startReturn();
-      out.add(m);
+  private static void takeOutOfUse(Machine machine, List<Machine> out) {
+    if (machine.isEmpty() || !idle(machine)) {
+      machine.startReturn();
+      out.add(machine);
     } else {
       // Only spare work is left here: it saves, and the machine goes.
-      m.setDraining(true);
+      machine.setDraining(true);
     }
   }
 
-  private void returnToCloud(OwnedEntity h, List<Machine> out) {
-    List<Machine> batch = out.subList(0, Math.min(out.size(), CloudWire.MAX_RETURN));
+  private void returnToCloud(OwnedEntity entity, List<Machine> out) {
+    List<Machine> batch =
+        out.subList(0, Math.min(out.size(), CloudMessages.MAX_MACHINES_PER_RETURN));
     returning = true;
-    LOG.info("entity {}: returning {}", h.entity(), batch.stream().map(Machine::id).toList());
+    LOG.info("entity {}: returning {}", entity.id(), batch.stream().map(Machine::id).toList());
     cloud
-        .giveBack(batch.stream().map(Machine::id).toList())
+        .returnMachines(batch.stream().map(Machine::id).toList())
         .whenComplete(
             (answer, failure) -> {
               returning = false;
-              switch (failure == null ? answer : Return.UNCERTAIN) {
-                case GONE -> batch.forEach(m -> forget(h, m));
+              switch (failure == null ? answer : ReturnOutcome.UNCERTAIN) {
+                case GONE -> batch.forEach(m -> forget(entity, m));
                 case REFUSED -> batch.forEach(Machine::returnRefused);
                 default -> batch.forEach(Machine::returnUnclear);
               }
             });
   }
 
-  private static boolean idle(Machine m) {
-    return m.row().up() && m.heard() && !m.silent() && !m.draining();
+  private static boolean idle(Machine machine) {
+    return machine.row().hasReported()
+        && machine.tasksKnown()
+        && !machine.unresponsive()
+        && !machine.draining();
   }
 
   /** How much more room there is than is kept ahead of need, for each class that it is kept for. */
-  private Map<JobSpec, Integer> surplus(OwnedEntity h, double now) {
+  private Map<JobSpec, Integer> surplus(OwnedEntity entity, double now) {
     Map<JobSpec, Integer> surplus = new HashMap<>();
     spares
-        .wanted(machineTypes.all(), now)
+        .wantedTaskCounts(machineTypes.all(), now)
         .forEach(
             (spec, tasks) ->
                 surplus.put(
-                    spec, Spares.room(spec, h.machines().values(), machineTypes.prices()) - tasks));
+                    spec,
+                    WarmCapacity.freeTaskSlots(
+                            spec, entity.machines().values(), machineTypes.prices())
+                        - tasks));
     return surplus;
   }
 
   /** Whether an idle machine can go without room kept ahead of need; takes it off the surplus. */
-  private boolean dispensable(Machine m, Map<JobSpec, Integer> surplus) {
+  private boolean dispensable(Machine machine, Map<JobSpec, Integer> surplus) {
     Map<JobSpec, Integer> rooms = new HashMap<>();
-    for (var e : surplus.entrySet()) {
-      int room = Spares.room(e.getKey(), List.of(m), machineTypes.prices());
-      if (room > 0 && room > e.getValue()) {
+    for (var entry : surplus.entrySet()) {
+      int room =
+          WarmCapacity.freeTaskSlots(entry.getKey(), List.of(machine), machineTypes.prices());
+      if (room > 0 && room > entry.getValue()) {
         return false;
       }
-      rooms.put(e.getKey(), room);
+      rooms.put(entry.getKey(), room);
     }
     rooms.forEach((spec, room) -> surplus.merge(spec, -room, Integer::sum));
     return true;
@@ -149,55 +157,61 @@
   /** How long a worker may need to find a new owner, trying dead controllers on its way. */
   private double findsUsS() {
     long dead = settings.peers().keySet().stream().filter(p -> !directory.isAlive(p)).count();
-    return UNHEARD_S * Math.max(1, dead) + 2 * settings.workers().reportS();
+    return UNHEARD_S * Math.max(1, dead) + 2 * settings.workerTiming().heartbeatIntervalSeconds();
   }
 
-  private boolean ofNoUse(Machine m, double now) {
-    if (m.promised()) {
+  private boolean ofNoUse(Machine machine, double now) {
+    if (machine.transferInFlight()) {
       return false;
     }
-    if (!m.row().up()) {
-      return bootTimes.givenUp(m.type(), m.rentedS(), now);
+    if (!machine.row().hasReported()) {
+      return bootTimes.isGivenUp(machine.type(), machine.rentedAtSeconds(), now);
     }
-    if (m.uncertain(now) && now - m.heardS() > findsUsS()) {
+    if (machine.mayHoldUnreportedTasks(now)
+        && now - machine.lastHeartbeatAtSeconds() > findsUsS()) {
       // Everything recovered waits for what it may hold, and the cloud's answer settles that.
       return true;
     }
-    if (m.silent()) {
-      return m.empty() && now - m.heardS() > timing.goneAfterAnswerS() + 5;
+    if (machine.unresponsive()) {
+      return machine.isEmpty()
+          && now - machine.lastHeartbeatAtSeconds() > timing.tasksGoneAfterReplySeconds() + 5;
     }
-    if (m.draining()) {
-      return m.empty();
+    if (machine.draining()) {
+      return machine.isEmpty();
     }
-    return m.heard()
-        && (m.empty() || m.spare() && !m.row().spot())
-        && now - m.idleSinceS() > machineTypes.prices().idleS(m.type(), m.row().spot(), idleSeconds);
+    return machine.tasksKnown()
+        && (machine.isEmpty() || machine.hasOnlyBestEffortTasks() && !machine.row().spot())
+        && now - machine.idleSinceSeconds()
+            > machineTypes
+                .prices()
+                .maxIdleSeconds(machine.type(), machine.row().spot(), idleSeconds);
   }
 
-  private void forget(OwnedEntity h, Machine m) {
-    if (h.machines().get(m.id()) != m) {
+  private void forget(OwnedEntity entity, Machine machine) {
+    if (entity.machines().get(machine.id()) != machine) {
       return;
     }
-    double age = loop.seconds() - m.rentedS();
-    if (!m.row().up()) {
-      bootTimes.never(m.type(), m.rentedS());
+    double age = loop.monotonicSeconds() - machine.rentedAtSeconds();
+    if (!machine.row().hasReported()) {
+      bootTimes.recordNeverBooted(machine.type(), machine.rentedAtSeconds());
     }
     LOG.info(
         "machine {} ({}, spot {}) returned after {} s, used {} s",
-        m.id(),
-        m.row().type(),
-        m.row().spot(),
+        machine.id(),
+        machine.row().type(),
+        machine.row().spot(),
         Math.round(age),
-        Math.round(m.usedS()));
-    entityMachines.remove(h, m);
-    h.register()
-        .remove(m.row())
+        Math.round(machine.fullUseSeconds()));
+    entityMachines.remove(entity, machine);
+    entity
+        .machineRecords()
+        .remove(machine.row())
         .whenComplete(
             (row, failure) -> {
               if (failure != null) {
-                membership.relistThen(() -> entityMachines.rowRemoved(m.id()));
+                membership.relistThen(() -> entityMachines.rowRemoved(machine.id()));
               } else {
-                entityMachines.rowRemoved(m.id());
+                entityMachines.rowRemoved(machine.id());
               }
             });
   }
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -1,18 +1,18 @@
 package io.violetrail.fleet;
 
 import io.violetrail.config.Settings;
-import io.violetrail.fleet.Hires.Offer;
-import io.violetrail.model.Amounts;
+import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
+import io.violetrail.model.JobShape;
 import io.violetrail.model.MachineType;
-import io.violetrail.model.Shape;
-import io.violetrail.ownership.Directory;
+import io.violetrail.model.Resources;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.scheduling.Aims;
-import io.violetrail.scheduling.Estimates;
+import io.violetrail.scheduling.BinPacker;
 import io.violetrail.scheduling.Job;
-import io.violetrail.scheduling.PendingJobs;
-import io.violetrail.scheduling.Placement;
-import io.violetrail.scheduling.Placer;
+import io.violetrail.scheduling.PendingQueues;
+import io.violetrail.scheduling.RuntimeEstimates;
+import io.violetrail.scheduling.ServiceLevelObjectives;
+import io.violetrail.scheduling.TaskPlacement;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -28,39 +28,39 @@
 
   private final Settings settings;
   private final Random random;
-  private final Directory directory;
+  private final ClusterView directory;
   private final MachineTypes machineTypes;
-  private final PendingJobs pendingJobs;
-  private final Placer placer;
-  private final Aims aims;
-  private final Estimates estimates;
+  private final PendingQueues pendingQueues;
+  private final BinPacker placer;
+  private final ServiceLevelObjectives aims;
+  private final RuntimeEstimates estimates;
   private final QuotaTransfer quotas;
-  private final Boots bootTimes;
-  private final Spares spares;
-  private final Hires hires;
+  private final BootTimes bootTimes;
+  private final WarmCapacity spares;
+  private final ScaleOutRequests hires;
   private int tasteSeed;
 
-  /** Rents through the given requests what {@link PendingJobs} calls for. */
+  /** Rents through the given requests what {@link PendingQueues} calls for. */
   public ScaleOut(
       Settings settings,
       Random random,
-      Directory directory,
+      ClusterView directory,
       MachineTypes machineTypes,
-      PendingJobs pendingJobs,
-      Placer placer,
-      Aims aims,
-      Estimates estimates,
+      PendingQueues pendingQueues,
+      BinPacker placer,
+      ServiceLevelObjectives objectives,
+      RuntimeEstimates estimates,
       QuotaTransfer quotas,
-      Boots bootTimes,
-      Spares spares,
-      Hires hires) {
+      BootTimes bootTimes,
+      WarmCapacity spares,
+      ScaleOutRequests hires) {
     this.settings = settings;
     this.random = random;
     this.directory = directory;
     this.machineTypes = machineTypes;
-    this.pendingJobs = pendingJobs;
+    this.pendingQueues = pendingQueues;
     this.placer = placer;
-    this.aims = aims;
+    this.aims = objectives;
     this.estimates = estimates;
     this.quotas = quotas;
     this.bootTimes = bootTimes;
@@ -74,88 +74,97 @@
   }
 
   /** Puts what waits into machines that boot, and rents for the rest. */
-  void rent(OwnedEntity h, double now) {
-    RentPlan plan =
-        new RentPlan(
+  void rent(OwnedEntity entity, double now) {
+    ScaleOutPlan plan =
+        new ScaleOutPlan(
             machineTypes.all(),
-            placer.acceleratorsWanted(now),
+            placer.hasRecentAcceleratorDemand(now),
             machineTypes.prices(),
-            hires::refused,
-            job -> aims.worth(job, now, estimates.runS(job.spec())),
+            hires::isSoldOut,
+            job -> aims.maxPriceRatio(job, now, estimates.expectedRuntimeSeconds(job.spec())),
             mayBoot(),
             tasteSeed);
-    int replaced = maxReplaced(h);
-    for (Machine m : h.machines().values()) {
-      if (!m.row().up() && !m.returning()) {
-        if (replaced > 0 && bootTimes.late(m.type(), m.rentedS(), now)) {
+    int replaced = maxReplaced(entity);
+    for (Machine machine : entity.machines().values()) {
+      if (!machine.row().hasReported() && !machine.returning()) {
+        if (replaced > 0 && bootTimes.isLate(machine.type(), machine.rentedAtSeconds(), now)) {
           replaced--;
         } else {
-          plan.coming(offer(m), m.type().size());
+          plan.addBooting(offer(machine), machine.type().capacity());
         }
-      } else if (m.open()) {
-        plan.there(offer(m), roomSoon(m, now), later(m, now));
+      } else if (machine.isSchedulable()) {
+        plan.addRunning(offer(machine), roomSoon(machine, now), later(machine, now));
       }
     }
-    Map<Offer, Integer> pending = hires.pending(h);
+    Map<MachineOffering, Integer> pending = hires.pendingMachineCounts(entity);
     pending.forEach(
         (offer, count) -> {
           MachineType type = machineTypes.find(offer.type());
           for (int i = 0; type != null && i < count; i++) {
-            plan.coming(offer, type.size());
+            plan.addBooting(offer, type.capacity());
           }
         });
-    boolean uncertain = h.uncertain(now);
-    Map<String, Amounts> left = new HashMap<>();
+    boolean uncertain = entity.hasUncertainMachine(now);
+    Map<String, Resources> left = new HashMap<>();
     List<Job> spareWork = new ArrayList<>();
-    for (Job job : pendingJobs.inOrder(h)) {
-      if (job.spareWork()) {
+    for (Job job : pendingQueues.inOrder(entity)) {
+      if (job.bestEffort()) {
         spareWork.add(job);
         continue;
       }
-      boolean urgent = spares.urgent(job.spec(), machineTypes.all());
+      boolean urgent = spares.isUrgent(job.spec(), machineTypes.all());
       boolean peersFirst =
-          !urgent && now - job.arrivedS() < TransferRequests.FIRST_S && directory.aliveCount() > 1;
-      boolean probe = job.trial().suspect() && placeable(h, job);
-      if (job.mayStart(now) == 0 || job.recovered() && uncertain || peersFirst || probe) {
+          !urgent
+              && now - job.arrivedAtSeconds() < TransferRequests.SCALE_OUT_DELAY_SECONDS
+              && directory.aliveControllerCount() > 1;
+      boolean probe = job.failureHistory().isSuspect() && placeable(entity, job);
+      if (job.startableCount(now) == 0
+          || job.loadedFromStore() && uncertain
+          || peersFirst
+          || probe) {
         continue;
       }
-      Amounts quota = left.computeIfAbsent(job.spec().team(), t -> quotas.free(h, t, now));
-      int tasks = Math.min(wanted(job, now), quota.count(job.spec().task()));
-      left.put(job.spec().team(), quota.minus(job.spec().task().times(tasks)));
-      plan.demand(job, tasks, urgent);
+      Resources quota =
+          left.computeIfAbsent(job.spec().team(), t -> quotas.availableQuota(entity, t, now));
+      int tasks = Math.min(wanted(job, now), quota.countFitting(job.spec().taskResources()));
+      left.put(job.spec().team(), quota.minus(job.spec().taskResources().times(tasks)));
+      plan.addDemand(job, tasks, urgent);
     }
-    if (plan.wanted().isEmpty() && pending.isEmpty()) {
-      keepSpares(h, plan, now);
+    if (plan.machineCounts().isEmpty() && pending.isEmpty()) {
+      keepSpares(entity, plan, now);
     }
     for (Job job : spareWork) {
-      if (!job.trial().suspect() && !(job.recovered() && uncertain)) {
-        plan.demand(job, job.unplaced(), false);
+      if (!job.failureHistory().isSuspect() && !(job.loadedFromStore() && uncertain)) {
+        plan.addDemand(job, job.unplacedCount(), false);
       }
     }
-    plan.inOrder().forEach(e -> hires.hire(h, e.getKey(), e.getValue()));
+    plan.machineCountsByUrgency()
+        .forEach(e -> hires.requestMachines(entity, e.getKey(), e.getValue()));
   }
 
   /**
    * How many machines that are late may be replaced at the same time: where all boots are slow, the
    * fleet must not double.
    */
-  private static int maxReplaced(OwnedEntity h) {
+  private static int maxReplaced(OwnedEntity entity) {
     int up = 0;
-    for (Machine m : h.machines().values()) {
-      up += m.row().up() ? 1 : 0;
+    for (Machine machine : entity.machines().values()) {
+      up += machine.row().hasReported() ? 1 : 0;
     }
     return Math.max(2, up / 4);
   }
 
   /** Whether a probe of a job that fails everywhere finds a machine that is there anyway. */
-  private static boolean placeable(OwnedEntity h, Job job) {
+  private static boolean placeable(OwnedEntity entity, Job job) {
     int room = 0;
-    for (Machine m : h.machines().values()) {
-      if (m.open() && job.spec().allows(m.row().type(), m.row().zone(), m.row().spot())) {
-        room += m.type().size().count(job.spec().task());
+    for (Machine machine : entity.machines().values()) {
+      if (machine.isSchedulable()
+          && job.spec()
+              .allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
+        room += machine.type().capacity().countFitting(job.spec().taskResources());
       }
     }
-    return room >= (job.spec().shape() == Shape.GANG ? job.spec().tasks() : 1);
+    return room >= (job.spec().shape() == JobShape.GANG ? job.spec().taskCount() : 1);
   }
 
   /**
@@ -163,36 +172,38 @@
    * must not take longer than a boot.
    */
   private int mayBoot() {
-    double writes = settings.stateLimits().writeRps() / (settings.peers().size() + 1);
+    double writes = settings.stateStoreLimits().writesPerSecond() / (settings.peers().size() + 1);
     return (int) Math.max(4, writes * boot() / 3);
   }
 
-  private void keepSpares(OwnedEntity h, RentPlan plan, double now) {
+  private void keepSpares(OwnedEntity entity, ScaleOutPlan plan, double now) {
     spares
-        .wanted(machineTypes.all(), now)
+        .wantedTaskCounts(machineTypes.all(), now)
         .forEach(
             (spec, tasks) -> {
-              int have = Spares.room(spec, h.machines().values(), machineTypes.prices());
-              if (have < tasks && h.entity().equals(settings.self())) {
-                plan.spare(new Job(spec, 0, now, false));
+              int have =
+                  WarmCapacity.freeTaskSlots(
+                      spec, entity.machines().values(), machineTypes.prices());
+              if (have < tasks && entity.id().equals(settings.self())) {
+                plan.addWarmMachine(new Job(spec, 0, now, false));
               }
             });
   }
 
   private double boot() {
-    return machineTypes.all().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+    return machineTypes.all().stream().mapToDouble(MachineType::bootSeconds).min().orElse(0);
   }
 
-  private static Offer offer(Machine m) {
-    return new Offer(m.row().type(), m.row().zone(), m.row().spot());
+  private static MachineOffering offer(Machine machine) {
+    return new MachineOffering(machine.row().type(), machine.row().zone(), machine.row().spot());
   }
 
   /** What a machine will have free by the time that another of its type would be up. */
-  private Amounts roomSoon(Machine m, double now) {
-    Amounts room = m.room();
-    for (Placement p : m.tasks().values()) {
-      if (endsInS(p, now) < m.type().bootS()) {
-        room = room.plus(p.job().spec().task());
+  private Resources roomSoon(Machine machine, double now) {
+    Resources room = machine.freeCapacity();
+    for (TaskPlacement placement : machine.placements().values()) {
+      if (endsInS(placement, now) < machine.type().bootSeconds()) {
+        room = room.plus(placement.job().spec().taskResources());
       }
     }
     return room;
@@ -203,36 +214,41 @@
    * another machine would be up. Dear machines were rented for short tasks, and had nothing to do
    * when they came up.
    */
-  private Amounts later(Machine m, double now) {
-    Amounts room = Amounts.NONE;
-    for (Placement p : m.tasks().values()) {
-      double left = m.type().bootS() - endsInS(p, now);
-      int turns = (int) (left / estimates.runS(p.job().spec()));
-      if (left > 0 && turns > 0 && p.job().spec().shape() == Shape.ARRAY) {
-        room = room.plus(p.job().spec().task().times((int) Math.min(MAX_TURNS, turns)));
+  private Resources later(Machine machine, double now) {
+    Resources room = Resources.NONE;
+    for (TaskPlacement placement : machine.placements().values()) {
+      double left = machine.type().bootSeconds() - endsInS(placement, now);
+      int turns = (int) (left / estimates.expectedRuntimeSeconds(placement.job().spec()));
+      if (left > 0 && turns > 0 && placement.job().spec().shape() == JobShape.ARRAY) {
+        room =
+            room.plus(
+                placement.job().spec().taskResources().times((int) Math.min(MAX_TURNS, turns)));
       }
     }
     return room;
   }
 
-  private double endsInS(Placement p, double now) {
+  private double endsInS(TaskPlacement placement, double now) {
     double began =
-        p.runningS() > 0 ? p.runningS() : now + p.job().spec().imageGb() / p.machine().type().fetchGbPerS();
-    return Math.max(0, began + estimates.runS(p.job().spec()) - now);
+        placement.runningSinceSeconds() > 0
+            ? placement.runningSinceSeconds()
+            : now
+                + placement.job().spec().imageGb() / placement.machine().type().fetchGbPerSecond();
+    return Math.max(0, began + estimates.expectedRuntimeSeconds(placement.job().spec()) - now);
   }
 
   /** How many of a job's waiting tasks are worth machines of their own, the rest taking turns. */
   private int wanted(Job job, double now) {
-    int waiting = job.mayStart(now);
-    if (job.spec().shape() != Shape.ARRAY) {
+    int waiting = job.startableCount(now);
+    if (job.spec().shape() != JobShape.ARRAY) {
       return waiting;
     }
-    double run = estimates.runS(job.spec());
-    double due = aims.nextDueS(job, now, run);
+    double run = estimates.expectedRuntimeSeconds(job.spec());
+    double due = aims.nextReachableDeadlineSeconds(job, now, run);
     if (Double.isInfinite(due)) {
       return waiting;
     }
-    double left = due - now - spares.startsInS(job.spec(), machineTypes.all());
+    double left = due - now - spares.secondsUntilStart(job.spec(), machineTypes.all());
     double turns = Math.max(1, Math.min(MAX_TURNS, Math.floor(left / run)));
     return (int) Math.ceil(waiting / turns);
   }
