--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -1,20 +1,20 @@
 package io.violetrail.fleet;
 
-import io.violetrail.model.Amounts;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.MachineType;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.model.Resources;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.EntityRow;
+import io.violetrail.ownership.StateSchema.EntityRow;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.ResourceRequest;
-import io.violetrail.scheduling.Aims;
-import io.violetrail.scheduling.Estimates;
 import io.violetrail.scheduling.Job;
-import io.violetrail.scheduling.PendingJobs;
+import io.violetrail.scheduling.PendingQueues;
+import io.violetrail.scheduling.RuntimeEstimates;
+import io.violetrail.scheduling.ServiceLevelObjectives;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -29,41 +29,41 @@
  * limits, and answers what others ask for.
  */
 public final class TransferRequests {
-  private static final double ASK_S = 0.7;
+  private static final double REQUEST_INTERVAL_SECONDS = 0.7;
 
   /** Requests of each kind: the most urgent kind alone would leave the others unasked. */
-  private static final int MAX_OF_A_KIND = 3;
+  private static final int MAX_REQUESTS_PER_KIND = 3;
 
   /** Nothing is rented for a job before peers have been asked twice for what they have idle. */
-  static final double FIRST_S = 2 * ASK_S + 0.1;
+  static final double SCALE_OUT_DELAY_SECONDS = 2 * REQUEST_INTERVAL_SECONDS + 0.1;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Random random;
-  private final Directory directory;
+  private final ClusterView directory;
   private final Membership membership;
   private final MachineTypes machineTypes;
-  private final PendingJobs pendingJobs;
-  private final Aims aims;
-  private final Estimates estimates;
-  private final QuotaTransfer quotas;
-  private final MachineTransfer machines;
+  private final PendingQueues pendingQueues;
+  private final ServiceLevelObjectives aims;
+  private final RuntimeEstimates estimates;
+  private final QuotaTransfer quotaTransfer;
+  private final MachineTransfer machineTransfer;
   private final PeerClient peers;
-  private double askedS = Double.NEGATIVE_INFINITY;
+  private double lastRequestAtSeconds = Double.NEGATIVE_INFINITY;
 
   /** Jobs that have asked chosen entities for parts of a limit; next they ask all of them. */
-  private final Set<JobId> askedSome = new HashSet<>();
+  private final Set<JobId> askedSelectedDonors = new HashSet<>();
 
-  /** Asks for what {@link PendingJobs} lacks, and gives through the two transfers. */
+  /** Asks for what {@link PendingQueues} lacks, and gives through the two transfers. */
   public TransferRequests(
-      Loop loop,
+      EventLoop loop,
       Random random,
-      Directory directory,
+      ClusterView directory,
       Membership membership,
       MachineTypes machineTypes,
-      PendingJobs pendingJobs,
-      Aims aims,
-      Estimates estimates,
-      QuotaTransfer quotas,
+      PendingQueues pendingQueues,
+      ServiceLevelObjectives objectives,
+      RuntimeEstimates estimates,
+      QuotaTransfer quotaTransfer,
       MachineTransfer machines,
       PeerClient peers) {
     this.loop = loop;
@@ -71,69 +71,74 @@
     this.directory = directory;
     this.membership = membership;
     this.machineTypes = machineTypes;
-    this.pendingJobs = pendingJobs;
-    this.aims = aims;
+    this.pendingQueues = pendingQueues;
+    this.aims = objectives;
     this.estimates = estimates;
-    this.quotas = quotas;
-    this.machines = machines;
+    this.quotaTransfer = quotaTransfer;
+    this.machineTransfer = machines;
     this.peers = peers;
   }
 
   /** Asks the peers for what waiting jobs lack. */
-  public void ask(OwnedEntity h) {
-    double now = loop.seconds();
-    if (now - askedS < ASK_S) {
+  public void requestMissingResources(OwnedEntity entity) {
+    double nowSeconds = loop.monotonicSeconds();
+    if (nowSeconds - lastRequestAtSeconds < REQUEST_INTERVAL_SECONDS) {
       return;
     }
     List<ResourceRequest> requests = new ArrayList<>();
-    Map<String, Integer> kinds = new HashMap<>();
-    boolean uncertain = h.uncertain(now);
-    for (Job job : pendingJobs.inOrder(h)) {
+    Map<String, Integer> countByKind = new HashMap<>();
+    boolean awaitingFirstReports = entity.hasUncertainMachine(nowSeconds);
+    for (Job job : pendingQueues.inOrder(entity)) {
       // Nothing is gathered for what fails wherever it goes.
-      if (job.unplaced() == 0 || job.trial().suspect() || job.recovered() && uncertain) {
+      if (job.unplacedCount() == 0
+          || job.failureHistory().isSuspect()
+          || job.loadedFromStore() && awaitingFirstReports) {
         continue;
       }
-      if (kinds.merge(kind(job, now), 1, Integer::sum) <= MAX_OF_A_KIND) {
-        ask(h, job, now, requests);
+      if (countByKind.merge(requestKind(job, nowSeconds), 1, Integer::sum)
+          <= MAX_REQUESTS_PER_KIND) {
+        addRequests(entity, job, nowSeconds, requests);
       }
     }
-    askedSome.removeIf(id -> !h.jobs().containsKey(id));
+    askedSelectedDonors.removeIf(id -> !entity.jobs().containsKey(id));
     if (!requests.isEmpty()) {
-      askedS = now;
-      peers.askFor(h.entity(), requests);
-      asked(h.entity(), requests);
+      lastRequestAtSeconds = nowSeconds;
+      peers.askFor(entity.id(), requests);
+      handleRequests(entity.id(), requests);
     }
   }
 
-  private static String kind(Job job, double now) {
+  private static String requestKind(Job job, double nowSeconds) {
     return String.join(
         " ",
-        String.valueOf(job.spec().task().gpus() > 0),
+        String.valueOf(job.spec().taskResources().gpus() > 0),
         String.valueOf(job.spec().shape()),
-        String.valueOf(job.spareWork()),
+        String.valueOf(job.bestEffort()),
         // Who asked in vain for long lets others of its kind ask beside it for a while.
-        String.valueOf(job.gathers(now)));
+        String.valueOf(job.mayHoldReservations(nowSeconds)));
   }
 
-  private void ask(OwnedEntity h, Job job, double now, List<ResourceRequest> requests) {
-    int waiting = job.unplaced();
-    Amounts quota = quotas.free(h, job.spec().team(), now);
-    int allowed = quota.count(job.spec().task());
-    if (allowed < waiting && job.gathers(now)) {
-      Amounts lacking = job.spec().task().times(waiting).minus(quota).notNegative();
-      ResourceRequest all = ResourceRequest.slice(job.spec(), lacking, job.arrivedMs());
-      if (quotas.claim(h, job.spec().team(), lacking)) {
-        askedSome.remove(job.spec().id());
-      } else if (askedSome.add(job.spec().id())) {
-        requests.addAll(quotas.split(all, h.entity()));
+  private void addRequests(
+      OwnedEntity entity, Job job, double nowSeconds, List<ResourceRequest> requests) {
+    int waitingCount = job.unplacedCount();
+    Resources quota = quotaTransfer.availableQuota(entity, job.spec().team(), nowSeconds);
+    int allowedCount = quota.countFitting(job.spec().taskResources());
+    if (allowedCount < waitingCount && job.mayHoldReservations(nowSeconds)) {
+      Resources lacking = job.spec().taskResources().times(waitingCount).minus(quota).clampToZero();
+      ResourceRequest requestToAll =
+          ResourceRequest.forQuotaShare(job.spec(), lacking, job.arrivedAtMillis());
+      if (quotaTransfer.claimUnclaimed(entity, job.spec().team(), lacking)) {
+        askedSelectedDonors.remove(job.spec().id());
+      } else if (askedSelectedDonors.add(job.spec().id())) {
+        requests.addAll(quotaTransfer.splitAmongDonors(requestToAll, entity.id()));
       } else {
-        requests.add(all);
+        requests.add(requestToAll);
       }
     }
     // What runs in spare room alone needs its part of a limit all the same, and in the end a
     // machine of its own.
-    if (allowed > 0 && (!job.spareWork() || job.starving(now))) {
-      requests.add(machinesFor(h, job, Math.min(waiting, allowed)));
+    if (allowedCount > 0 && (!job.bestEffort() || job.isStarving(nowSeconds))) {
+      requests.add(machineRequest(entity, job, Math.min(waitingCount, allowedCount)));
     }
   }
 
@@ -141,65 +146,69 @@
    * Machines for a job. A gang of one zone asks in the zone where it has the most room, for what is
    * missing there: machines of several zones would lie idle in parts.
    */
-  private ResourceRequest machinesFor(OwnedEntity h, Job job, int tasks) {
-    if (!job.spec().oneZone() || job.spec().zone() != null) {
-      return request(job, tasks);
+  private ResourceRequest machineRequest(OwnedEntity entity, Job job, int taskCount) {
+    if (!job.spec().singleZone() || job.spec().zone() != null) {
+      return buildMachineRequest(job, taskCount);
     }
-    Map<String, Integer> rooms = new HashMap<>();
-    for (MachineType t : machineTypes.all()) {
-      if (t.size().count(job.spec().task()) > 0) {
-        t.zones().forEach(z -> rooms.put(z, 0));
+    Map<String, Integer> slotsByZone = new HashMap<>();
+    for (MachineType machineType : machineTypes.all()) {
+      if (machineType.capacity().countFitting(job.spec().taskResources()) > 0) {
+        machineType.zones().forEach(z -> slotsByZone.put(z, 0));
       }
     }
-    for (Machine m : h.machines().values()) {
-      if (m.open()
-          && MachineTransfer.suits(m, job.spec().task().gpus())
-          && job.spec().allows(m.row().type(), m.row().zone(), m.row().spot())) {
-        rooms.merge(m.row().zone(), m.room().count(job.spec().task()), Integer::sum);
+    for (Machine machine : entity.machines().values()) {
+      if (machine.isSchedulable()
+          && MachineTransfer.suitsAcceleratorNeed(machine, job.spec().taskResources().gpus())
+          && job.spec()
+              .allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
+        slotsByZone.merge(
+            machine.row().zone(),
+            machine.freeCapacity().countFitting(job.spec().taskResources()),
+            Integer::sum);
       }
     }
-    List<String> zones = new ArrayList<>(rooms.keySet());
+    List<String> zones = new ArrayList<>(slotsByZone.keySet());
     Collections.shuffle(zones, random);
-    String best = "";
+    String bestZone = "";
     for (String zone : zones) {
-      if (best.isEmpty() || rooms.get(zone) > rooms.get(best)) {
-        best = zone;
+      if (bestZone.isEmpty() || slotsByZone.get(zone) > slotsByZone.get(bestZone)) {
+        bestZone = zone;
       }
     }
-    int missing = Math.max(1, tasks - rooms.getOrDefault(best, 0));
-    return request(job, missing).in(best);
+    int missingCount = Math.max(1, taskCount - slotsByZone.getOrDefault(bestZone, 0));
+    return buildMachineRequest(job, missingCount).withZone(bestZone);
   }
 
-  private ResourceRequest request(Job job, int tasks) {
-    double now = loop.seconds();
-    boolean mayEvict = !job.spareWork() && job.nothingPlaced();
-    return ResourceRequest.machines(
+  private ResourceRequest buildMachineRequest(Job job, int taskCount) {
+    double nowSeconds = loop.monotonicSeconds();
+    boolean mayEvict = !job.bestEffort() && job.hasNoPlacements();
+    return ResourceRequest.forMachines(
         job.spec(),
-        tasks,
-        job.arrivedMs(),
-        aims.worth(job, now, estimates.runS(job.spec())),
-        job.starving(now),
+        taskCount,
+        job.arrivedAtMillis(),
+        aims.maxPriceRatio(job, nowSeconds, estimates.expectedRuntimeSeconds(job.spec())),
+        job.isStarving(nowSeconds),
         mayEvict);
   }
 
   /** Another entity, a peer's or one held here too, lacks something: what is idle goes there. */
-  public void asked(ControllerId to, List<ResourceRequest> requests) {
-    EntityRow target = directory.entity(to);
-    if (target == null || !membership.valid()) {
+  public void handleRequests(ControllerId recipient, List<ResourceRequest> requests) {
+    EntityRow target = directory.findEntityRow(recipient);
+    if (target == null || !membership.isLeaseValid()) {
       return;
     }
-    for (OwnedEntity h : membership.holdings()) {
-      if (h.active() && !h.entity().equals(to)) {
+    for (OwnedEntity donor : membership.ownedEntities()) {
+      if (donor.isActive() && !donor.id().equals(recipient)) {
         // Summed up over all machines, so once for all requests.
-        Map<String, Amounts> freeQuotas = new HashMap<>();
+        Map<String, Resources> freeQuotas = new HashMap<>();
         for (ResourceRequest request : requests) {
-          if (!request.asks(h.entity())) {
+          if (!request.isForDonor(donor.id())) {
             continue;
           }
           if (request.slice()) {
-            quotas.give(h, to, request);
+            quotaTransfer.grant(donor, recipient, request);
           } else {
-            machines.give(h, target, request, freeQuotas);
+            machineTransfer.transferMachines(donor, target, request, freeQuotas);
           }
         }
       }
--- a/src/main/java/io/violetrail/kubernetes/Discovery.java
+++ b/src/main/java/io/violetrail/kubernetes/Discovery.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings.Team;
-import io.violetrail.wire.kubernetes.KubeJson;
+import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.util.Collection;
 import java.util.List;
 
@@ -14,92 +14,98 @@
   private Discovery() {}
 
   /** The answer for a path; null if it is none of these. */
-  static ObjectNode of(String path) {
+  static ObjectNode findDocument(String path) {
     return switch (path) {
       case "/version" ->
-          KubeJson.object()
+          KubernetesJson.newObject()
               .put("major", "1")
               .put("minor", "30")
               .put("gitVersion", "v1.30.0-violetrail");
       case "/api" -> {
-        ObjectNode m = KubeJson.object().put("kind", "APIVersions");
-        m.putArray("versions").add("v1");
-        yield m;
+        ObjectNode document = KubernetesJson.newObject().put("kind", "APIVersions");
+        document.putArray("versions").add("v1");
+        yield document;
       }
       case "/apis" -> {
-        ObjectNode m = KubeJson.object().put("kind", "APIGroupList").put("apiVersion", "v1");
-        var groups = m.putArray("groups");
-        for (Kind k : Kind.values()) {
-          groups.add(group(k.group()));
+        ObjectNode document =
+            KubernetesJson.newObject().put("kind", "APIGroupList").put("apiVersion", "v1");
+        var groups = document.putArray("groups");
+        for (ObjectKind kind : ObjectKind.values()) {
+          groups.add(groupDocument(kind.group()));
         }
-        yield m;
+        yield document;
       }
       case "/apis/batch", "/apis/apps" ->
-          group(path.substring(path.lastIndexOf('/') + 1))
+          groupDocument(path.substring(path.lastIndexOf('/') + 1))
               .put("kind", "APIGroup")
               .put("apiVersion", "v1");
       case "/api/v1" -> {
-        ObjectNode m = resources("v1");
-        resource(m, "namespaces", "Namespace", false, List.of("get", "list"));
-        resource(m, "pods", "Pod", true, List.of("get", "list"));
-        yield m;
+        ObjectNode document = resourceListDocument("v1");
+        addResource(document, "namespaces", "Namespace", false, List.of("get", "list"));
+        addResource(document, "pods", "Pod", true, List.of("get", "list"));
+        yield document;
       }
       case "/apis/batch/v1" -> {
-        ObjectNode m = resources("batch/v1");
-        resource(m, "jobs", "Job", true, WRITABLE);
-        resource(m, "jobs/status", "Job", true, List.of("get"));
-        yield m;
+        ObjectNode document = resourceListDocument("batch/v1");
+        addResource(document, "jobs", "Job", true, WRITABLE);
+        addResource(document, "jobs/status", "Job", true, List.of("get"));
+        yield document;
       }
       case "/apis/apps/v1" -> {
-        ObjectNode m = resources("apps/v1");
-        resource(m, "deployments", "Deployment", true, WRITABLE);
-        resource(m, "deployments/status", "Deployment", true, List.of("get"));
-        resource(m, "deployments/scale", "Scale", true, List.of("get", "update"));
-        yield m;
+        ObjectNode document = resourceListDocument("apps/v1");
+        addResource(document, "deployments", "Deployment", true, WRITABLE);
+        addResource(document, "deployments/status", "Deployment", true, List.of("get"));
+        addResource(document, "deployments/scale", "Scale", true, List.of("get", "update"));
+        yield document;
       }
       default -> null;
     };
   }
 
-  private static ObjectNode group(String name) {
-    ObjectNode m = KubeJson.object().put("name", name);
-    ObjectNode version = KubeJson.object().put("groupVersion", name + "/v1").put("version", "v1");
-    m.putArray("versions").add(version);
-    m.set("preferredVersion", version);
-    return m;
+  private static ObjectNode groupDocument(String name) {
+    ObjectNode document = KubernetesJson.newObject().put("name", name);
+    ObjectNode version =
+        KubernetesJson.newObject().put("groupVersion", name + "/v1").put("version", "v1");
+    document.putArray("versions").add(version);
+    document.set("preferredVersion", version);
+    return document;
   }
 
-  private static ObjectNode resources(String version) {
-    ObjectNode m = KubeJson.object().put("kind", "APIResourceList").put("apiVersion", "v1");
-    m.put("groupVersion", version).putArray("resources");
-    return m;
+  private static ObjectNode resourceListDocument(String version) {
+    ObjectNode document =
+        KubernetesJson.newObject().put("kind", "APIResourceList").put("apiVersion", "v1");
+    document.put("groupVersion", version).putArray("resources");
+    return document;
   }
 
-  private static void resource(
-      ObjectNode to, String name, String kind, boolean namespaced, List<String> verbs) {
-    ObjectNode r =
-        to.withArray("resources")
+  private static void addResource(
+      ObjectNode resourceList, String name, String kind, boolean namespaced, List<String> verbs) {
+    ObjectNode resource =
+        resourceList
+            .withArray("resources")
             .addObject()
             .put("name", name)
             .put("singularName", name.contains("/") ? "" : name.substring(0, name.length() - 1))
             .put("namespaced", namespaced)
             .put("kind", kind);
-    verbs.forEach(r.putArray("verbs")::add);
+    verbs.forEach(resource.putArray("verbs")::add);
   }
 
   /** A team, shown as a namespace. */
-  static ObjectNode namespace(String team) {
-    ObjectNode m = KubeJson.object().put("kind", "Namespace").put("apiVersion", "v1");
-    m.putObject("metadata").put("name", team);
-    m.putObject("status").put("phase", "Active");
-    return m;
+  static ObjectNode namespaceDocument(String team) {
+    ObjectNode document =
+        KubernetesJson.newObject().put("kind", "Namespace").put("apiVersion", "v1");
+    document.putObject("metadata").put("name", team);
+    document.putObject("status").put("phase", "Active");
+    return document;
   }
 
-  static ObjectNode namespaces(Collection<Team> teams) {
-    ObjectNode m = KubeJson.object().put("kind", "NamespaceList").put("apiVersion", "v1");
-    m.putObject("metadata").put("resourceVersion", "");
-    var items = m.putArray("items");
-    teams.forEach(t -> items.add(namespace(t.name())));
-    return m;
+  static ObjectNode namespaceListDocument(Collection<Team> teams) {
+    ObjectNode document =
+        KubernetesJson.newObject().put("kind", "NamespaceList").put("apiVersion", "v1");
+    document.putObject("metadata").put("resourceVersion", "");
+    var items = document.putArray("items");
+    teams.forEach(t -> items.add(namespaceDocument(t.name())));
+    return document;
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -2,65 +2,77 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.configuration.Configuration;
-import io.violetrail.kubernetes.Exchange.Request;
+import io.violetrail.kubernetes.HttpExchange.Request;
 import io.violetrail.model.ControllerId;
-import io.violetrail.net.Loop;
-import io.violetrail.wire.kubernetes.KubeJson;
-import io.violetrail.wire.kubernetes.KubeJson.Malformed;
-import io.violetrail.wire.kubernetes.KubeStatus;
-import io.violetrail.wire.kubernetes.Refusal;
+import io.violetrail.net.EventLoop;
+import io.violetrail.wire.kubernetes.FieldError;
+import io.violetrail.wire.kubernetes.KubernetesJson;
+import io.violetrail.wire.kubernetes.KubernetesJson.MalformedRequestException;
+import io.violetrail.wire.kubernetes.KubernetesStatus;
 import java.util.List;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds out what a request is about, and answers everything else with a {@code Status}. */
+/** Finds out what a request is about, and answers everything else with a {@code JobStatus}. */
 public final class KubernetesApi {
   private static final Logger LOG = LoggerFactory.getLogger(KubernetesApi.class);
-  private static final int MAX_BODY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Each holds a connection and some bytes on their way. */
   static final int MAX_WATCHES = 64;
 
-  private static final Set<String> JSON = Set.of("", "application/json");
+  private static final Set<String> JSON_MEDIA_TYPES = Set.of("", "application/json");
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Configuration configuration;
-  private final Objects objects;
-  private final Pods pods;
-  private final Feed feed;
+  private final ObjectStore objectStore;
+  private final PodLister podLister;
+  private final WatchCache watchCache;
 
-  KubernetesApi(Loop loop, Configuration configuration, Objects objects, Pods pods, Feed feed) {
+  KubernetesApi(
+      EventLoop loop,
+      Configuration configuration,
+      ObjectStore objectStore,
+      PodLister podLister,
+      WatchCache watchCache) {
     this.loop = loop;
     this.configuration = configuration;
-    this.objects = objects;
-    this.pods = pods;
-    this.feed = feed;
+    this.objectStore = objectStore;
+    this.podLister = podLister;
+    this.watchCache = watchCache;
   }
 
   /**
-   * A request's path, taken apart: {@code namespace}, {@code name} and {@code part} may be null.
+   * A request's path, taken apart: {@code namespace}, {@code name} and {@code subresource} may be
+   * null.
    */
-  private record Target(String group, String plural, String namespace, String name, String part) {}
+  private record ResourcePath(
+      String group, String plural, String namespace, String name, String subresource) {}
 
-  /** Handles one request; a malformed one is answered with a Kubernetes {@code Status} object. */
-  public void handle(Request request, Exchange to) {
+  /**
+   * Handles one request; a malformed one is answered with a Kubernetes {@code JobStatus} object.
+   */
+  public void handle(Request request, HttpExchange exchange) {
     try {
-      route(request, audited(request, to));
-    } catch (Malformed e) {
-      to.answer(
-          KubeStatus.refused(
-              "the request", List.of(new Refusal(e.path(), e.kind(), e.getMessage()))));
+      route(request, withAuditLog(request, exchange));
+    } catch (MalformedRequestException exception) {
+      exchange.answer(
+          KubernetesStatus.invalid(
+              "the request",
+              List.of(
+                  new FieldError(
+                      exception.path(), exception.errorCause(), exception.getMessage()))));
     }
   }
 
   /** Changes leave a line in the log with what became of them. */
-  private static Exchange audited(Request request, Exchange to) {
+  private static HttpExchange withAuditLog(Request request, HttpExchange exchange) {
     if (request.method().equals("GET")) {
-      return to;
+      return exchange;
     }
-    return to.through(
-        (code, body, againS) -> {
+    return exchange.withAnswerFilter(
+        (code, body, retryAfterSeconds) -> {
           LOG.info(
               "kubernetes {} {}: {} {}",
               request.method(),
@@ -69,226 +81,271 @@
               code < 300
                   ? body.path("metadata").path("name").asText()
                   : body.path("message").asText());
-          to.answer(code, body, againS);
+          exchange.answer(code, body, retryAfterSeconds);
         });
   }
 
-  private void route(Request r, Exchange to) throws Malformed {
-    if (r.body().length > MAX_BODY) {
-      to.answer(KubeStatus.tooLarge("the body is longer than " + MAX_BODY + " bytes"));
+  private void route(Request request, HttpExchange exchange) throws MalformedRequestException {
+    if (request.body().length > MAX_BODY_BYTES) {
+      exchange.answer(
+          KubernetesStatus.tooLarge("the body is longer than " + MAX_BODY_BYTES + " bytes"));
       return;
     }
-    ObjectNode document = r.method().equals("GET") ? Discovery.of(r.path()) : null;
+    ObjectNode document =
+        request.method().equals("GET") ? Discovery.findDocument(request.path()) : null;
     if (document != null) {
-      to.answer(200, document, 0);
-    } else if (r.path().equals("/violetrail/pods")) {
-      forPeer(r, to);
+      exchange.answer(200, document, 0);
+    } else if (request.path().equals("/violetrail/pods")) {
+      handlePeerRequest(request, exchange);
     } else {
-      Target t = target(r.path());
-      if (t == null) {
-        to.answer(KubeStatus.notFound("the path"));
-      } else if (t.group().isEmpty()) {
-        core(r, t, to);
+      ResourcePath path = findResourcePath(request.path());
+      if (path == null) {
+        exchange.answer(KubernetesStatus.notFound("the path"));
+      } else if (path.group().isEmpty()) {
+        handleCoreGroup(request, path, exchange);
       } else {
-        kept(r, t, to);
+        handleStoredKind(request, path, exchange);
       }
     }
   }
 
-  private static Target target(String path) {
-    String[] p = path.split("/", -1);
-    int at;
+  private static ResourcePath findResourcePath(String path) {
+    String[] segments = path.split("/", -1);
+    int index;
     String group;
     if (path.startsWith("/api/v1/")) {
       group = "";
-      at = 3;
-    } else if (path.startsWith("/apis/") && p.length > 4 && p[3].equals("v1")) {
-      group = p[2];
-      at = 4;
+      index = 3;
+    } else if (path.startsWith("/apis/") && segments.length > 4 && segments[3].equals("v1")) {
+      group = segments[2];
+      index = 4;
     } else {
       return null;
     }
-    for (int i = at; i < p.length; i++) {
-      if (!p[i].matches("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")) {
+    for (int i = index; i < segments.length; i++) {
+      if (!segments[i].matches("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")) {
         return null;
       }
     }
     String namespace = null;
-    if (p[at].equals("namespaces") && p.length > at + 2) {
-      namespace = p[at + 1];
-      at += 2;
+    if (segments[index].equals("namespaces") && segments.length > index + 2) {
+      namespace = segments[index + 1];
+      index += 2;
     }
-    int rest = p.length - at;
-    if (rest > 3) {
+    int remaining = segments.length - index;
+    if (remaining > 3) {
       return null;
     }
-    return new Target(
-        group, p[at], namespace, rest > 1 ? p[at + 1] : null, rest > 2 ? p[at + 2] : null);
+    return new ResourcePath(
+        group,
+        segments[index],
+        namespace,
+        remaining > 1 ? segments[index + 1] : null,
+        remaining > 2 ? segments[index + 2] : null);
   }
 
   /** Namespaces and pods: they are shown, not kept. */
-  private void core(Request r, Target t, Exchange to) throws Malformed {
-    boolean listed = Set.of("namespaces", "pods").contains(t.plural()) && t.part() == null;
+  private void handleCoreGroup(Request request, ResourcePath path, HttpExchange exchange)
+      throws MalformedRequestException {
+    boolean listed =
+        Set.of("namespaces", "pods").contains(path.plural()) && path.subresource() == null;
     if (!listed) {
-      to.answer(KubeStatus.notFound("the path"));
-    } else if (!r.method().equals("GET")) {
-      to.answer(KubeStatus.notAllowed(t.plural() + " are shown only"));
-    } else if (t.plural().equals("namespaces")) {
-      if (t.name() == null) {
-        to.answer(200, Discovery.namespaces(configuration.teams()), 0);
-      } else if (configuration.team(t.name()) != null) {
-        to.answer(200, Discovery.namespace(t.name()), 0);
+      exchange.answer(KubernetesStatus.notFound("the path"));
+    } else if (!request.method().equals("GET")) {
+      exchange.answer(KubernetesStatus.methodNotAllowed(path.plural() + " are shown only"));
+    } else if (path.plural().equals("namespaces")) {
+      if (path.name() == null) {
+        exchange.answer(200, Discovery.namespaceListDocument(configuration.teams()), 0);
+      } else if (configuration.findTeam(path.name()) != null) {
+        exchange.answer(200, Discovery.namespaceDocument(path.name()), 0);
       } else {
-        to.answer(KubeStatus.notFound("namespaces \"" + t.name() + "\""));
+        exchange.answer(KubernetesStatus.notFound("namespaces \"" + path.name() + "\""));
       }
-    } else if (t.name() != null) {
-      pods.get(t.namespace(), t.name(), to);
+    } else if (path.name() != null) {
+      podLister.get(path.namespace(), path.name(), exchange);
     } else {
-      Query query = Query.of(r.query());
-      if (query.watch()) {
-        to.answer(KubeStatus.notAllowed("pods cannot be watched; watch their Job or Deployment"));
+      ListOptions options = ListOptions.parse(request.query());
+      if (options.watch()) {
+        exchange.answer(
+            KubernetesStatus.methodNotAllowed(
+                "pods cannot be watched; watch their Job or Deployment"));
       } else {
-        pods.list(t.namespace(), query, to);
+        podLister.list(path.namespace(), options, exchange);
       }
     }
   }
 
-  private void kept(Request r, Target t, Exchange to) throws Malformed {
-    Kind kind = Kind.of(t.group(), t.plural());
+  private void handleStoredKind(Request request, ResourcePath path, HttpExchange exchange)
+      throws MalformedRequestException {
+    ObjectKind kind = ObjectKind.find(path.group(), path.plural());
     if (kind == null) {
-      to.answer(KubeStatus.notFound("the path"));
-    } else if (t.namespace() != null && configuration.team(t.namespace()) == null) {
-      to.answer(KubeStatus.notFound("namespaces \"" + t.namespace() + "\""));
-    } else if (t.name() == null) {
-      collection(r, kind, t, to);
-    } else if (t.namespace() == null) {
-      to.answer(KubeStatus.notFound("the path"));
-    } else if (t.part() == null) {
-      one(r, kind, t, to);
+      exchange.answer(KubernetesStatus.notFound("the path"));
+    } else if (path.namespace() != null && configuration.findTeam(path.namespace()) == null) {
+      exchange.answer(KubernetesStatus.notFound("namespaces \"" + path.namespace() + "\""));
+    } else if (path.name() == null) {
+      handleCollection(request, kind, path, exchange);
+    } else if (path.namespace() == null) {
+      exchange.answer(KubernetesStatus.notFound("the path"));
+    } else if (path.subresource() == null) {
+      handleObject(request, kind, path, exchange);
     } else {
-      part(r, kind, t, to);
+      handleSubresource(request, kind, path, exchange);
     }
   }
 
-  private void collection(Request r, Kind kind, Target t, Exchange to) throws Malformed {
-    switch (r.method()) {
+  private void handleCollection(
+      Request request, ObjectKind kind, ResourcePath path, HttpExchange exchange)
+      throws MalformedRequestException {
+    switch (request.method()) {
       case "GET" -> {
-        Query query = Query.of(r.query());
-        if (query.watch()) {
-          watch(kind, t.namespace(), query, to);
+        ListOptions options = ListOptions.parse(request.query());
+        if (options.watch()) {
+          startWatch(kind, path.namespace(), options, exchange);
         } else {
-          objects.list(kind, t.namespace(), query, to);
+          objectStore.list(kind, path.namespace(), options, exchange);
         }
       }
       case "POST" -> {
-        Query.known(r.query(), Set.of());
-        if (t.namespace() == null) {
-          to.answer(KubeStatus.notAllowed("objects are created in a namespace"));
+        ListOptions.requireSupported(request.query(), Set.of());
+        if (path.namespace() == null) {
+          exchange.answer(KubernetesStatus.methodNotAllowed("objects are created in a namespace"));
           return;
         }
-        ObjectNode manifest = body(r, to);
+        ObjectNode manifest = readBody(request, exchange);
         if (manifest != null) {
-          objects.create(kind, t.namespace(), manifest, to);
+          objectStore.create(kind, path.namespace(), manifest, exchange);
         }
       }
-      default -> to.answer(KubeStatus.notAllowed(r.method() + " of a collection is not served"));
+      default ->
+          exchange.answer(
+              KubernetesStatus.methodNotAllowed(
+                  request.method() + " of a collection is not served"));
     }
   }
 
-  private void one(Request r, Kind kind, Target t, Exchange to) throws Malformed {
-    switch (r.method()) {
+  private void handleObject(
+      Request request, ObjectKind kind, ResourcePath path, HttpExchange exchange)
+      throws MalformedRequestException {
+    switch (request.method()) {
       case "GET" -> {
-        Query.known(r.query(), Set.of("resourceVersion"));
-        objects.get(new Ref(kind, t.namespace(), t.name()), to);
+        ListOptions.requireSupported(request.query(), Set.of("resourceVersion"));
+        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), exchange);
       }
       case "PUT" -> {
-        Query.known(r.query(), Set.of());
-        ObjectNode manifest = body(r, to);
+        ListOptions.requireSupported(request.query(), Set.of());
+        ObjectNode manifest = readBody(request, exchange);
         if (manifest != null) {
-          objects.replace(new Ref(kind, t.namespace(), t.name()), manifest, to);
+          objectStore.replace(
+              new ObjectReference(kind, path.namespace(), path.name()), manifest, exchange);
         }
       }
       case "DELETE" -> {
-        Query.known(r.query(), Set.of("propagationPolicy"));
-        String policy = r.query().getOrDefault("propagationPolicy", "Background");
-        ObjectNode options = r.body().length == 0 ? KubeJson.object() : body(r, to);
+        ListOptions.requireSupported(request.query(), Set.of("propagationPolicy"));
+        String policy = request.query().getOrDefault("propagationPolicy", "Background");
+        ObjectNode options =
+            request.body().length == 0 ? KubernetesJson.newObject() : readBody(request, exchange);
         if (options != null) {
-          objects.delete(new Ref(kind, t.namespace(), t.name()), options, policy, to);
+          objectStore.delete(
+              new ObjectReference(kind, path.namespace(), path.name()), options, policy, exchange);
         }
       }
       default ->
-          to.answer(
-              KubeStatus.notAllowed(
-                  r.method() + " is not served; read the object, change it and PUT it"));
+          exchange.answer(
+              KubernetesStatus.methodNotAllowed(
+                  request.method() + " is not served; read the object, change it and PUT it"));
     }
   }
 
-  private void part(Request r, Kind kind, Target t, Exchange to) throws Malformed {
-    boolean scale = kind == Kind.DEPLOYMENT && t.part().equals("scale");
-    if (!scale && !t.part().equals("status")) {
-      to.answer(KubeStatus.notFound("the path"));
-    } else if (r.method().equals("GET")) {
-      Query.known(r.query(), Set.of());
+  private void handleSubresource(
+      Request request, ObjectKind kind, ResourcePath path, HttpExchange exchange)
+      throws MalformedRequestException {
+    boolean scale = kind == ObjectKind.DEPLOYMENT && path.subresource().equals("scale");
+    if (!scale && !path.subresource().equals("status")) {
+      exchange.answer(KubernetesStatus.notFound("the path"));
+    } else if (request.method().equals("GET")) {
+      ListOptions.requireSupported(request.query(), Set.of());
       if (scale) {
-        objects.getScale(new Ref(kind, t.namespace(), t.name()), to);
+        objectStore.getScale(new ObjectReference(kind, path.namespace(), path.name()), exchange);
       } else {
-        objects.get(new Ref(kind, t.namespace(), t.name()), to);
+        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), exchange);
       }
-    } else if (scale && r.method().equals("PUT")) {
-      Query.known(r.query(), Set.of());
-      ObjectNode body = body(r, to);
+    } else if (scale && request.method().equals("PUT")) {
+      ListOptions.requireSupported(request.query(), Set.of());
+      ObjectNode body = readBody(request, exchange);
       if (body != null) {
-        objects.scale(new Ref(kind, t.namespace(), t.name()), body, to);
+        objectStore.scale(new ObjectReference(kind, path.namespace(), path.name()), body, exchange);
       }
     } else {
-      to.answer(KubeStatus.notAllowed("a status is written by its object's owner alone"));
+      exchange.answer(
+          KubernetesStatus.methodNotAllowed("a status is written by its object's owner alone"));
     }
   }
 
   /** The body as JSON; null if the answer has been given. */
-  private static ObjectNode body(Request r, Exchange to) throws Malformed {
-    String type = r.type() == null ? "" : r.type().split(";")[0].strip();
-    if (!JSON.contains(type)) {
-      to.answer(KubeStatus.unsupportedMedia("only application/json is read, not " + type));
+  private static ObjectNode readBody(Request request, HttpExchange exchange)
+      throws MalformedRequestException {
+    String mediaType = request.mediaType() == null ? "" : request.mediaType().split(";")[0].strip();
+    if (!JSON_MEDIA_TYPES.contains(mediaType)) {
+      exchange.answer(
+          KubernetesStatus.unsupportedMediaType("only application/json is read, not " + mediaType));
       return null;
     }
-    return KubeJson.parse(r.body());
+    return KubernetesJson.parse(request.body());
   }
 
-  private void watch(Kind kind, String namespace, Query query, Exchange to) {
-    if (!feed.ready()) {
-      to.answer(KubeStatus.unavailable("this controller has not read the objects yet"));
+  private void startWatch(
+      ObjectKind kind, String namespace, ListOptions options, HttpExchange exchange) {
+    if (!watchCache.isReady()) {
+      exchange.answer(KubernetesStatus.unavailable("this controller has not read the objects yet"));
       return;
     }
-    if (feed.followers() >= MAX_WATCHES) {
-      to.answer(KubeStatus.tooMany("this controller has " + MAX_WATCHES + " watches already"));
+    if (watchCache.watcherCount() >= MAX_WATCHES) {
+      exchange.answer(
+          KubernetesStatus.tooManyRequests(
+              "this controller has " + MAX_WATCHES + " watches already"));
       return;
     }
-    Watch watch = new Watch(kind, query.in(namespace), loop, feed, query.bookmarks());
-    if (!query.version().isEmpty()) {
-      watch.begin(to, List.of(), Long.parseLong(query.version()), query.forS());
+    ClientWatch watch =
+        new ClientWatch(
+            kind, options.filterFor(namespace), loop, watchCache, options.allowWatchBookmarks());
+    if (!options.resourceVersion().isEmpty()) {
+      watch.start(
+          exchange, List.of(), Long.parseLong(options.resourceVersion()), options.timeoutSeconds());
       return;
     }
-    objects.all(
-        kind, namespace, to, (first, revision) -> watch.begin(to, first, revision, query.forS()));
+    objectStore.listAll(
+        kind,
+        namespace,
+        exchange,
+        (first, revision) -> watch.start(exchange, first, revision, options.timeoutSeconds()));
   }
 
   /** Another controller asks for the pods of an entity that it takes to be owned here. */
-  private void forPeer(Request r, Exchange to) throws Malformed {
-    var q = new java.util.HashMap<>(r.query());
-    String entity = q.remove("entity");
-    String namespace = q.remove("namespace");
-    String name = q.remove("name");
-    Query query = Query.of(q);
+  private void handlePeerRequest(Request request, HttpExchange exchange)
+      throws MalformedRequestException {
+    var parameters = new java.util.HashMap<>(request.query());
+    String entity = parameters.remove("entity");
+    String namespace = parameters.remove("namespace");
+    String name = parameters.remove("name");
+    ListOptions options = ListOptions.parse(parameters);
     if (name != null) {
-      query = new Query(query.labels(), name, query.limit(), query.after(), false, false, "", 0);
+      options =
+          new ListOptions(
+              options.labelSelector(),
+              name,
+              options.limit(),
+              options.continueAfter(),
+              false,
+              false,
+              "",
+              0);
     }
     ObjectNode page =
-        entity == null ? null : pods.forPeer(new ControllerId(entity), namespace, query);
+        entity == null ? null : podLister.listForPeer(new ControllerId(entity), namespace, options);
     if (page == null) {
-      to.answer(KubeStatus.unavailable("the entity is not owned here"));
+      exchange.answer(KubernetesStatus.unavailable("the entity is not owned here"));
     } else {
-      to.answer(200, page, 0);
+      exchange.answer(200, page, 0);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
@@ -0,0 +1,268 @@
+package io.violetrail.kubernetes;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.google.common.hash.Hashing;
+import io.violetrail.model.ControllerId;
+import io.violetrail.model.JobId;
+import io.violetrail.wire.Cbor;
+import io.violetrail.wire.kubernetes.KubernetesJson;
+import java.nio.charset.StandardCharsets;
+import java.time.Instant;
+import java.time.temporal.ChronoUnit;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.LongPredicate;
+
+/**
+ * A kept object as its row holds it. {@code stamp}, the revision of the row's last change, is its
+ * {@code resourceVersion}: the state service counts changes for all controllers, so versions are
+ * the same whoever is asked. Never changed; {@link #withChange} makes the next one.
+ */
+public final class KubernetesObject {
+  public static final String KEY_PREFIX = "k8s/";
+  private static final String DELETED_KEY_PREFIX = KEY_PREFIX + "gone/";
+  static final String REQUEST_ID_ANNOTATION = "violetrail.io/request-id";
+
+  private final ObjectKind kind;
+  private final String namespace;
+  private final String name;
+  private final ObjectNode value;
+  private final long resourceVersion;
+
+  /** Worked out once: steps ask for them twice a second. */
+  private List<NativeJob> nativeJobs;
+
+  private String templateHash;
+
+  /** A native job that belongs to the object, and of which template it is. */
+  record NativeJob(JobId id, long number, String templateHash) {}
+
+  private KubernetesObject(
+      ObjectKind kind, String namespace, String name, ObjectNode value, long resourceVersion) {
+    this.kind = kind;
+    this.namespace = namespace;
+    this.name = name;
+    this.value = value;
+    this.resourceVersion = resourceVersion;
+  }
+
+  ObjectKind kind() {
+    return kind;
+  }
+
+  String namespace() {
+    return namespace;
+  }
+
+  String name() {
+    return name;
+  }
+
+  ObjectNode value() {
+    return value;
+  }
+
+  long resourceVersion() {
+    return resourceVersion;
+  }
+
+  /** Where a namespace's objects of a kind stand; all namespaces' if it is null. */
+  static String keyPrefix(ObjectKind kind, String namespace) {
+    return KEY_PREFIX + kind.keySegment() + "/" + (namespace == null ? "" : namespace + "/");
+  }
+
+  ObjectReference reference() {
+    return new ObjectReference(kind, namespace, name);
+  }
+
+  public String key() {
+    return keyPrefix(kind, namespace) + name;
+  }
+
+  /** The row that stays of a deleted object until its tasks are sure to have been stopped. */
+  String deletedKey() {
+    return DELETED_KEY_PREFIX + uid();
+  }
+
+  static boolean isDeletedKey(String key) {
+    return key.startsWith(DELETED_KEY_PREFIX);
+  }
+
+  /** The object of a row; null if the key is none of ours. */
+  static KubernetesObject fromRow(String key, JsonNode value, long resourceVersion) {
+    if (isDeletedKey(key)) {
+      return fromRow(value.path("key").asText(), value.path("last"), resourceVersion);
+    }
+    String[] segments = key.split("/", 4);
+    if (segments.length < 4 || !(value instanceof ObjectNode row)) {
+      return null;
+    }
+    for (ObjectKind kind : ObjectKind.values()) {
+      if (kind.keySegment().equals(segments[1])) {
+        return new KubernetesObject(kind, segments[2], segments[3], row, resourceVersion);
+      }
+    }
+    return null;
+  }
+
+  /** A new object of an entity. */
+  static KubernetesObject create(
+      ObjectKind kind,
+      String namespace,
+      String name,
+      ObjectNode manifest,
+      ControllerId entity,
+      String uid,
+      long nowMillis) {
+    ObjectNode value =
+        Cbor.newMap().put("uid", uid).put("at", nowMillis).put("seq", 1).put("gen", 1);
+    value.put("entity", entity.value());
+    ObjectNode metadata = value.putObject("meta");
+    for (String field : List.of("generateName", "labels", "annotations")) {
+      if (manifest.path("metadata").has(field)) {
+        metadata.set(field, manifest.path("metadata").get(field));
+      }
+    }
+    value.set("spec", NativeJobTranslator.withDefaults(kind, (ObjectNode) manifest.get("spec")));
+    value.putArray("parts");
+    value.putObject("status");
+    return new KubernetesObject(kind, namespace, name, value, 0);
+  }
+
+  /** The next state of the object, with a change to a copy of its row. */
+  KubernetesObject withChange(Consumer<ObjectNode> change) {
+    ObjectNode next = value.deepCopy();
+    next.put("seq", value.path("seq").asLong() + 1);
+    change.accept(next);
+    return new KubernetesObject(kind, namespace, name, next, resourceVersion);
+  }
+
+  KubernetesObject withResourceVersion(long revision) {
+    return new KubernetesObject(kind, namespace, name, value, revision);
+  }
+
+  /** What stands in the row of a deleted object. */
+  ObjectNode toDeletedRow(long nowMillis) {
+    ObjectNode row = Cbor.newMap().put("key", key()).put("gone", nowMillis);
+    row.set("last", value);
+    return row;
+  }
+
+  String uid() {
+    return value.path("uid").asText();
+  }
+
+  ControllerId entity() {
+    return new ControllerId(value.path("entity").asText());
+  }
+
+  boolean isNew() {
+    return value.path("seq").asLong() == 1;
+  }
+
+  JsonNode metadata() {
+    return value.path("meta");
+  }
+
+  JsonNode labels() {
+    return metadata().get("labels");
+  }
+
+  ObjectNode spec() {
+    return (ObjectNode) value.get("spec");
+  }
+
+  JsonNode status() {
+    return value.path("status");
+  }
+
+  long createdMillis() {
+    return value.path("at").asLong();
+  }
+
+  /** When it began to count as running: it was created, or resumed. */
+  long startedMillis() {
+    return value.path("began").asLong(createdMillis());
+  }
+
+  boolean isDeleting() {
+    return value.has("deleting");
+  }
+
+  /** The native jobs that belong to it. Rows hold numbers, from which the ids follow. */
+  List<NativeJob> nativeJobs() {
+    if (nativeJobs == null) {
+      nativeJobs = new ArrayList<>();
+      for (JsonNode entry : value.path("parts")) {
+        long number = entry.path(0).asLong();
+        nativeJobs.add(new NativeJob(nativeJobId(uid(), number), number, entry.path(1).asText()));
+      }
+    }
+    return nativeJobs;
+  }
+
+  static void addNativeJob(ObjectNode row, long number, String templateHash) {
+    ((ArrayNode) row.get("parts")).addArray().add(number).add(templateHash);
+  }
+
+  static void retainNativeJobs(ObjectNode row, LongPredicate predicate) {
+    ArrayNode kept = Cbor.newList();
+    for (JsonNode entry : row.path("parts")) {
+      if (predicate.test(entry.path(0).asLong())) {
+        kept.add(entry);
+      }
+    }
+    row.set("parts", kept);
+  }
+
+  /** A name for the template as it is now: replicas of another one are replaced. */
+  String templateHash() {
+    if (templateHash == null) {
+      templateHash = hash(KubernetesJson.toCanonicalText(spec().path("template"))).substring(0, 10);
+    }
+    return templateHash;
+  }
+
+  /**
+   * The id of the object's {@code number}-th native job. Twenty digits that follow from the
+   * object's own identity: whoever repeats a step names the same job, and no user's id is met by
+   * chance.
+   */
+  static JobId nativeJobId(String uid, long number) {
+    long digest =
+        Hashing.sha256()
+            .hashString("violetrail native job " + uid + " " + number, StandardCharsets.UTF_8)
+            .asLong();
+    return new JobId("job-9" + "%019d".formatted(digest & Long.MAX_VALUE));
+  }
+
+  static String hash(String text) {
+    return Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
+  }
+
+  static String formatTime(long millis) {
+    return Instant.ofEpochMilli(millis).truncatedTo(ChronoUnit.SECONDS).toString();
+  }
+
+  /** The object as clients see it. */
+  ObjectNode toJson() {
+    ObjectNode json =
+        Cbor.newMap().put("apiVersion", kind.apiVersion()).put("kind", kind.publishedName());
+    ObjectNode metadata = json.putObject("metadata");
+    metadata.put("name", name).put("namespace", namespace).put("uid", uid());
+    metadata.put("resourceVersion", String.valueOf(resourceVersion));
+    metadata.put("generation", value.path("gen").asLong());
+    metadata.put("creationTimestamp", formatTime(createdMillis()));
+    metadata().properties().forEach(e -> metadata.set(e.getKey(), e.getValue()));
+    if (isDeleting()) {
+      metadata.put("deletionTimestamp", formatTime(value.path("deleting").asLong()));
+      metadata.putArray("finalizers").add("foregroundDeletion");
+    }
+    json.set("spec", spec());
+    json.set("status", status());
+    return json;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/violetrail/kubernetes/ObjectReconciler.java
@@ -0,0 +1,319 @@
+package io.violetrail.kubernetes;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.api.JobLifecycle;
+import io.violetrail.kubernetes.KubernetesObject.NativeJob;
+import io.violetrail.model.ControllerId;
+import io.violetrail.model.JobId;
+import io.violetrail.model.JobSpec;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.scheduling.Job;
+import io.violetrail.state.InitialListing;
+import io.violetrail.state.StateStore;
+import io.violetrail.state.Tombstones;
+import java.util.ArrayDeque;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Brings the native jobs of kept objects in line with what their rows say, and writes down what
+ * became of them. Only an entity's owner does this for the entity's objects, and every step is
+ * fenced by the entity's row and conditional on the object's own, so a step of a former owner
+ * changes nothing. A row says first what is meant; whoever owns the entity next repeats it by the
+ * same names.
+ */
+final class ObjectReconciler implements WatchCache.ObjectListener {
+  private static final Logger LOG = LoggerFactory.getLogger(ObjectReconciler.class);
+  private static final double TICK_SECONDS = 0.5;
+
+  /** Objects looked at in one turn, so that reports come in between however many there are. */
+  private static final int MAX_OBJECTS_PER_TICK = 100;
+
+  /** Rows written for statuses in one turn: native work has the budget first. */
+  private static final int MAX_WRITES_PER_TICK = 5;
+
+  private final EventLoop loop;
+  private final StateStore store;
+  private final Membership membership;
+  private final JobLifecycle jobLifecycle;
+  private final JobReconciler jobReconciler;
+  private final DeploymentReconciler deploymentReconciler;
+  private final Map<OwnedEntity, EntityState> stateByEntity = new HashMap<>();
+
+  /** What is kept of one held entity. */
+  private static final class EntityState {
+    final Map<String, KubernetesObject> objects = new LinkedHashMap<>();
+    final Map<String, DeletedObject> deletedObjects = new LinkedHashMap<>();
+    final Set<String> operationsInFlight = new HashSet<>();
+    final Set<JobId> neverSubmitted = new HashSet<>();
+    final ArrayDeque<String> reconcileQueue = new ArrayDeque<>();
+    final InitialListing initialListing = new InitialListing();
+  }
+
+  /** A deleted object whose tasks may still run. */
+  private record DeletedObject(KubernetesObject lastState, long modRevision) {}
+
+  ObjectReconciler(
+      EventLoop loop,
+      StateStore store,
+      Membership membership,
+      JobLifecycle jobLifecycle,
+      NativeJobTranslator translator) {
+    this.loop = loop;
+    this.store = store;
+    this.membership = membership;
+    this.jobLifecycle = jobLifecycle;
+    this.jobReconciler = new JobReconciler(loop, jobLifecycle, this, translator);
+    this.deploymentReconciler = new DeploymentReconciler(loop, jobLifecycle, this, translator);
+  }
+
+  void start() {
+    loop.scheduleWithFixedDelay(TICK_SECONDS, this::tick);
+  }
+
+  @Override
+  public void onObjectChanged(KubernetesObject object) {
+    EntityState state = findEntityState(object);
+    if (state != null) {
+      putIfNewer(state, object);
+    }
+  }
+
+  private static void putIfNewer(EntityState state, KubernetesObject object) {
+    KubernetesObject known = state.objects.get(object.key());
+    if (known == null || known.resourceVersion() < object.resourceVersion()) {
+      state.objects.put(object.key(), object);
+    }
+  }
+
+  @Override
+  public void onObjectDeleted(String key, ObjectNode row, long modRevision) {
+    KubernetesObject lastState = KubernetesObject.fromRow(key, row, modRevision);
+    EntityState state = lastState == null ? null : findEntityState(lastState);
+    if (state != null) {
+      state.deletedObjects.put(key, new DeletedObject(lastState, modRevision));
+    }
+  }
+
+  @Override
+  public void onRowRemoved(String key) {
+    stateByEntity.values().forEach(state -> state.objects.remove(key));
+  }
+
+  /** The kept objects of a namespace that this controller's entities hold, by name. */
+  List<KubernetesObject> findOwnedObjects(ControllerId entity, String namespace) {
+    for (var ownedEntry : stateByEntity.entrySet()) {
+      if (ownedEntry.getKey().id().equals(entity)
+          && ownedEntry.getKey().isActive()
+          && ownedEntry.getValue().initialListing.isComplete()) {
+        return ownedEntry.getValue().objects.values().stream()
+            .filter(o -> namespace == null || o.namespace().equals(namespace))
+            .sorted(
+                Comparator.comparing(KubernetesObject::namespace)
+                    .thenComparing(KubernetesObject::name))
+            .toList();
+      }
+    }
+    return null;
+  }
+
+  private EntityState findEntityState(KubernetesObject object) {
+    for (var entry : stateByEntity.entrySet()) {
+      if (entry.getKey().id().equals(object.entity())) {
+        return entry.getValue();
+      }
+    }
+    return null;
+  }
+
+  private void tick() {
+    stateByEntity.keySet().retainAll(membership.ownedEntities());
+    if (!membership.isLeaseValid()) {
+      return;
+    }
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      EntityState state = stateByEntity.computeIfAbsent(entity, x -> new EntityState());
+      if (!state.initialListing.isComplete()) {
+        loadObjects(entity, state);
+      } else if (entity.isActive()) {
+        reconcileBatch(entity, state);
+      }
+    }
+  }
+
+  /** Rows as of after the move: from here on the feed tells of every change. */
+  private void loadObjects(OwnedEntity entity, EntityState state) {
+    state.initialListing.startReading(
+        store,
+        KubernetesObject.KEY_PREFIX,
+        entry -> {
+          KubernetesObject object =
+              KubernetesObject.fromRow(entry.key(), entry.value(), entry.modRevision());
+          if (object == null || !object.entity().equals(entity.id())) {
+            return;
+          }
+          if (KubernetesObject.isDeletedKey(entry.key())) {
+            state.deletedObjects.put(entry.key(), new DeletedObject(object, entry.modRevision()));
+          } else {
+            putIfNewer(state, object);
+          }
+        },
+        () -> LOG.info("entity {}: {} objects", entity.id(), state.objects.size()));
+  }
+
+  private void reconcileBatch(OwnedEntity entity, EntityState state) {
+    if (state.reconcileQueue.isEmpty()) {
+      state.reconcileQueue.addAll(state.objects.keySet());
+    }
+    int writesLeft = MAX_WRITES_PER_TICK;
+    for (int i = 0;
+        i < MAX_OBJECTS_PER_TICK && writesLeft > 0 && !state.reconcileQueue.isEmpty();
+        i++) {
+      KubernetesObject object = state.objects.get(state.reconcileQueue.poll());
+      if (object == null || state.operationsInFlight.contains(object.key())) {
+        continue;
+      }
+      KubernetesObject next =
+          object.kind() == ObjectKind.JOB
+              ? jobReconciler.reconcile(entity, object)
+              : deploymentReconciler.reconcile(entity, object);
+      if (next != null) {
+        writesLeft--;
+        writeObject(entity, state, object, next);
+      }
+    }
+    for (var entry : Map.copyOf(state.deletedObjects).entrySet()) {
+      cleanUpDeleted(entity, state, entry.getKey(), entry.getValue());
+    }
+  }
+
+  /** Stores the next state of an object, unless it has been changed meanwhile. */
+  private void writeObject(
+      OwnedEntity entity, EntityState state, KubernetesObject before, KubernetesObject next) {
+    String key = before.key();
+    state.operationsInFlight.add(key);
+    var transaction = entity.fencedTransaction().ifRevision(key, before.resourceVersion());
+    if (next.value().has("over")) {
+      // Its tasks are gone, and so is what was kept of them in this process.
+      transaction.delete(key).put(next.deletedKey(), next.toDeletedRow(loop.wallMillis()));
+      Tombstones.markDeletion(transaction, key, loop.wallMillis());
+    } else {
+      transaction.put(key, next.value());
+    }
+    store
+        .commitInBackground(transaction)
+        .whenComplete(
+            (outcome, failure) -> {
+              state.operationsInFlight.remove(key);
+              if (failure == null && outcome.applied() && !next.value().has("over")) {
+                putIfNewer(state, next.withResourceVersion(outcome.revision()));
+              }
+              // Otherwise the feed tells what stands there now.
+            });
+  }
+
+  /** Ends what a deleted object has left; its last row goes when nothing is. */
+  private void cleanUpDeleted(
+      OwnedEntity entity, EntityState state, String key, DeletedObject deleted) {
+    boolean tasksRemain = false;
+    for (NativeJob nativeJob : deleted.lastState().nativeJobs()) {
+      Job job = entity.jobs().get(nativeJob.id());
+      tasksRemain |= job != null || hasOperationInFlight(entity, nativeJob.id());
+      if (job != null) {
+        cancelJob(entity, job);
+      }
+    }
+    if (tasksRemain || !state.operationsInFlight.add(key)) {
+      return;
+    }
+    store
+        .commitInBackground(
+            entity.fencedTransaction().ifRevision(key, deleted.modRevision()).delete(key))
+        .whenComplete(
+            (outcome, failure) -> {
+              state.operationsInFlight.remove(key);
+              if (failure == null) {
+                state.deletedObjects.remove(key);
+              }
+            });
+  }
+
+  /** Cancels a native job for good; repeated until that is stored. */
+  void cancelJob(OwnedEntity entity, Job job) {
+    if (job.phase() == Job.Phase.OPEN) {
+      LOG.info("job {} of entity {} is cancelled for its object", job.spec().id(), entity.id());
+      jobLifecycle.cancel(entity, job);
+    }
+  }
+
+  /** Whether a native job is being looked up or stored. */
+  boolean hasOperationInFlight(OwnedEntity entity, JobId id) {
+    EntityState state = stateByEntity.get(entity);
+    return state != null && state.operationsInFlight.contains(id.value());
+  }
+
+  /**
+   * Sees to it that a native job which a row names exists. It is stored once however often this is
+   * repeated, since its id can be claimed once. Nothing is stored for an object that has been
+   * changed since: it may not want the job any more, and nobody would end it.
+   */
+  void ensureSubmitted(OwnedEntity entity, KubernetesObject object, JobSpec spec) {
+    lookUpJob(
+        entity,
+        spec.id(),
+        (state, done) -> {
+          KubernetesObject current = state.objects.get(object.key());
+          if (current == null || current.resourceVersion() != object.resourceVersion()) {
+            done.run();
+            return;
+          }
+          jobLifecycle.store(entity, spec, null).whenComplete((stored, f) -> done.run());
+        });
+  }
+
+  /** Whether a native job was never submitted, for sure, and will not be. */
+  boolean isNeverSubmitted(OwnedEntity entity, JobId id) {
+    EntityState state = stateByEntity.get(entity);
+    return state != null && state.neverSubmitted.contains(id);
+  }
+
+  /** Learns for sure whether a native job that is not wanted any more was ever submitted. */
+  void confirmNeverSubmitted(OwnedEntity entity, JobId id) {
+    lookUpJob(
+        entity,
+        id,
+        (state, done) -> {
+          state.neverSubmitted.add(id);
+          done.run();
+        });
+  }
+
+  private void lookUpJob(OwnedEntity entity, JobId id, BiConsumer<EntityState, Runnable> onAbsent) {
+    EntityState state = stateByEntity.get(entity);
+    if (state == null || !state.operationsInFlight.add(id.value())) {
+      return;
+    }
+    Runnable done = () -> state.operationsInFlight.remove(id.value());
+    jobLifecycle
+        .lookUp(id)
+        .whenComplete(
+            (found, failure) -> {
+              boolean certain = failure == null && entity.isActive() && membership.isLeaseValid();
+              if (certain && found.isAbsent()) {
+                onAbsent.accept(state, done);
+              } else {
+                done.run();
+              }
+            });
+  }
+}
--- a/src/main/java/io/violetrail/model/JobId.java
+++ b/src/main/java/io/violetrail/model/JobId.java
@@ -5,7 +5,7 @@
   private static final int MAX_LENGTH = 64;
 
   /** Whether the text has the only form that ids take: {@code job-} and digits. */
-  public static boolean wellFormed(String text) {
+  public static boolean isWellFormed(String text) {
     if (text == null
         || !text.startsWith("job-")
         || text.length() < 5
--- a/src/main/java/io/violetrail/model/Shape.java
+++ b/src/main/java/io/violetrail/model/JobShape.java
@@ -1,7 +1,7 @@
 package io.violetrail.model;
 
 /** How a job's tasks belong together. */
-public enum Shape {
+public enum JobShape {
   ARRAY,
   GANG,
   SERVICE
--- a/src/main/java/io/violetrail/model/JobSpec.java
+++ b/src/main/java/io/violetrail/model/JobSpec.java
@@ -7,31 +7,31 @@
     JobId id,
     String jobClass,
     String team,
-    Shape shape,
+    JobShape shape,
     Priority priority,
-    int tasks,
-    Amounts task,
+    int taskCount,
+    Resources taskResources,
     String image,
     double imageGb,
-    List<String> types,
+    List<String> machineTypes,
     String zone,
-    boolean oneZone,
-    boolean spread,
-    boolean spot,
-    double estimateS,
-    double checkpointS,
-    double saveS,
-    Double deadlineS) {
+    boolean singleZone,
+    boolean spreadAcrossZones,
+    boolean spotAllowed,
+    double estimatedRuntimeSeconds,
+    double checkpointIntervalSeconds,
+    double checkpointSaveSeconds,
+    Double deadlineSeconds) {
 
   /** Returns whether the job's constraints admit a machine of this type, zone and pricing model. */
-  public boolean allows(String type, String inZone, boolean spotMachine) {
-    return (types == null || types.contains(type))
-        && (zone == null || zone.equals(inZone))
-        && (spot || !spotMachine);
+  public boolean allowsMachine(String machineType, String machineZone, boolean spotMachine) {
+    return (machineTypes == null || machineTypes.contains(machineType))
+        && (zone == null || zone.equals(machineZone))
+        && (spotAllowed || !spotMachine);
   }
 
   /** How many tasks one zone may hold. */
-  public int perZone() {
-    return spread ? (tasks + 1) / 2 : tasks;
+  public int maxTasksPerZone() {
+    return spreadAcrossZones ? (taskCount + 1) / 2 : taskCount;
   }
 }
--- a/src/main/java/io/violetrail/model/JobView.java
+++ b/src/main/java/io/violetrail/model/JobView.java
@@ -1,15 +1,15 @@
 package io.violetrail.model;
 
 /** What a user is told of a job. */
-public record JobView(String id, Status status, int done, int running) {
+public record JobView(String id, JobStatus status, int doneCount, int runningCount) {
   /** A job's state as users see it. */
-  public enum Status {
+  public enum JobStatus {
     QUEUED,
     RUNNING,
     DONE,
     CANCELLED;
 
-    public boolean terminal() {
+    public boolean isTerminal() {
       return this == DONE || this == CANCELLED;
     }
   }
--- a/src/main/java/io/violetrail/model/MachineType.java
+++ b/src/main/java/io/violetrail/model/MachineType.java
@@ -5,14 +5,14 @@
 /** A type that the cloud rents. */
 public record MachineType(
     String name,
-    Amounts size,
-    double cacheGb,
-    double fetchGbPerS,
-    double price,
+    Resources capacity,
+    double imageCacheGb,
+    double fetchGbPerSecond,
+    double onDemandPrice,
     double spotPrice,
-    double bootS,
+    double bootSeconds,
     List<String> zones) {
-  public double price(boolean spot) {
-    return spot ? spotPrice : price;
+  public double priceFor(boolean spot) {
+    return spot ? spotPrice : onDemandPrice;
   }
 }
--- a/src/main/java/io/violetrail/model/TaskId.java
+++ b/src/main/java/io/violetrail/model/TaskId.java
@@ -1,23 +1,23 @@
 package io.violetrail.model;
 
 /** One task of a job, numbered from 0. */
-public record TaskId(JobId job, int index) {
+public record TaskId(JobId jobId, int index) {
   /** Parses {@code job-000412/3}; null if the text has another form. */
   public static TaskId parse(String text) {
     int slash = text == null ? -1 : text.indexOf('/');
-    if (slash < 0 || !JobId.wellFormed(text.substring(0, slash))) {
+    if (slash < 0 || !JobId.isWellFormed(text.substring(0, slash))) {
       return null;
     }
     try {
       int index = Integer.parseInt(text.substring(slash + 1));
       return index < 0 ? null : new TaskId(new JobId(text.substring(0, slash)), index);
-    } catch (NumberFormatException e) {
+    } catch (NumberFormatException exception) {
       return null;
     }
   }
 
   @Override
   public String toString() {
-    return job + "/" + index;
+    return jobId + "/" + index;
   }
 }
--- a/src/main/java/io/violetrail/model/Version.java
+++ b/src/main/java/io/violetrail/model/Version.java
@@ -29,18 +29,21 @@
   }
 
   /** The first version of the entity of the controller with that index. */
-  public static Version first(int owner) {
-    return NONE.nextFor(owner);
+  public static Version firstOwnedBy(int ownerIndex) {
+    return NONE.nextOwnedBy(ownerIndex);
   }
 
-  /** The first version above this one whose remainder is {@code owner}; it can serve as a token. */
-  public Version nextFor(int owner) {
-    long above = Math.max(value, INCREMENT - 1);
-    long candidate = above - Math.floorMod(above, (long) INCREMENT) + owner;
-    return new Version(candidate > above ? candidate : candidate + INCREMENT);
+  /**
+   * The first version above this one whose remainder is {@code ownerIndex}; it can serve as a
+   * token.
+   */
+  public Version nextOwnedBy(int ownerIndex) {
+    long lowerBound = Math.max(value, INCREMENT - 1);
+    long candidate = lowerBound - Math.floorMod(lowerBound, (long) INCREMENT) + ownerIndex;
+    return new Version(candidate > lowerBound ? candidate : candidate + INCREMENT);
   }
 
-  public int owner() {
+  public int ownerIndex() {
     return (int) Math.floorMod(value, (long) INCREMENT);
   }
 
--- a/src/main/java/io/violetrail/net/Rounds.java
+++ b/src/main/java/io/violetrail/net/RequestCoalescer.java
@@ -12,40 +12,41 @@
  * come meanwhile get the answer to the next one. Nobody gets the answer to a question that was
  * asked before they came, which may be older than what they know.
  */
-public final class Rounds<K, V> {
-  private final Function<K, CompletableFuture<V>> ask;
-  private final Set<K> underWay = new HashSet<>();
-  private final Map<K, CompletableFuture<V>> next = new HashMap<>();
+public final class RequestCoalescer<K, V> {
+  private final Function<K, CompletableFuture<V>> sendRequest;
+  private final Set<K> inFlight = new HashSet<>();
+  private final Map<K, CompletableFuture<V>> queuedAnswers = new HashMap<>();
 
-  public Rounds(Function<K, CompletableFuture<V>> ask) {
-    this.ask = ask;
+  public RequestCoalescer(Function<K, CompletableFuture<V>> sendRequest) {
+    this.sendRequest = sendRequest;
   }
 
   /**
    * Returns the answer to the question from a request sent after this call; questions that arrive
    * while one is in flight share the next request.
    */
-  public CompletableFuture<V> ask(K question) {
-    if (underWay.contains(question)) {
-      return next.computeIfAbsent(question, q -> new CompletableFuture<>());
+  public CompletableFuture<V> request(K key) {
+    if (inFlight.contains(key)) {
+      return queuedAnswers.computeIfAbsent(key, q -> new CompletableFuture<>());
     }
     CompletableFuture<V> answer = new CompletableFuture<>();
-    send(question, answer);
+    send(key, answer);
     return answer;
   }
 
-  private void send(K question, CompletableFuture<V> answer) {
-    underWay.add(question);
-    ask.apply(question)
+  private void send(K key, CompletableFuture<V> answer) {
+    inFlight.add(key);
+    sendRequest
+        .apply(key)
         .whenComplete(
-            (v, failure) -> {
-              underWay.remove(question);
-              CompletableFuture<V> waiting = next.remove(question);
-              if (waiting != null) {
-                send(question, waiting);
+            (value, failure) -> {
+              inFlight.remove(key);
+              CompletableFuture<V> queued = queuedAnswers.remove(key);
+              if (queued != null) {
+                send(key, queued);
               }
               if (failure == null) {
-                answer.complete(v);
+                answer.complete(value);
               } else {
                 answer.completeExceptionally(failure);
               }
--- a/src/main/java/io/violetrail/net/UndertowLoop.java
+++ b/src/main/java/io/violetrail/net/UndertowEventLoop.java
@@ -8,29 +8,29 @@
 import org.xnio.XnioIoThread;
 
 /** The loop over XNIO's I/O threads. */
-public final class UndertowLoop implements Loop {
-  private static final Logger LOG = LoggerFactory.getLogger(UndertowLoop.class);
+public final class UndertowEventLoop implements EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(UndertowEventLoop.class);
   private final XnioIoThread thread;
   private final ReentrantLock lock = new ReentrantLock();
 
-  public UndertowLoop(XnioIoThread thread) {
+  public UndertowEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
   /** Runs a callback under the lock. A failure is logged; it ends that callback only. */
-  public void locked(Runnable task) {
+  public void runLocked(Runnable task) {
     lock.lock();
     try {
       task.run();
-    } catch (RuntimeException e) {
-      LOG.error("a callback failed", e);
+    } catch (RuntimeException exception) {
+      LOG.error("a callback failed", exception);
     } finally {
       lock.unlock();
     }
   }
 
   @Override
-  public long nanos() {
+  public long monotonicNanos() {
     return System.nanoTime();
   }
 
@@ -41,14 +41,14 @@
 
   @Override
   public void execute(Runnable task) {
-    thread.execute(() -> locked(task));
+    thread.execute(() -> runLocked(task));
   }
 
   @Override
-  public Cancellable after(double seconds, Runnable task) {
+  public Cancellable schedule(double seconds, Runnable task) {
     XnioExecutor.Key key =
         thread.executeAfter(
-            () -> locked(task),
+            () -> runLocked(task),
             (long) Math.ceil(Math.max(0, seconds) * 1000),
             TimeUnit.MILLISECONDS);
     return key::remove;
--- a/src/main/java/io/violetrail/net/UndertowServer.java
+++ b/src/main/java/io/violetrail/net/UndertowServer.java
@@ -11,43 +11,49 @@
 import org.xnio.XnioWorker;
 
 /**
- * Serves a {@link Service} over HTTP. Bodies are bounded and read whole before the service sees
- * them.
+ * Serves a {@link RequestHandler} over HTTP. Bodies are bounded and read whole before the service
+ * sees them.
  */
 public final class UndertowServer {
-  public static final int MAX_BODY = 64 * 1024;
-  private static final int IDLE_MS = 90_000;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int IDLE_TIMEOUT_MILLIS = 90_000;
 
   private UndertowServer() {}
 
   /** Opens an HTTP listener for the service and returns once it accepts connections. */
   public static void start(
-      HostPort at, Service service, UndertowLoop loop, XnioWorker worker, ByteBufferPool buffers) {
-    bounded(at, worker, buffers)
-        .setHandler(exchange -> accept(exchange, service, loop))
+      HostPort address,
+      RequestHandler service,
+      UndertowEventLoop loop,
+      XnioWorker worker,
+      ByteBufferPool buffers) {
+    boundedListener(address, worker, buffers)
+        .setHandler(exchange -> receiveBody(exchange, service, loop))
         .build()
         .start();
   }
 
   /** A listener whose requests, headers and waits are bounded. */
-  public static Undertow.Builder bounded(HostPort at, XnioWorker worker, ByteBufferPool buffers) {
+  public static Undertow.Builder boundedListener(
+      HostPort address, XnioWorker worker, ByteBufferPool buffers) {
     return Undertow.builder()
-        .addHttpListener(at.port(), at.host())
+        .addHttpListener(address.port(), address.host())
         .setWorker(worker)
         .setByteBufferPool(buffers)
         // One byte more than the limit is let through, so that the service itself can tell the
         // user.
-        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_BODY + 1)
+        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_BODY_BYTES + 1)
         .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 8192)
-        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MS)
+        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false);
   }
 
-  private static void accept(HttpServerExchange exchange, Service service, UndertowLoop loop) {
-    if (exchange.getRequestContentLength() > MAX_BODY) {
+  private static void receiveBody(
+      HttpServerExchange exchange, RequestHandler service, UndertowEventLoop loop) {
+    if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
-      answer(exchange, Service.Answer.empty(400));
+      sendAnswer(exchange, RequestHandler.HttpAnswer.empty(400));
       return;
     }
     exchange
@@ -55,34 +61,36 @@
         .receiveFullBytes(
             (ex, body) ->
                 ex.dispatch(
-                    SameThreadExecutor.INSTANCE, () -> loop.locked(() -> serve(ex, body, service))),
+                    SameThreadExecutor.INSTANCE,
+                    () -> loop.runLocked(() -> handleRequest(ex, body, service))),
             (ex, failure) -> {
               ex.setPersistent(false);
-              answer(ex, Service.Answer.empty(400));
+              sendAnswer(ex, RequestHandler.HttpAnswer.empty(400));
             });
   }
 
-  private static void serve(HttpServerExchange exchange, byte[] body, Service service) {
+  private static void handleRequest(
+      HttpServerExchange exchange, byte[] body, RequestHandler service) {
     String method = exchange.getRequestMethod().toString();
     String query = exchange.getQueryString();
     String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
     try {
-      service.handle(method, path, body, answer -> answer(exchange, answer));
-    } catch (RuntimeException e) {
-      answer(exchange, Service.Answer.empty(500));
-      throw e;
+      service.handle(method, path, body, answer -> sendAnswer(exchange, answer));
+    } catch (RuntimeException exception) {
+      sendAnswer(exchange, RequestHandler.HttpAnswer.empty(500));
+      throw exception;
     }
   }
 
-  private static void answer(HttpServerExchange exchange, Service.Answer answer) {
+  private static void sendAnswer(HttpServerExchange exchange, RequestHandler.HttpAnswer answer) {
     if (exchange.isResponseStarted()) {
       return;
     }
     exchange.setStatusCode(answer.status());
-    if (answer.retryAfterS() > 0) {
-      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, answer.retryAfterS());
+    if (answer.retryAfterSeconds() > 0) {
+      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, answer.retryAfterSeconds());
     }
-    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, answer.type());
+    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, answer.contentType());
     exchange.getResponseSender().send(ByteBuffer.wrap(answer.body()));
   }
 }
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -4,13 +4,13 @@
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.Version;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Rows.EntityRow;
-import io.violetrail.ownership.Rows.OwnershipHistory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.StateSchema.EntityRow;
+import io.violetrail.ownership.StateSchema.OwnershipHistory;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.StateWire;
-import io.violetrail.wire.StateWire.Change;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.wire.StateStoreMessages;
+import io.violetrail.wire.StateStoreMessages.RowChange;
+import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,56 +24,56 @@
 /**
  * This controller's lease, and which entities it owns.
  *
- * <p>A controller is entitled to act for its entities while {@link #valid()}: its lease was
+ * <p>A controller is entitled to act for its entities while {@link #isLeaseValid()}: its lease was
  * renewed, by a request <em>sent</em> less than the lease's time ago. A survivor can take an entity
  * only by a transaction that demands the absence of the owner's alive key, which the state service
  * removes no earlier than that. So at most one controller is valid for an entity at any time.
  */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-  private static final double WATCH_S = 20;
-  private static final double CHECK_S = 0.25;
+  private static final double WATCH_SECONDS = 20;
+  private static final double CHECK_INTERVAL_SECONDS = 0.25;
 
   /** A later-ranked survivor gives the earlier ones this long to take a lapsed entity. */
-  private static final double RANK_DELAY_S = 0.6;
+  private static final double RANK_DELAY_SECONDS = 0.6;
 
   /**
    * After its own start a controller lets the others come up too: often all were restarted at once.
    */
-  private static final double START_PATIENCE_S = 2;
+  private static final double STARTUP_GRACE_SECONDS = 2;
 
   /** Told of moves. */
   public interface Listener {
-    void gained(OwnedEntity holding);
+    void onEntityAcquired(OwnedEntity entity);
 
-    void lost(OwnedEntity holding);
+    void onEntityLost(OwnedEntity entity);
 
-    void changed();
+    void onRowsChanged();
 
     /** Whether this controller is cut off from its workers, so that others are to own entities. */
-    boolean deaf();
+    boolean isCutOffFromWorkers();
 
     /** Asks the current owner of this controller's own entity to hand it back. */
-    void askBack(ControllerId owner);
+    void requestHandback(ControllerId owner);
   }
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore store;
-  private final Directory directory;
-  private final Timing timing;
+  private final ClusterView clusterView;
+  private final LeaseTiming timing;
   private final Listener listener;
-  private final Map<ControllerId, OwnedEntity> holdings = new HashMap<>();
-  private final Set<ControllerId> moving = new HashSet<>();
-  private final Map<ControllerId, Double> absentSince = new HashMap<>();
-  private OptionalLong lease = OptionalLong.empty();
-  private double validUntil = Double.NEGATIVE_INFINITY;
-  private double startedS;
-  private double askedBackS = Double.NEGATIVE_INFINITY;
-  private boolean watching;
-  private boolean listing;
-  private final List<Runnable> afterListing = new ArrayList<>();
-  private boolean doubted;
+  private final Map<ControllerId, OwnedEntity> ownedEntities = new HashMap<>();
+  private final Set<ControllerId> movesInProgress = new HashSet<>();
+  private final Map<ControllerId, Double> ownerAbsentSinceSeconds = new HashMap<>();
+  private OptionalLong leaseId = OptionalLong.empty();
+  private double validUntilSeconds = Double.NEGATIVE_INFINITY;
+  private double startedAtSeconds;
+  private double handbackRequestedAtSeconds = Double.NEGATIVE_INFINITY;
+  private boolean watchInProgress;
+  private boolean listingInProgress;
+  private final List<Runnable> listingCallbacks = new ArrayList<>();
+  private boolean leaseUncertain;
 
   /**
    * Creates the membership of one controller; {@code listener} is told of each entity gained or
@@ -81,211 +81,233 @@
    */
   public Membership(
       Settings settings,
-      Loop loop,
+      EventLoop loop,
       StateStore store,
-      Directory directory,
-      Timing timing,
+      ClusterView clusterView,
+      LeaseTiming timing,
       Listener listener) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.timing = timing;
     this.listener = listener;
   }
 
   /** Acquires a lease and starts its periodic renewal and checks. */
   public void start() {
-    startedS = loop.seconds();
-    acquire();
-    loop.every(timing.renewS(), this::renew);
-    loop.every(CHECK_S, this::check);
+    startedAtSeconds = loop.monotonicSeconds();
+    acquireLease();
+    loop.scheduleWithFixedDelay(timing.renewIntervalSeconds(), this::renewLease);
+    loop.scheduleWithFixedDelay(CHECK_INTERVAL_SECONDS, this::checkOwnership);
   }
 
   /** Certainly entitled to act for the entities held. */
-  public boolean valid() {
-    return loop.seconds() < validUntil;
+  public boolean isLeaseValid() {
+    return loop.monotonicSeconds() < validUntilSeconds;
   }
 
   /** For how long the lease is known to stand; not positive in doubt. */
-  public double remainingS() {
-    return validUntil - loop.seconds();
+  public double remainingLeaseSeconds() {
+    return validUntilSeconds - loop.monotonicSeconds();
   }
 
-  private String basis() {
+  private String describeLease() {
     return "lease valid for %.1f s, rows read as of revision %d"
-        .formatted(remainingS(), directory.revision());
+        .formatted(remainingLeaseSeconds(), clusterView.revision());
   }
 
   /** In doubt, but still allowed to keep workers' leases alive. */
-  public boolean mayKeepAlive() {
-    return loop.seconds() < validUntil + timing.graceS();
+  public boolean mayKeepWorkersAlive() {
+    return loop.monotonicSeconds() < validUntilSeconds + timing.keepAliveGraceSeconds();
   }
 
   /** The entity if held here; null otherwise. */
-  public OwnedEntity holding(ControllerId entity) {
-    return holdings.get(entity);
+  public OwnedEntity findOwnedEntity(ControllerId entity) {
+    return ownedEntities.get(entity);
   }
 
-  public OwnedEntity own() {
-    return holdings.get(settings.self());
+  public OwnedEntity findHomeEntity() {
+    return ownedEntities.get(settings.self());
   }
 
-  public List<OwnedEntity> holdings() {
-    return List.copyOf(holdings.values());
+  public List<OwnedEntity> ownedEntities() {
+    return List.copyOf(ownedEntities.values());
   }
 
-  private int self() {
+  private int selfIndex() {
     return settings.indexOf(settings.self());
   }
 
   /**
    * Gets a lease and says that this controller is alive, retaking its own entity in the same step.
    */
-  private void acquire() {
-    double sentAt = loop.seconds();
+  private void acquireLease() {
+    double sentAtSeconds = loop.monotonicSeconds();
     store
-        .lease(timing.ttlS())
+        .grantLease(timing.ttlSeconds())
         .thenCombine(
-            store.list(Rows.COMMON),
+            store.list(StateSchema.COMMON_PREFIX),
             (id, listing) -> {
-              directory.replace(listing.entries(), listing.revision());
+              clusterView.replaceWithListing(listing.entries(), listing.revision());
               return id;
             })
         .whenComplete(
             (id, failure) -> {
               if (failure != null) {
-                loop.after(0.3, this::acquire);
+                loop.schedule(0.3, this::acquireLease);
               } else {
-                announce(id, sentAt);
+                registerAlive(id, sentAtSeconds);
               }
             });
   }
 
-  private void announce(long id, double sentAt) {
-    ControllerId me = settings.self();
-    EntityRow mine = directory.entity(me);
-    boolean retake =
-        !holdings.containsKey(me) && (mine == null || me.equals(directory.owner(mine)));
-    Txn txn =
-        new Txn()
-            .when(Rows.alive(me), directory.aliveStamp(me))
-            .setHeld(Rows.alive(me), Rows.aliveValue(settings.zone()), id);
-    EntityRow next = null;
-    if (retake) {
+  private void registerAlive(long newLeaseId, double sentAtSeconds) {
+    ControllerId self = settings.self();
+    EntityRow homeRow = clusterView.findEntityRow(self);
+    boolean retakesHome =
+        !ownedEntities.containsKey(self)
+            && (homeRow == null || self.equals(clusterView.findOwnerIn(homeRow)));
+    Transaction transaction =
+        new Transaction()
+            .ifRevision(StateSchema.livenessKey(self), clusterView.livenessRevision(self))
+            .putWithLease(
+                StateSchema.livenessKey(self),
+                StateSchema.encodeLiveness(settings.zone()),
+                newLeaseId);
+    EntityRow nextRow = null;
+    if (retakesHome) {
       Version version =
-          mine == null ? Version.first(self()) : aboveTerms(me, mine.version()).nextFor(self());
+          homeRow == null
+              ? Version.firstOwnedBy(selfIndex())
+              : highestVersionOrTerm(self, homeRow.version()).nextOwnedBy(selfIndex());
       // The former process of this controller is gone; whoever was seized from before may not be.
-      next = new EntityRow(me, version, mine == null || mine.calm(), past(mine, false), 0);
-      txn.when(Rows.entity(me), mine == null ? 0 : mine.stamp())
-          .set(Rows.entity(me), Rows.value(next, me.value()));
+      nextRow =
+          new EntityRow(
+              self,
+              version,
+              homeRow == null || homeRow.acquiredGracefully(),
+              historyAfterMove(homeRow, false),
+              0);
+      transaction
+          .ifRevision(StateSchema.entityKey(self), homeRow == null ? 0 : homeRow.modRevision())
+          .put(StateSchema.entityKey(self), StateSchema.encode(nextRow, self.value()));
     }
-    for (OwnedEntity h : holdings.values()) {
-      txn.when(Rows.entity(h.entity()), h.row().stamp());
+    for (OwnedEntity entity : ownedEntities.values()) {
+      transaction.ifRevision(StateSchema.entityKey(entity.id()), entity.row().modRevision());
     }
-    EntityRow retaken = next;
+    EntityRow retakenRow = nextRow;
     store
-        .urgent(txn)
+        .tryUrgentTransaction(transaction)
         .whenComplete(
             (outcome, failure) -> {
               if (failure != null || !outcome.applied()) {
                 if (failure == null) {
-                  outcome.failed().forEach(key -> doubt(key));
+                  outcome.failedKeys().forEach(key -> giveUpChangedEntity(key));
                 }
-                loop.after(0.2, this::acquire);
+                loop.schedule(0.2, this::acquireLease);
                 return;
               }
-              lease = OptionalLong.of(id);
-              validUntil = sentAt + timing.ttlS() - timing.marginS();
-              directory.apply(
-                  new Change(Rows.alive(me), Rows.aliveValue(settings.zone()), outcome.revision()));
-              LOG.info("lease {} begins, revision {}", id, outcome.revision());
-              if (retaken != null) {
-                hold(retaken.stamped(outcome.revision()), retaken.calm());
+              leaseId = OptionalLong.of(newLeaseId);
+              validUntilSeconds =
+                  sentAtSeconds + timing.ttlSeconds() - timing.safetyMarginSeconds();
+              clusterView.apply(
+                  new RowChange(
+                      StateSchema.livenessKey(self),
+                      StateSchema.encodeLiveness(settings.zone()),
+                      outcome.revision()));
+              LOG.info("lease {} begins, revision {}", newLeaseId, outcome.revision());
+              if (retakenRow != null) {
+                startOwning(
+                    retakenRow.withModRevision(outcome.revision()),
+                    retakenRow.acquiredGracefully());
               }
-              watch();
+              watchRows();
             });
   }
 
-  private OwnershipHistory past(EntityRow row, boolean seized) {
-    return timing.afterMove(
-        row == null ? OwnershipHistory.NONE : row.past(), loop.wallMillis(), seized);
+  private OwnershipHistory historyAfterMove(EntityRow row, boolean isFailover) {
+    return timing.historyAfterMove(
+        row == null ? OwnershipHistory.NONE : row.history(), loop.wallMillis(), isFailover);
   }
 
   /** Rows known here have changed by a write of this controller's own: tells the listener. */
   public void rowsChanged() {
-    listener.changed();
+    listener.onRowsChanged();
   }
 
   /** Whether workers' leases may be renewed while the entity's rows are still being read. */
-  public boolean mayRenewUnknowing(OwnedEntity h) {
-    return timing.mayRenewUnknowing(h.row().past(), loop.wallMillis());
+  public boolean mayRenewWhileLoading(OwnedEntity entity) {
+    return timing.mayRenewWhileLoading(entity.row().history(), loop.wallMillis());
   }
 
-  private void doubt(String key) {
-    for (OwnedEntity h : holdings()) {
-      if (Rows.entity(h.entity()).equals(key)) {
-        drop(h, "its row has changed");
+  private void giveUpChangedEntity(String key) {
+    for (OwnedEntity entity : ownedEntities()) {
+      if (StateSchema.entityKey(entity.id()).equals(key)) {
+        giveUp(entity, "its row has changed");
       }
     }
   }
 
-  private Version aboveTerms(ControllerId entity, Version version) {
+  private Version highestVersionOrTerm(ControllerId entity, Version version) {
     Version highest = version;
-    for (var m : directory.machinesOf(entity)) {
-      highest = m.term().compareTo(highest) > 0 ? m.term() : highest;
+    for (var machineRow : clusterView.machineRowsOf(entity)) {
+      highest = machineRow.term().compareTo(highest) > 0 ? machineRow.term() : highest;
     }
     return highest;
   }
 
-  private void renew() {
-    if (lease.isEmpty()) {
+  private void renewLease() {
+    if (leaseId.isEmpty()) {
       return;
     }
-    long id = lease.getAsLong();
-    double sentAt = loop.seconds();
+    long renewedLeaseId = leaseId.getAsLong();
+    double sentAtSeconds = loop.monotonicSeconds();
     store
-        .renew(id)
+        .renewLease(renewedLeaseId)
         .whenComplete(
             (renewed, failure) -> {
-              if (!lease.equals(OptionalLong.of(id)) || failure != null) {
+              if (!leaseId.equals(OptionalLong.of(renewedLeaseId)) || failure != null) {
                 return;
               }
               if (renewed) {
-                validUntil = Math.max(validUntil, sentAt + timing.ttlS() - timing.marginS());
+                validUntilSeconds =
+                    Math.max(
+                        validUntilSeconds,
+                        sentAtSeconds + timing.ttlSeconds() - timing.safetyMarginSeconds());
               } else {
-                LOG.info("lease {} has ended", id);
-                lease = OptionalLong.empty();
-                acquire();
+                LOG.info("lease {} has ended", renewedLeaseId);
+                leaseId = OptionalLong.empty();
+                acquireLease();
               }
             });
   }
 
-  private void watch() {
-    if (watching) {
+  private void watchRows() {
+    if (watchInProgress) {
       return;
     }
-    watching = true;
+    watchInProgress = true;
     store.watch(
-        Rows.COMMON,
-        directory.revision(),
-        WATCH_S,
+        StateSchema.COMMON_PREFIX,
+        clusterView.revision(),
+        WATCH_SECONDS,
         body -> {
-          watching = false;
-          take(body);
-          watch();
+          watchInProgress = false;
+          applyChanges(body);
+          watchRows();
         },
         tooOld -> {
-          watching = false;
-          loop.after(0.5, tooOld ? this::relist : this::watch);
+          watchInProgress = false;
+          loop.schedule(0.5, tooOld ? this::relist : this::watchRows);
         });
   }
 
-  private void take(ObjectNode body) {
-    StateWire.changes(body).forEach(directory::apply);
-    directory.caughtUp(StateWire.revision(body));
-    check();
-    listener.changed();
+  private void applyChanges(ObjectNode body) {
+    StateStoreMessages.parseChanges(body).forEach(clusterView::apply);
+    clusterView.advanceRevision(StateStoreMessages.parseRevision(body));
+    checkOwnership();
+    listener.onRowsChanged();
   }
 
   /** Reads all common rows afresh. */
@@ -294,130 +316,138 @@
   }
 
   /** Reads all common rows afresh, however long that takes, and goes on then. */
-  public void relistThen(Runnable next) {
-    afterListing.add(next);
-    if (!listing) {
-      listing = true;
-      list();
+  public void relistThen(Runnable callback) {
+    listingCallbacks.add(callback);
+    if (!listingInProgress) {
+      listingInProgress = true;
+      readListing();
     }
   }
 
   /** One listing serves all who asked before it began; who asks meanwhile gets the next one. */
-  private void list() {
-    List<Runnable> asked = List.copyOf(afterListing);
-    afterListing.clear();
+  private void readListing() {
+    List<Runnable> callbacks = List.copyOf(listingCallbacks);
+    listingCallbacks.clear();
     store
-        .list(Rows.COMMON)
+        .list(StateSchema.COMMON_PREFIX)
         .whenComplete(
             (listing, failure) -> {
               if (failure == null) {
-                directory.replace(listing.entries(), listing.revision());
-                asked.forEach(Runnable::run);
-                check();
-                listener.changed();
-                watch();
+                clusterView.replaceWithListing(listing.entries(), listing.revision());
+                callbacks.forEach(Runnable::run);
+                checkOwnership();
+                listener.onRowsChanged();
+                watchRows();
               } else {
-                afterListing.addAll(asked);
+                listingCallbacks.addAll(callbacks);
               }
-              if (afterListing.isEmpty()) {
-                this.listing = false;
+              if (listingCallbacks.isEmpty()) {
+                this.listingInProgress = false;
               } else {
-                loop.after(failure == null ? 0.2 : 1, this::list);
+                loop.schedule(failure == null ? 0.2 : 1, this::readListing);
               }
             });
   }
 
-  private void check() {
-    store.sharers(Math.max(1, directory.aliveCount()));
-    if (doubted == valid()) {
-      doubted = !valid();
-      LOG.info("{}; {}", doubted ? "lease in doubt: nothing is launched" : "lease valid", basis());
+  private void checkOwnership() {
+    store.setActiveControllerCount(Math.max(1, clusterView.aliveControllerCount()));
+    if (leaseUncertain == isLeaseValid()) {
+      leaseUncertain = !isLeaseValid();
+      LOG.info(
+          "{}; {}",
+          leaseUncertain ? "lease in doubt: nothing is launched" : "lease valid",
+          describeLease());
     }
-    for (EntityRow row : directory.entities()) {
-      OwnedEntity held = holdings.get(row.entity());
-      ControllerId owner = directory.owner(row);
-      if (held != null) {
-        if (row.stamp() > held.row().stamp()) {
-          drop(held, "version " + row.version() + " belongs to " + owner);
-          held = null;
+    for (EntityRow row : clusterView.entityRows()) {
+      OwnedEntity ownedEntity = ownedEntities.get(row.entity());
+      ControllerId owner = clusterView.findOwnerIn(row);
+      if (ownedEntity != null) {
+        if (row.modRevision() > ownedEntity.row().modRevision()) {
+          giveUp(ownedEntity, "version " + row.version() + " belongs to " + owner);
+          ownedEntity = null;
         } else {
           continue;
         }
       }
-      if (!valid() || moving.contains(row.entity())) {
+      if (!isLeaseValid() || movesInProgress.contains(row.entity())) {
         continue;
       }
       if (settings.self().equals(owner)) {
-        if (row.calm() && row.version().isToken()) {
-          hold(row, true);
+        if (row.acquiredGracefully() && row.version().isToken()) {
+          startOwning(row, true);
         } else {
-          move(row, settings.self(), row.calm(), settings.self());
+          takeOver(row, settings.self(), row.acquiredGracefully(), settings.self());
         }
-      } else if (owner != null && directory.isAlive(owner)) {
-        absentSince.remove(owner);
+      } else if (owner != null && clusterView.isAlive(owner)) {
+        ownerAbsentSinceSeconds.remove(owner);
         if (row.entity().equals(settings.self())
-            && !listener.deaf()
-            && loop.seconds() - askedBackS > 1) {
-          askedBackS = loop.seconds();
-          listener.askBack(owner);
+            && !listener.isCutOffFromWorkers()
+            && loop.monotonicSeconds() - handbackRequestedAtSeconds > 1) {
+          handbackRequestedAtSeconds = loop.monotonicSeconds();
+          listener.requestHandback(owner);
         }
-      } else if (owner != null && due(owner)) {
-        move(row, settings.self(), false, owner);
+      } else if (owner != null && isTurnToTakeOver(owner)) {
+        takeOver(row, settings.self(), false, owner);
       }
     }
   }
 
   /** Whether it is this controller's turn to take what a lapsed owner had. */
-  private boolean due(ControllerId owner) {
-    if (listener.deaf() && directory.aliveCount() > 1) {
+  private boolean isTurnToTakeOver(ControllerId owner) {
+    if (listener.isCutOffFromWorkers() && clusterView.aliveControllerCount() > 1) {
       return false;
     }
-    double now = loop.seconds();
-    double since = absentSince.computeIfAbsent(owner, o -> now);
+    double nowSeconds = loop.monotonicSeconds();
+    double absentSinceSeconds =
+        ownerAbsentSinceSeconds.computeIfAbsent(owner, absentOwner -> nowSeconds);
     int rank = 0;
-    for (ControllerId c : settings.controllers()) {
-      if (c.equals(settings.self())) {
+    for (ControllerId controller : settings.controllers()) {
+      if (controller.equals(settings.self())) {
         break;
       }
-      rank += directory.isAlive(c) ? 1 : 0;
+      rank += clusterView.isAlive(controller) ? 1 : 0;
     }
-    return now - since >= rank * RANK_DELAY_S && now - startedS >= START_PATIENCE_S;
+    return nowSeconds - absentSinceSeconds >= rank * RANK_DELAY_SECONDS
+        && nowSeconds - startedAtSeconds >= STARTUP_GRACE_SECONDS;
   }
 
   /**
    * Moves an entity here by one conditional transaction.
    *
-   * @param calm whether its former owner has handed it over: the row is rewritten all the same if a
-   *     program of before handed it over under a version that is no token
+   * @param gracefully whether its former owner has handed it over: the row is rewritten all the
+   *     same if a program of before handed it over under a version that is no token
    */
-  private void move(EntityRow row, ControllerId to, boolean calm, ControllerId lapsed) {
-    moving.add(row.entity());
-    EntityRow next =
+  private void takeOver(
+      EntityRow row, ControllerId newOwner, boolean gracefully, ControllerId formerOwner) {
+    movesInProgress.add(row.entity());
+    EntityRow nextRow =
         new EntityRow(
             row.entity(),
-            aboveTerms(row.entity(), row.version()).nextFor(settings.indexOf(to)),
-            calm,
-            past(row, !calm),
+            highestVersionOrTerm(row.entity(), row.version())
+                .nextOwnedBy(settings.indexOf(newOwner)),
+            gracefully,
+            historyAfterMove(row, !gracefully),
             0);
-    Txn txn =
-        new Txn()
-            .when(Rows.entity(row.entity()), row.stamp())
-            .set(Rows.entity(row.entity()), Rows.value(next, to.value()));
-    if (!lapsed.equals(to)) {
-      txn.when(Rows.alive(lapsed), 0);
+    Transaction transaction =
+        new Transaction()
+            .ifRevision(StateSchema.entityKey(row.entity()), row.modRevision())
+            .put(
+                StateSchema.entityKey(row.entity()), StateSchema.encode(nextRow, newOwner.value()));
+    if (!formerOwner.equals(newOwner)) {
+      transaction.ifRevision(StateSchema.livenessKey(formerOwner), 0);
     }
     store
-        .urgent(txn)
+        .tryUrgentTransaction(transaction)
         .whenComplete(
             (outcome, failure) -> {
-              moving.remove(row.entity());
+              movesInProgress.remove(row.entity());
               if (failure == null && outcome.applied()) {
                 LOG.info(
                     "entity {} taken from {} with version {}",
                     row.entity(),
-                    lapsed,
-                    next.version());
-                hold(next.stamped(outcome.revision()), calm);
+                    formerOwner,
+                    nextRow.version());
+                startOwning(nextRow.withModRevision(outcome.revision()), gracefully);
               } else {
                 relist();
               }
@@ -425,77 +455,91 @@
   }
 
   /** Hands an entity to its home controller. Nothing is launched for it from here on. */
-  public void release(OwnedEntity h, ControllerId to) {
-    if (h.phase() != OwnedEntity.Phase.ACTIVE || !valid() || !directory.isAlive(to)) {
+  public void handBack(OwnedEntity entity, ControllerId newOwner) {
+    if (entity.phase() != OwnedEntity.Phase.ACTIVE
+        || !isLeaseValid()
+        || !clusterView.isAlive(newOwner)) {
       return;
     }
-    h.startRelease();
-    EntityRow next =
+    entity.startRelease();
+    EntityRow nextRow =
         new EntityRow(
-            h.entity(),
-            aboveTerms(h.entity(), h.row().version()).nextFor(settings.indexOf(to)),
+            entity.id(),
+            highestVersionOrTerm(entity.id(), entity.row().version())
+                .nextOwnedBy(settings.indexOf(newOwner)),
             true,
-            past(h.row(), false),
+            historyAfterMove(entity.row(), false),
             0);
-    Txn txn =
-        h.fenced()
-            .when(Rows.alive(to), directory.aliveStamp(to))
-            .set(Rows.entity(h.entity()), Rows.value(next, to.value()));
+    Transaction transaction =
+        entity
+            .fencedTransaction()
+            .ifRevision(StateSchema.livenessKey(newOwner), clusterView.livenessRevision(newOwner))
+            .put(StateSchema.entityKey(entity.id()), StateSchema.encode(nextRow, newOwner.value()));
     // Nothing is launched meanwhile, so this does not wait behind other writes: it did, for the
     // whole of a burst of submissions, and two controllers of three stood idle.
     store
-        .settleUrgent(txn)
+        .commitUrgent(transaction)
         .whenComplete(
             (outcome, failure) -> {
               if (failure == null && outcome.applied()) {
-                drop(h, "handed back to " + to);
-                directory.apply(
-                    new Change(
-                        Rows.entity(h.entity()), Rows.value(next, to.value()), outcome.revision()));
-              } else if (failure == null && !outcome.failed().contains(Rows.entity(h.entity()))) {
-                h.releaseFailed();
+                giveUp(entity, "handed back to " + newOwner);
+                clusterView.apply(
+                    new RowChange(
+                        StateSchema.entityKey(entity.id()),
+                        StateSchema.encode(nextRow, newOwner.value()),
+                        outcome.revision()));
+              } else if (failure == null
+                  && !outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
+                entity.releaseFailed();
               } else {
                 relist();
               }
             });
   }
 
-  private void hold(EntityRow row, boolean calm) {
-    directory.apply(
-        new Change(
-            Rows.entity(row.entity()), Rows.value(row, settings.self().value()), row.stamp()));
-    OwnedEntity h = new OwnedEntity(row, calm, loop.seconds());
-    h.setRegister(new Register(loop, store, directory, this, settings, h));
-    holdings.put(row.entity(), h);
+  private void startOwning(EntityRow row, boolean acquiredGracefully) {
+    clusterView.apply(
+        new RowChange(
+            StateSchema.entityKey(row.entity()),
+            StateSchema.encode(row, settings.self().value()),
+            row.modRevision()));
+    OwnedEntity entity = new OwnedEntity(row, acquiredGracefully, loop.monotonicSeconds());
+    entity.setRegister(new MachineRecords(loop, store, clusterView, this, settings, entity));
+    ownedEntities.put(row.entity(), entity);
     LOG.info(
         "entity {} held with version {} since revision {}; {}",
         row.entity(),
         row.version(),
-        row.stamp(),
-        basis());
-    listener.gained(h);
+        row.modRevision(),
+        describeLease());
+    listener.onEntityAcquired(entity);
   }
 
   /** Gives up an entity that another controller owns by now. */
-  public void drop(OwnedEntity h, String why) {
-    if (holdings.remove(h.entity(), h)) {
-      h.markLost();
-      LOG.info("entity {} version {} given up: {}; {}", h.entity(), h.row().version(), why, basis());
-      listener.lost(h);
+  public void giveUp(OwnedEntity entity, String reason) {
+    if (ownedEntities.remove(entity.id(), entity)) {
+      entity.markLost();
+      LOG.info(
+          "entity {} version {} given up: {}; {}",
+          entity.id(),
+          entity.row().version(),
+          reason,
+          describeLease());
+      listener.onEntityLost(entity);
     }
   }
 
   /** A fenced transaction was refused: look whether the entity has moved. */
-  public void suspect() {
+  public void verifyOwnership() {
     relist();
   }
 
   /** A peer says that an entity has moved; versions only grow, so a higher one is believed. */
-  public void told(ControllerId entity, Version version) {
-    directory.told(entity, version);
-    OwnedEntity h = holdings.get(entity);
-    if (h != null && version.compareTo(h.row().version()) > 0) {
-      drop(h, "a peer knows version " + version);
+  public void onOwnershipAnnounced(ControllerId entity, Version version) {
+    clusterView.recordAnnouncement(entity, version);
+    OwnedEntity ownedEntity = ownedEntities.get(entity);
+    if (ownedEntity != null && version.compareTo(ownedEntity.row().version()) > 0) {
+      giveUp(ownedEntity, "a peer knows version " + version);
       relist();
     }
   }
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -1,19 +1,19 @@
 package io.violetrail.ownership;
 
-import io.violetrail.evidence.Departure;
-import io.violetrail.evidence.GoneProof;
+import io.violetrail.evidence.TaskDeparture;
+import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.Machine;
-import io.violetrail.model.Amounts;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Priority;
+import io.violetrail.model.Resources;
 import io.violetrail.model.Version;
-import io.violetrail.ownership.Rows.EntityRow;
-import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.ownership.StateSchema.EntityRow;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.scheduling.Job;
-import io.violetrail.scheduling.Placement;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.scheduling.TaskPlacement;
+import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -34,8 +34,8 @@
   }
 
   private final EntityRow row;
-  private final boolean calm;
-  private final double gainedS;
+  private final boolean acquiredGracefully;
+  private final double acquiredAtSeconds;
   private Phase phase = Phase.LOADING;
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Map<JobId, Job> jobsView = Collections.unmodifiableMap(jobs);
@@ -43,31 +43,31 @@
   private final Map<MachineId, Machine> machinesView = Collections.unmodifiableMap(machines);
 
   /** What each team's placed tasks take, kept up to date instead of summed up for each decision. */
-  private final Map<String, Usage> usage = new HashMap<>();
+  private final Map<String, Usage> usageByTeam = new HashMap<>();
 
   /** How many tasks of each priority are placed, so that none is looked for in vain. */
-  private final int[] placedByPriority = new int[Priority.values().length];
+  private final int[] placedCountByPriority = new int[Priority.values().length];
 
   /** Whether each of its machines has reported since the move, or is known to hold nothing. */
-  private boolean recovered;
+  private boolean machinesReconciled;
 
   /** Where its machines are recorded. */
-  private Register register;
+  private MachineRecords machineRecords;
 
-  private long attempts;
-  private long hires;
+  private long attemptCount;
+  private long scaleOutRequestCount;
 
   /**
    * Creates the state of an entity that this controller owns from now on.
    *
-   * @param calm whether the previous owner released the entity itself
-   * @param now steady clock reading, in seconds
+   * @param acquiredGracefully whether the previous owner released the entity itself
+   * @param nowSeconds steady clock reading, in seconds
    */
-  public OwnedEntity(EntityRow row, boolean calm, double now) {
+  public OwnedEntity(EntityRow row, boolean acquiredGracefully, double nowSeconds) {
     row.version().requireToken();
     this.row = row;
-    this.calm = calm;
-    this.gainedS = now;
+    this.acquiredGracefully = acquiredGracefully;
+    this.acquiredAtSeconds = nowSeconds;
   }
 
   /** The row under which it is owned here. */
@@ -76,13 +76,13 @@
   }
 
   /** Whether it was handed over by its former owner, or had none, rather than seized. */
-  public boolean calm() {
-    return calm;
+  public boolean acquiredGracefully() {
+    return acquiredGracefully;
   }
 
   /** When it was acquired, in seconds of the steady clock. */
-  public double gainedS() {
-    return gainedS;
+  public double acquiredAtSeconds() {
+    return acquiredAtSeconds;
   }
 
   /** Where it is between the move to this controller and the next one. */
@@ -93,7 +93,7 @@
   /** Its rows were read: it is led from here. */
   public void activate() {
     if (phase != Phase.LOADING) {
-      throw new IllegalStateException("entity " + entity() + " is " + phase);
+      throw new IllegalStateException("entity " + id() + " is " + phase);
     }
     phase = Phase.ACTIVE;
   }
@@ -154,37 +154,37 @@
   }
 
   /** Whether each of its machines has reported since the move, or is known to hold nothing. */
-  public boolean recovered() {
-    return recovered;
+  public boolean machinesReconciled() {
+    return machinesReconciled;
   }
 
   /** Each of its machines has reported since the move, or is known to hold nothing. */
   public void markRecovered() {
-    recovered = true;
+    machinesReconciled = true;
   }
 
   /** Where its machines are recorded. */
-  public Register register() {
-    return register;
+  public MachineRecords machineRecords() {
+    return machineRecords;
   }
 
   /** Connects it with the records of its machines, once. */
-  void setRegister(Register records) {
-    register = records;
+  void setRegister(MachineRecords records) {
+    machineRecords = records;
   }
 
   /** The entity's name, which is that of its home controller. */
-  public ControllerId entity() {
+  public ControllerId id() {
     return row.entity();
   }
 
-  public boolean active() {
+  public boolean isActive() {
     return phase == Phase.ACTIVE;
   }
 
   /** The fencing token for a machine's worker. */
-  public Version token(Machine m) {
-    return fencingToken(m.row());
+  public Version fencingTokenFor(Machine machine) {
+    return fencingToken(machine.row());
   }
 
   /** The fencing token for the worker of a machine: the higher of this version and its term. */
@@ -193,24 +193,24 @@
   }
 
   /** A transaction that applies only while this version of the entity stands. */
-  public Txn fenced() {
-    return new Txn().when(Rows.entity(entity()), row.stamp());
+  public Transaction fencedTransaction() {
+    return new Transaction().ifRevision(StateSchema.entityKey(id()), row.modRevision());
   }
 
   /** Never given before by any owner: the version leads. */
-  public long newAttempt() {
-    return row.version().value() * 1_000_000 + ++attempts;
+  public long nextAttemptId() {
+    return row.version().value() * 1_000_000 + ++attemptCount;
   }
 
   /** Never given before by any owner. */
-  public String newHire() {
-    return entity() + "-" + row.version() + "-" + ++hires;
+  public String nextScaleOutRequestId() {
+    return id() + "-" + row.version() + "-" + ++scaleOutRequestCount;
   }
 
   /** Whether some machine may hold tasks that this controller does not know of. */
-  public boolean uncertain(double now) {
-    for (Machine m : machines.values()) {
-      if (m.uncertain(now)) {
+  public boolean hasUncertainMachine(double nowSeconds) {
+    for (Machine machine : machines.values()) {
+      if (machine.mayHoldUnreportedTasks(nowSeconds)) {
         return true;
       }
     }
@@ -218,24 +218,24 @@
   }
 
   /** What a team's tasks may be using, silent machines counted in full. */
-  public Amounts used(String team, double now) {
-    Usage placed = usage.get(team);
-    Amounts sum = placed == null ? Amounts.NONE : placed.sum;
-    for (Machine m : machines.values()) {
-      if (m.uncertain(now)) {
-        sum = sum.plus(m.type().size());
+  public Resources usageOf(String team, double nowSeconds) {
+    Usage teamUsage = usageByTeam.get(team);
+    Resources total = teamUsage == null ? Resources.NONE : teamUsage.amounts;
+    for (Machine machine : machines.values()) {
+      if (machine.mayHoldUnreportedTasks(nowSeconds)) {
+        total = total.plus(machine.type().capacity());
       }
-      for (Amounts a : m.strays().values()) {
-        sum = sum.plus(a);
+      for (Resources strayAmounts : machine.unknownTasks().values()) {
+        total = total.plus(strayAmounts);
       }
     }
-    return sum;
+    return total;
   }
 
   /** Whether any task of a lower priority is placed. */
-  public boolean placedBelow(Priority priority) {
-    for (int i = priority.ordinal() + 1; i < placedByPriority.length; i++) {
-      if (placedByPriority[i] > 0) {
+  public boolean hasPlacedTaskBelow(Priority priority) {
+    for (int ordinal = priority.ordinal() + 1; ordinal < placedCountByPriority.length; ordinal++) {
+      if (placedCountByPriority[ordinal] > 0) {
         return true;
       }
     }
@@ -247,53 +247,69 @@
    *
    * @throws IllegalStateException if the placement is counted already
    */
-  public void place(Placement p) {
-    if (p.counted()) {
-      throw new IllegalStateException(p.task() + " is placed twice");
+  public void addPlacement(TaskPlacement placement) {
+    if (placement.countedAsUsed()) {
+      throw new IllegalStateException(placement.taskId() + " is placed twice");
     }
-    Placement former = p.job().placed(p.index());
+    TaskPlacement former = placement.job().findPlacement(placement.taskIndex());
     if (former != null) {
       // Seen on another machine than was thought: the older belief no longer counts for the job.
-      count(former, -1);
+      updateUsage(former, -1);
     }
-    p.job().place(p);
-    p.machine().add(p);
-    count(p, 1);
+    placement.job().addPlacement(placement);
+    placement.machine().addPlacement(placement);
+    updateUsage(placement, 1);
   }
 
-  private void count(Placement p, int by) {
-    if (p.counted() == by > 0) {
+  private void updateUsage(TaskPlacement placement, int delta) {
+    if (placement.countedAsUsed() == delta > 0) {
       return;
     }
-    p.setCounted(by > 0);
-    placedByPriority[p.job().spec().priority().ordinal()] += by;
-    Usage u = usage.computeIfAbsent(p.job().spec().team(), t -> new Usage());
-    u.tasks += by;
+    placement.setCounted(delta > 0);
+    placedCountByPriority[placement.job().spec().priority().ordinal()] += delta;
+    Usage teamUsage =
+        usageByTeam.computeIfAbsent(placement.job().spec().team(), team -> new Usage());
+    teamUsage.taskCount += delta;
     // Nothing placed is exactly nothing: rounding does not pile up.
-    u.sum = u.tasks == 0 ? Amounts.NONE : u.sum.plus(p.job().spec().task().times(by));
+    teamUsage.amounts =
+        teamUsage.taskCount == 0
+            ? Resources.NONE
+            : teamUsage.amounts.plus(placement.job().spec().taskResources().times(delta));
   }
 
   private static final class Usage {
-    Amounts sum = Amounts.NONE;
-    int tasks;
+    Resources amounts = Resources.NONE;
+    int taskCount;
   }
 
   /** Takes a placement away, on evidence that the task is gone. */
-  public void unplace(Placement p, double now, GoneProof proof) {
-    count(p, -1);
-    if (proof != GoneProof.NEVER_SENT && p.job().phase() == Job.Phase.OPEN && !p.job().isDone(p.index())) {
-      p.job().departed(
-          p.index(), new Departure(p.machine().id(), p.attempt(), proof, now, p.machine().answeredS()));
+  public void removePlacement(
+      TaskPlacement placement, double nowSeconds, TerminationEvidence evidence) {
+    updateUsage(placement, -1);
+    if (evidence != TerminationEvidence.NEVER_SENT
+        && placement.job().phase() == Job.Phase.OPEN
+        && !placement.job().isDone(placement.taskIndex())) {
+      placement
+          .job()
+          .recordDeparture(
+              placement.taskIndex(),
+              new TaskDeparture(
+                  placement.machine().id(),
+                  placement.attempt(),
+                  evidence,
+                  nowSeconds,
+                  placement.machine().lastAnsweredAtSeconds()));
     }
-    p.job().unplace(p);
-    boolean spareBefore = p.machine().spare();
-    p.machine().remove(p);
+    placement.job().removePlacement(placement);
+    boolean wasSpare = placement.machine().hasOnlyBestEffortTasks();
+    placement.machine().removePlacement(placement);
     // Spare work does not keep an ordinary machine rented: its idleness began before.
-    if (!spareBefore && p.machine().spare() || p.machine().empty() && p.machine().row().spot()) {
-      p.machine().becameIdle(now);
+    if (!wasSpare && placement.machine().hasOnlyBestEffortTasks()
+        || placement.machine().isEmpty() && placement.machine().row().spot()) {
+      placement.machine().becameIdle(nowSeconds);
     }
-    if (p.job().phase() == Job.Phase.OVER && p.job().nothingPlaced()) {
-      removeJob(p.job());
+    if (placement.job().phase() == Job.Phase.FINISHED && placement.job().hasNoPlacements()) {
+      removeJob(placement.job());
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/Views.java
+++ b/src/main/java/io/violetrail/peer/JobQueryBatcher.java
@@ -3,7 +3,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
-import io.violetrail.state.StateStore.Unavailable;
+import io.violetrail.state.StateStore.StateUnavailableException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -19,14 +19,14 @@
  * <p>A question never joins one that is already under way: the answer to that may be older than
  * what another controller has told the same user since.
  */
-final class Views {
+final class JobQueryBatcher {
   /** Jobs in one message, and jobs that may wait for the next ones; beyond that: later. */
-  static final int MOST = 200;
+  static final int MAX_JOBS_PER_MESSAGE = 200;
 
-  private static final int MAX_WAITING = 800;
+  private static final int MAX_WAITING_JOBS = 800;
 
   /** Messages under way to one owner: a lost one holds up a part only. */
-  private static final int IN_FLIGHT = 2;
+  private static final int MAX_MESSAGES_IN_FLIGHT = 2;
 
   /** Sends one message; the answer holds a view for each job that the owner knows. */
   interface Sender {
@@ -34,59 +34,61 @@
   }
 
   private final Sender sender;
-  private final Map<ControllerId, Lane> lanes = new HashMap<>();
+  private final Map<ControllerId, OwnerQueue> queueByOwner = new HashMap<>();
 
-  private static final class Lane {
-    final Map<JobId, CompletableFuture<JobView>> next = new LinkedHashMap<>();
-    int inFlight;
+  private static final class OwnerQueue {
+    final Map<JobId, CompletableFuture<JobView>> waitingQueries = new LinkedHashMap<>();
+    int messagesInFlight;
   }
 
-  Views(Sender sender) {
+  JobQueryBatcher(Sender sender) {
     this.sender = sender;
   }
 
-  CompletableFuture<JobView> ask(ControllerId owner, JobId id) {
-    Lane lane = lanes.computeIfAbsent(owner, o -> new Lane());
-    CompletableFuture<JobView> waiting = lane.next.get(id);
+  CompletableFuture<JobView> query(ControllerId owner, JobId jobId) {
+    OwnerQueue queue = queueByOwner.computeIfAbsent(owner, o -> new OwnerQueue());
+    CompletableFuture<JobView> waiting = queue.waitingQueries.get(jobId);
     if (waiting != null) {
       return waiting;
     }
-    if (lane.next.size() >= MAX_WAITING) {
-      return CompletableFuture.failedFuture(new Unavailable("too many questions", 429));
+    if (queue.waitingQueries.size() >= MAX_WAITING_JOBS) {
+      return CompletableFuture.failedFuture(
+          new StateUnavailableException("too many questions", 429));
     }
     CompletableFuture<JobView> future = new CompletableFuture<>();
-    lane.next.put(id, future);
-    send(owner, lane);
+    queue.waitingQueries.put(jobId, future);
+    sendNextBatch(owner, queue);
     return future;
   }
 
-  private void send(ControllerId owner, Lane lane) {
-    if (lane.inFlight >= IN_FLIGHT || lane.next.isEmpty()) {
+  private void sendNextBatch(ControllerId owner, OwnerQueue queue) {
+    if (queue.messagesInFlight >= MAX_MESSAGES_IN_FLIGHT || queue.waitingQueries.isEmpty()) {
       return;
     }
     Map<JobId, CompletableFuture<JobView>> batch = new LinkedHashMap<>();
-    for (var it = lane.next.entrySet().iterator(); it.hasNext() && batch.size() < MOST; ) {
-      var e = it.next();
-      batch.put(e.getKey(), e.getValue());
-      it.remove();
+    for (var iterator = queue.waitingQueries.entrySet().iterator();
+        iterator.hasNext() && batch.size() < MAX_JOBS_PER_MESSAGE; ) {
+      var query = iterator.next();
+      batch.put(query.getKey(), query.getValue());
+      iterator.remove();
     }
-    lane.inFlight++;
+    queue.messagesInFlight++;
     sender
         .send(owner, new ArrayList<>(batch.keySet()))
         .whenComplete(
             (views, failure) -> {
-              lane.inFlight--;
-              send(owner, lane);
+              queue.messagesInFlight--;
+              sendNextBatch(owner, queue);
               batch.forEach(
-                  (id, future) -> {
-                    JobView view = failure == null ? views.get(id) : null;
+                  (jobId, future) -> {
+                    JobView view = failure == null ? views.get(jobId) : null;
                     if (view != null) {
                       future.complete(view);
                     } else {
                       future.completeExceptionally(
                           failure != null
                               ? failure
-                              : new Unavailable("the owner does not know", 404));
+                              : new StateUnavailableException("the owner does not know", 404));
                     }
                   });
             });
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -8,14 +8,14 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
-import io.violetrail.net.Http;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.HttpClient;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.peer.PeerMessages.JobStatus;
-import io.violetrail.peer.PeerMessages.Kind;
-import io.violetrail.peer.PeerMessages.Reply;
-import io.violetrail.peer.PeerMessages.Request;
-import io.violetrail.state.StateStore.Unavailable;
+import io.violetrail.peer.PeerMessages.JobViewMessage;
+import io.violetrail.peer.PeerMessages.PeerRequest;
+import io.violetrail.peer.PeerMessages.PeerRequestKind;
+import io.violetrail.peer.PeerMessages.PeerResponse;
+import io.violetrail.state.StateStore.StateUnavailableException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -32,12 +32,12 @@
   private static final double CANCEL_TIMEOUT_SECONDS = 3;
 
   private final Settings settings;
-  private final Directory directory;
-  private final Http http;
+  private final ClusterView directory;
+  private final HttpClient http;
   private final PeerCodec codec;
 
   /** Sends to the peers that the settings name. */
-  public PeerClient(Settings settings, Directory directory, Http http, PeerCodec codec) {
+  public PeerClient(Settings settings, ClusterView directory, HttpClient http, PeerCodec codec) {
     this.settings = settings;
     this.directory = directory;
     this.http = http;
@@ -48,24 +48,29 @@
   public static void exerciseCodec(JobSpec spec) {
     PeerCodec codec = new PeerCodec();
     ArrayList<ResourceRequest> requests =
-        new ArrayList<>(List.of(ResourceRequest.machines(spec, 1, 0, 1, false, true)));
-    codec.decode(codec.encode(new Request(Kind.RESOURCES, "a", "b", 0, requests)), Request.class);
-    codec.decode(codec.encode(Reply.of(new JobView("a", JobView.Status.DONE, 1, 0))), Reply.class);
+        new ArrayList<>(List.of(ResourceRequest.forMachines(spec, 1, 0, 1, false, true)));
+    codec.decode(
+        codec.encode(new PeerRequest(PeerRequestKind.RESOURCES, "a", "b", 0, requests)),
+        PeerRequest.class);
+    codec.decode(
+        codec.encode(PeerResponse.of(new JobView("a", JobView.JobStatus.DONE, 1, 0))),
+        PeerResponse.class);
   }
 
   /** Asks the owner of jobs for what it knows of them. */
-  CompletableFuture<List<JobStatus>> jobStatuses(ControllerId owner, List<JobId> jobs) {
+  CompletableFuture<List<JobViewMessage>> jobStatuses(ControllerId owner, List<JobId> jobs) {
     String ids = jobs.stream().map(JobId::value).collect(Collectors.joining(" "));
-    return call(owner, request(Kind.VIEW, ids, 0), TIMEOUT_SECONDS).thenApply(Reply::views);
+    return call(owner, request(PeerRequestKind.VIEW, ids, 0), TIMEOUT_SECONDS)
+        .thenApply(PeerResponse::views);
   }
 
   /** Asks the owner of a job to cancel it; fails if the owner does not know the job. */
   public CompletableFuture<JobView> cancel(ControllerId owner, JobId id) {
-    return call(owner, request(Kind.CANCEL, id.value(), 0), CANCEL_TIMEOUT_SECONDS)
+    return call(owner, request(PeerRequestKind.CANCEL, id.value(), 0), CANCEL_TIMEOUT_SECONDS)
         .thenApply(
             reply -> {
               if (!reply.known() || reply.views().isEmpty()) {
-                throw new Unavailable("the owner does not know", 404);
+                throw new StateUnavailableException("the owner does not know", 404);
               }
               return reply.views().get(0).toView();
             });
@@ -73,7 +78,8 @@
 
   /** Whether a peer hears workers. */
   public CompletableFuture<Boolean> hears(ControllerId peer) {
-    return call(peer, request(Kind.HEARS, "", 0), TIMEOUT_SECONDS).thenApply(Reply::known);
+    return call(peer, request(PeerRequestKind.HEARS, "", 0), TIMEOUT_SECONDS)
+        .thenApply(PeerResponse::known);
   }
 
   /**
@@ -85,7 +91,7 @@
     for (ControllerId peer : settings.peers().keySet()) {
       ConfigurationState none = new ConfigurationState(peer.value(), 0, -1, 0, false);
       asked.add(
-          call(peer, request(Kind.CONFIGURATION, peer.value(), 0), TIMEOUT_SECONDS)
+          call(peer, request(PeerRequestKind.CONFIGURATION, peer.value(), 0), TIMEOUT_SECONDS)
               .thenApply(
                   reply -> reply.configuration().isEmpty() ? none : reply.configuration().get(0))
               .exceptionally(failure -> none));
@@ -95,7 +101,7 @@
 
   /** Asks the current owner of this controller's own entity to hand it back. */
   public void askBack(ControllerId owner) {
-    call(owner, request(Kind.HAND_BACK, settings.self().value(), 0), TIMEOUT_SECONDS);
+    call(owner, request(PeerRequestKind.HAND_BACK, settings.self().value(), 0), TIMEOUT_SECONDS);
   }
 
   /** Tells all peers what is owned here, so that a former owner in doubt stops at once. */
@@ -105,54 +111,61 @@
 
   /** Tells all peers of one entity that is owned here. */
   public void announce(OwnedEntity entity) {
-    Request moved = request(Kind.MOVED, entity.entity().value(), entity.row().version().value());
+    PeerRequest moved =
+        request(PeerRequestKind.MOVED, entity.id().value(), entity.row().version().value());
     settings.peers().keySet().forEach(peer -> call(peer, moved, TIMEOUT_SECONDS));
   }
 
   /** Asks all peers for machines or slices that an entity owned here lacks. */
   public void askFor(ControllerId entity, List<ResourceRequest> requests) {
     callAllAlive(
-        new Request(
-            Kind.RESOURCES, settings.self().value(), entity.value(), 0, new ArrayList<>(requests)));
+        new PeerRequest(
+            PeerRequestKind.RESOURCES,
+            settings.self().value(),
+            entity.value(),
+            0,
+            new ArrayList<>(requests)));
   }
 
   /** Saves the peers a call to the cloud. */
   public void soldOut(String type, String zone, boolean spot) {
-    callAllAlive(request(Kind.SOLD_OUT, type + " " + zone + " " + spot, 0));
+    callAllAlive(request(PeerRequestKind.SOLD_OUT, type + " " + zone + " " + spot, 0));
   }
 
   /** Asks a peer to lend a part of its budget; completes with what it lends. */
   CompletableFuture<Long> borrowBudget(ControllerId peer, long units) {
-    return call(peer, request(Kind.BUDGET, "", units), TIMEOUT_SECONDS).thenApply(Reply::number);
+    return call(peer, request(PeerRequestKind.BUDGET, "", units), TIMEOUT_SECONDS)
+        .thenApply(PeerResponse::number);
   }
 
-  private Request request(Kind kind, String subject, long number) {
-    return new Request(kind, settings.self().value(), subject, number);
+  private PeerRequest request(PeerRequestKind kind, String subject, long number) {
+    return new PeerRequest(kind, settings.self().value(), subject, number);
   }
 
-  private void callAllAlive(Request request) {
+  private void callAllAlive(PeerRequest request) {
     settings.peers().keySet().stream()
         .filter(directory::isAlive)
         .forEach(peer -> call(peer, request, TIMEOUT_SECONDS));
   }
 
-  private CompletableFuture<Reply> call(ControllerId peer, Request request, double timeoutSeconds) {
+  private CompletableFuture<PeerResponse> call(
+      ControllerId peer, PeerRequest request, double timeoutSeconds) {
     HostPort address = settings.peers().get(peer);
     if (address == null) {
-      return CompletableFuture.failedFuture(new Unavailable("no such peer", 404));
+      return CompletableFuture.failedFuture(new StateUnavailableException("no such peer", 404));
     }
     return http.call(address, "POST", PATH, codec.encode(request), timeoutSeconds)
         .thenApply(this::decode);
   }
 
-  private Reply decode(Http.Reply reply) {
-    if (!reply.ok()) {
-      throw new Unavailable("the peer answered " + reply.status(), reply.status());
+  private PeerResponse decode(HttpClient.ClientReply reply) {
+    if (!reply.isOk()) {
+      throw new StateUnavailableException("the peer answered " + reply.status(), reply.status());
     }
     try {
-      return codec.decode(reply.body(), Reply.class);
+      return codec.decode(reply.body(), PeerResponse.class);
     } catch (KryoException e) {
-      throw new Unavailable("the peer's answer is unclear", 0);
+      throw new StateUnavailableException("the peer's answer is unclear", 0);
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/PeerCodec.java
+++ b/src/main/java/io/violetrail/peer/PeerCodec.java
@@ -4,10 +4,10 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import io.violetrail.configuration.ConfigurationState;
-import io.violetrail.peer.PeerMessages.JobStatus;
-import io.violetrail.peer.PeerMessages.Kind;
-import io.violetrail.peer.PeerMessages.Reply;
-import io.violetrail.peer.PeerMessages.Request;
+import io.violetrail.peer.PeerMessages.JobViewMessage;
+import io.violetrail.peer.PeerMessages.PeerRequest;
+import io.violetrail.peer.PeerMessages.PeerRequestKind;
+import io.violetrail.peer.PeerMessages.PeerResponse;
 import java.util.ArrayList;
 
 /**
@@ -37,10 +37,10 @@
       kryo.setMaxDepth(MAX_DEPTH);
       kryo.register(ArrayList.class);
       kryo.register(ResourceRequest.class);
-      kryo.register(Kind.class);
-      kryo.register(Request.class);
-      kryo.register(Reply.class);
-      kryo.register(JobStatus.class);
+      kryo.register(PeerRequestKind.class);
+      kryo.register(PeerRequest.class);
+      kryo.register(PeerResponse.class);
+      kryo.register(JobViewMessage.class);
       kryo.register(ConfigurationState.class);
     }
     return kryo;
--- a/src/main/java/io/violetrail/peer/PeerMessages.java
+++ b/src/main/java/io/violetrail/peer/PeerMessages.java
@@ -14,7 +14,7 @@
   private PeerMessages() {}
 
   /** What is asked. */
-  public enum Kind {
+  public enum PeerRequestKind {
     /** The states of jobs, their ids in the subject. */
     VIEW,
     /** To cancel the job in the subject. */
@@ -36,52 +36,57 @@
   }
 
   /** A request about a job or an entity. */
-  public record Request(
-      Kind kind, String from, String subject, long number, ArrayList<ResourceRequest> requests) {
-    Request(Kind kind, String from, String subject, long number) {
+  public record PeerRequest(
+      PeerRequestKind kind,
+      String from,
+      String subject,
+      long number,
+      ArrayList<ResourceRequest> requests) {
+    PeerRequest(PeerRequestKind kind, String from, String subject, long number) {
       this(kind, from, subject, number, new ArrayList<>());
     }
   }
 
   /** A reply: whether it is known, and the states of the jobs asked for that are. */
-  public record Reply(
+  public record PeerResponse(
       boolean known,
-      ArrayList<JobStatus> views,
+      ArrayList<JobViewMessage> views,
       ArrayList<ConfigurationState> configuration,
       long number) {
-    static final Reply UNKNOWN = new Reply(false, new ArrayList<>());
-    static final Reply YES = new Reply(true, new ArrayList<>());
+    static final PeerResponse UNKNOWN = new PeerResponse(false, new ArrayList<>());
+    static final PeerResponse YES = new PeerResponse(true, new ArrayList<>());
 
-    Reply(boolean known, ArrayList<JobStatus> views) {
+    PeerResponse(boolean known, ArrayList<JobViewMessage> views) {
       this(known, views, new ArrayList<>(), 0);
     }
 
-    static Reply of(JobView view) {
-      return new Reply(true, new ArrayList<>(List.of(JobStatus.of(view))));
+    static PeerResponse of(JobView view) {
+      return new PeerResponse(true, new ArrayList<>(List.of(JobViewMessage.of(view))));
     }
 
-    static Reply of(long number) {
-      return new Reply(true, new ArrayList<>(), new ArrayList<>(), number);
+    static PeerResponse of(long number) {
+      return new PeerResponse(true, new ArrayList<>(), new ArrayList<>(), number);
     }
 
-    static Reply of(ConfigurationState state) {
-      return new Reply(true, new ArrayList<>(), new ArrayList<>(List.of(state)), 0);
+    static PeerResponse of(ConfigurationState state) {
+      return new PeerResponse(true, new ArrayList<>(), new ArrayList<>(List.of(state)), 0);
     }
   }
 
   /** A job's state, and the entity that it is bound to (empty if that was not asked for). */
-  public record JobStatus(String id, String status, int done, int running, String entity) {
-    static JobStatus of(JobView view) {
+  public record JobViewMessage(String id, String status, int done, int running, String entity) {
+    static JobViewMessage of(JobView view) {
       return of(view, null);
     }
 
-    static JobStatus of(JobView view, ControllerId entity) {
+    static JobViewMessage of(JobView view, ControllerId entity) {
       String bound = entity == null ? "" : entity.value();
-      return new JobStatus(view.id(), view.status().name(), view.done(), view.running(), bound);
+      return new JobViewMessage(
+          view.id(), view.status().name(), view.doneCount(), view.runningCount(), bound);
     }
 
     JobView toView() {
-      return new JobView(id, JobView.Status.valueOf(status), done, running);
+      return new JobView(id, JobView.JobStatus.valueOf(status), done, running);
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -2,23 +2,23 @@
 
 import com.esotericsoftware.kryo.KryoException;
 import com.google.common.base.Splitter;
+import io.violetrail.api.JobLifecycle;
 import io.violetrail.api.JobStateLookup;
-import io.violetrail.api.Jobs;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.configuration.ConfigurationState;
-import io.violetrail.fleet.Hires;
-import io.violetrail.fleet.Hires.Offer;
+import io.violetrail.fleet.ScaleOutRequests;
+import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
 import io.violetrail.fleet.TransferRequests;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.model.Version;
-import io.violetrail.net.Service;
+import io.violetrail.net.RequestHandler;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.peer.PeerMessages.JobStatus;
-import io.violetrail.peer.PeerMessages.Reply;
-import io.violetrail.peer.PeerMessages.Request;
+import io.violetrail.peer.PeerMessages.JobViewMessage;
+import io.violetrail.peer.PeerMessages.PeerRequest;
+import io.violetrail.peer.PeerMessages.PeerResponse;
 import io.violetrail.worker.WorkerReachability;
 import java.util.ArrayList;
 import java.util.function.Consumer;
@@ -26,29 +26,29 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers the other controllers' requests. */
-public final class PeerService implements Service {
+public final class PeerService implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerService.class);
 
   private final Membership membership;
   private final Configuration configuration;
-  private final Jobs jobs;
+  private final JobLifecycle jobs;
   private final JobStateLookup jobStates;
   private final WorkerReachability reachability;
   private final TransferRequests transfers;
-  private final Hires hires;
-  private final BudgetLending lending;
+  private final ScaleOutRequests hires;
+  private final WriteBudgetLending lending;
   private final PeerCodec codec;
 
   /** Answers from the given parts. */
   public PeerService(
       Membership membership,
       Configuration configuration,
-      Jobs jobs,
+      JobLifecycle jobs,
       JobStateLookup jobStates,
       WorkerReachability reachability,
       TransferRequests transfers,
-      Hires hires,
-      BudgetLending lending,
+      ScaleOutRequests hires,
+      WriteBudgetLending lending,
       PeerCodec codec) {
     this.membership = membership;
     this.configuration = configuration;
@@ -62,92 +62,99 @@
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<Answer> done) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
     if (!PeerClient.PATH.equals(path) || !"POST".equals(method)) {
-      done.accept(Answer.empty(404));
+      respond.accept(HttpAnswer.empty(404));
       return;
     }
-    Request request;
+    PeerRequest request;
     try {
-      request = codec.decode(body, Request.class);
+      request = codec.decode(body, PeerRequest.class);
     } catch (KryoException e) {
       LOG.info("a peer's message is unclear: {}", e.getMessage());
-      done.accept(Answer.empty(400));
+      respond.accept(HttpAnswer.empty(400));
       return;
     }
     handle(
         request,
-        reply -> done.accept(new Answer(200, codec.encode(reply), 0, "application/octet-stream")));
+        reply ->
+            respond.accept(
+                new HttpAnswer(200, codec.encode(reply), 0, "application/octet-stream")));
   }
 
-  private void handle(Request request, Consumer<Reply> done) {
+  private void handle(PeerRequest request, Consumer<PeerResponse> respond) {
     switch (request.kind()) {
-      case VIEW -> done.accept(jobStatuses(request.subject()));
-      case CANCEL -> cancel(new JobId(request.subject()), done);
-      case HEARS -> done.accept(reachability.hears() ? Reply.YES : Reply.UNKNOWN);
-      case BUDGET -> done.accept(Reply.of(lending.lend(request.number())));
-      case CONFIGURATION -> done.accept(configurationState());
+      case VIEW -> respond.accept(jobStatuses(request.subject()));
+      case CANCEL -> cancel(new JobId(request.subject()), respond);
+      case HEARS ->
+          respond.accept(
+              reachability.receivesHeartbeats() ? PeerResponse.YES : PeerResponse.UNKNOWN);
+      case BUDGET -> respond.accept(PeerResponse.of(lending.lend(request.number())));
+      case CONFIGURATION -> respond.accept(configurationState());
       default -> {
         take(request);
-        done.accept(Reply.UNKNOWN);
+        respond.accept(PeerResponse.UNKNOWN);
       }
     }
   }
 
   /** Takes what needs no answer of its own. */
-  private void take(Request request) {
+  private void take(PeerRequest request) {
     switch (request.kind()) {
       case HAND_BACK -> handBack(request);
       case SOLD_OUT -> soldOut(request.subject());
-      case RESOURCES -> transfers.asked(new ControllerId(request.subject()), request.requests());
+      case RESOURCES ->
+          transfers.handleRequests(new ControllerId(request.subject()), request.requests());
       case MOVED ->
-          membership.told(new ControllerId(request.subject()), new Version(request.number()));
+          membership.onOwnershipAnnounced(
+              new ControllerId(request.subject()), new Version(request.number()));
       default -> throw new IllegalArgumentException("not a notice: " + request.kind());
     }
   }
 
-  private void handBack(Request request) {
-    OwnedEntity entity = membership.holding(new ControllerId(request.subject()));
+  private void handBack(PeerRequest request) {
+    OwnedEntity entity = membership.findOwnedEntity(new ControllerId(request.subject()));
     if (entity != null && request.subject().equals(request.from())) {
-      membership.release(entity, new ControllerId(request.from()));
+      membership.handBack(entity, new ControllerId(request.from()));
     }
   }
 
   private void soldOut(String subject) {
     String[] offer = subject.split(" ", 3);
     if (offer.length == 3) {
-      hires.soldOut(new Offer(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
+      hires.markSoldOut(new MachineOffering(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
     }
   }
 
-  private Reply configurationState() {
-    ConfigurationState state = configuration.state();
-    return state == null ? Reply.UNKNOWN : Reply.of(state);
+  private PeerResponse configurationState() {
+    ConfigurationState state = configuration.findState();
+    return state == null ? PeerResponse.UNKNOWN : PeerResponse.of(state);
   }
 
-  private Reply jobStatuses(String ids) {
-    ArrayList<JobStatus> known = new ArrayList<>();
-    for (String text : Splitter.on(' ').limit(Views.MOST).split(ids)) {
+  private PeerResponse jobStatuses(String ids) {
+    ArrayList<JobViewMessage> known = new ArrayList<>();
+    for (String text : Splitter.on(' ').limit(JobQueryBatcher.MAX_JOBS_PER_MESSAGE).split(ids)) {
       JobId id = new JobId(text);
       JobView view = jobStates.knownView(id);
       if (view != null) {
-        known.add(JobStatus.of(view, jobs.boundTo(id)));
+        known.add(JobViewMessage.of(view, jobs.findEntityOf(id)));
       }
     }
-    return new Reply(true, known);
+    return new PeerResponse(true, known);
   }
 
-  private void cancel(JobId id, Consumer<Reply> done) {
-    JobView ended = jobs.terminalView(id);
+  private void cancel(JobId id, Consumer<PeerResponse> done) {
+    JobView ended = jobs.findTerminalView(id);
     OwnedEntity entity = jobStates.entityOfOpenJob(id);
     if (ended != null) {
-      done.accept(Reply.of(ended));
-    } else if (entity == null || !membership.valid()) {
-      done.accept(Reply.UNKNOWN);
+      done.accept(PeerResponse.of(ended));
+    } else if (entity == null || !membership.isLeaseValid()) {
+      done.accept(PeerResponse.UNKNOWN);
     } else {
       jobs.cancel(entity, entity.jobs().get(id))
           .whenComplete(
-              (view, failure) -> done.accept(failure == null ? Reply.of(view) : Reply.UNKNOWN));
+              (view, failure) ->
+                  done.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN));
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/ResourceRequest.java
+++ b/src/main/java/io/violetrail/peer/ResourceRequest.java
@@ -1,8 +1,8 @@
 package io.violetrail.peer;
 
-import io.violetrail.model.Amounts;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobSpec;
+import io.violetrail.model.Resources;
 import java.util.List;
 
 /**
@@ -29,38 +29,38 @@
     boolean starving,
     boolean mayEvict,
     String donor) {
-  public static ResourceRequest machines(
-      JobSpec s, int tasks, long arrivedMs, double worth, boolean starving, boolean mayEvict) {
-    return of(false, s, s.task(), tasks, arrivedMs, worth, starving, mayEvict);
+  public static ResourceRequest forMachines(
+      JobSpec spec, int tasks, long arrivedMs, double worth, boolean starving, boolean mayEvict) {
+    return create(false, spec, spec.taskResources(), tasks, arrivedMs, worth, starving, mayEvict);
   }
 
   /** All that is lacking, whatever part of it is a whole task. */
-  public static ResourceRequest slice(JobSpec s, Amounts lacking, long arrivedMs) {
-    return of(true, s, lacking, 1, arrivedMs, 0, false, false);
+  public static ResourceRequest forQuotaShare(JobSpec spec, Resources lacking, long arrivedMs) {
+    return create(true, spec, lacking, 1, arrivedMs, 0, false, false);
   }
 
-  private static ResourceRequest of(
+  private static ResourceRequest create(
       boolean slice,
-      JobSpec s,
-      Amounts what,
+      JobSpec spec,
+      Resources amounts,
       int tasks,
       long arrivedMs,
       double worth,
       boolean starving,
       boolean mayEvict) {
-    String types = s.types() == null ? "" : String.join(",", s.types());
+    String types = spec.machineTypes() == null ? "" : String.join(",", spec.machineTypes());
     return new ResourceRequest(
         slice,
-        s.id().value(),
-        s.team(),
-        what.cpus(),
-        what.gpus(),
-        what.memoryGb(),
+        spec.id().value(),
+        spec.team(),
+        amounts.cpus(),
+        amounts.gpus(),
+        amounts.memoryGb(),
         types,
-        s.zone() == null ? "" : s.zone(),
-        s.spot(),
+        spec.zone() == null ? "" : spec.zone(),
+        spec.spotAllowed(),
         tasks,
-        s.priority().ordinal(),
+        spec.priority().ordinal(),
         arrivedMs,
         worth,
         starving,
@@ -69,7 +69,7 @@
   }
 
   /** A part of it, to be given by one entity alone. */
-  public ResourceRequest from(ControllerId entity, Amounts part) {
+  public ResourceRequest fromDonor(ControllerId donorEntity, Resources part) {
     return new ResourceRequest(
         slice,
         job,
@@ -86,40 +86,40 @@
         worth,
         starving,
         mayEvict,
-        entity.value());
+        donorEntity.value());
   }
 
   /** Whether every entity is asked for all of it. */
-  public boolean asksAll() {
+  public boolean isForAllDonors() {
     return donor.isEmpty();
   }
 
   /** Whether the entity is asked. */
-  public boolean asks(ControllerId entity) {
+  public boolean isForDonor(ControllerId entity) {
     return donor.isEmpty() || donor.equals(entity.value());
   }
 
   /** The same in one zone alone. */
-  public ResourceRequest in(String onlyZone) {
+  public ResourceRequest withZone(String onlyZone) {
     return new ResourceRequest(
         slice, job, team, cpus, gpus, memoryGb, types, onlyZone, spot, tasks, priority, arrivedMs,
         worth, starving, mayEvict, donor);
   }
 
-  public Amounts task() {
-    return new Amounts(cpus, gpus, memoryGb);
+  public Resources requestedAmounts() {
+    return new Resources(cpus, gpus, memoryGb);
   }
 
-  public List<String> typeList() {
+  public List<String> allowedTypes() {
     return types.isEmpty() ? null : List.of(types.split(","));
   }
 
   /**
    * Returns whether the request's constraints admit a machine of this type, zone and pricing model.
    */
-  public boolean allows(String type, String inZone, boolean spotMachine) {
-    return (types.isEmpty() || typeList().contains(type))
-        && (zone.isEmpty() || zone.equals(inZone))
-        && (spot || !spotMachine);
+  public boolean allowsMachine(String machineType, String machineZone, boolean machineIsSpot) {
+    return (types.isEmpty() || allowedTypes().contains(machineType))
+        && (zone.isEmpty() || zone.equals(machineZone))
+        && (spot || !machineIsSpot);
   }
 }
--- a/src/main/java/io/violetrail/peer/BudgetLending.java
+++ b/src/main/java/io/violetrail/peer/WriteBudgetLending.java
@@ -2,8 +2,8 @@
 
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.state.StateStore;
 import java.util.List;
 
@@ -16,56 +16,60 @@
  * A lender takes what it lends out of its own bucket before it answers, so the sum of all buckets
  * never grows; what is lost on the way is spent.
  */
-public final class BudgetLending {
-  private static final double ASK_S = 0.25;
+public final class WriteBudgetLending {
+  private static final double CHECK_INTERVAL_SECONDS = 0.25;
 
   /** Less than this is not worth a message. */
-  private static final double LEAST = 0.25;
+  private static final double MIN_SHORTAGE = 0.25;
 
   /** A message carries an amount as an integer. */
-  private static final double UNITS = 1_000;
+  private static final double UNITS_PER_WRITE = 1_000;
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateStore store;
-  private final Directory directory;
+  private final ClusterView clusterView;
   private final PeerClient peerClient;
 
   /** Lends and borrows what the store may write. */
-  public BudgetLending(
-      Settings settings, Loop loop, StateStore store, Directory directory, PeerClient peerClient) {
+  public WriteBudgetLending(
+      Settings settings,
+      EventLoop loop,
+      StateStore store,
+      ClusterView clusterView,
+      PeerClient peerClient) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.peerClient = peerClient;
   }
 
   /** Begins to ask peers whenever there is more to write than this controller's part allows. */
   public void start() {
-    loop.every(ASK_S, this::askIfShort);
+    loop.scheduleWithFixedDelay(CHECK_INTERVAL_SECONDS, this::requestIfShort);
   }
 
-  private void askIfShort() {
-    double shortage = store.changesShort();
+  private void requestIfShort() {
+    double shortage = store.missingWrites();
     List<ControllerId> peers =
-        settings.peers().keySet().stream().filter(directory::isAlive).toList();
-    if (shortage < LEAST || peers.isEmpty()) {
+        settings.peers().keySet().stream().filter(clusterView::isAlive).toList();
+    if (shortage < MIN_SHORTAGE || peers.isEmpty()) {
       return;
     }
-    long units = (long) Math.ceil(UNITS * Math.max(1, shortage / peers.size()));
-    peers.forEach(peer -> peerClient.borrowBudget(peer, units).thenAccept(this::borrowed));
+    long units = (long) Math.ceil(UNITS_PER_WRITE * Math.max(1, shortage / peers.size()));
+    peers.forEach(peer -> peerClient.borrowBudget(peer, units).thenAccept(this::addBorrowed));
   }
 
   /** A peer asks; returns what it is given. */
   long lend(long units) {
-    return (long) (UNITS * store.lendChanges(Math.max(0, units) / UNITS));
+    return (long) (UNITS_PER_WRITE * store.lendWrites(Math.max(0, units) / UNITS_PER_WRITE));
   }
 
   /** A peer has given so much. */
-  private void borrowed(long units) {
+  private void addBorrowed(long units) {
     if (units > 0) {
-      store.borrowedChanges(units / UNITS);
+      store.addBorrowedWrites(units / UNITS_PER_WRITE);
     }
   }
 }
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -1,8 +1,8 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.api.Jobs;
+import io.violetrail.api.JobLifecycle;
 import io.violetrail.fleet.Machine;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import java.util.List;
@@ -16,26 +16,26 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(EntityMaintenance.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Membership membership;
-  private final PendingJobs pendingJobs;
+  private final PendingQueues pendingQueues;
   private final SchedulingLoop schedulingLoop;
   private final MachineLivenessMonitor liveness;
   private final GangRepair gangRepair;
-  private final Jobs jobs;
+  private final JobLifecycle jobs;
 
   /** Works on what the membership says is owned here. */
   public EntityMaintenance(
-      Loop loop,
+      EventLoop loop,
       Membership membership,
-      PendingJobs pendingJobs,
+      PendingQueues pendingQueues,
       SchedulingLoop schedulingLoop,
       MachineLivenessMonitor liveness,
       GangRepair gangRepair,
-      Jobs jobs) {
+      JobLifecycle jobs) {
     this.loop = loop;
     this.membership = membership;
-    this.pendingJobs = pendingJobs;
+    this.pendingQueues = pendingQueues;
     this.schedulingLoop = schedulingLoop;
     this.liveness = liveness;
     this.gangRepair = gangRepair;
@@ -44,14 +44,14 @@
 
   /** Begins the periodic work. */
   public void start() {
-    loop.every(PERIOD_SECONDS, this::runOnce);
+    loop.scheduleWithFixedDelay(PERIOD_SECONDS, this::runOnce);
   }
 
   private void runOnce() {
-    double now = loop.seconds();
-    pendingJobs.retainOnly(membership.holdings());
-    for (OwnedEntity entity : membership.holdings()) {
-      if (entity.active()) {
+    double now = loop.monotonicSeconds();
+    pendingQueues.retainOnly(membership.ownedEntities());
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      if (entity.isActive()) {
         maintain(entity, now);
       }
     }
@@ -63,10 +63,10 @@
     }
     for (Job job : List.copyOf(entity.jobs().values())) {
       gangRepair.stopIncomplete(entity, job, now);
-      jobs.progressed(entity, job);
+      jobs.handleProgress(entity, job);
     }
-    jobs.flush(entity);
-    if (!pendingJobs.inOrder(entity).isEmpty()) {
+    jobs.flushProgress(entity);
+    if (!pendingQueues.inOrder(entity).isEmpty()) {
       schedulingLoop.requestPass();
     }
     noteRecovery(entity, now);
@@ -74,16 +74,16 @@
 
   /** From here on tasks start that were open before the move and that no report has shown since. */
   private static void noteRecovery(OwnedEntity entity, double now) {
-    if (entity.recovered() || entity.uncertain(now)) {
+    if (entity.machinesReconciled() || entity.hasUncertainMachine(now)) {
       return;
     }
     entity.markRecovered();
     LOG.info(
         "entity {} version {}: {} s after the move all of {} machines have reported or hold nothing;"
             + " what no report shows may start",
-        entity.entity(),
+        entity.id(),
         entity.row().version(),
-        MachineLivenessMonitor.tenths(now - entity.gainedS()),
+        MachineLivenessMonitor.tenths(now - entity.acquiredAtSeconds()),
         entity.machines().size());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/GangRepair.java
+++ b/src/main/java/io/violetrail/scheduling/GangRepair.java
@@ -1,7 +1,7 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.evidence.GoneProof;
-import io.violetrail.model.Shape;
+import io.violetrail.evidence.TerminationEvidence;
+import io.violetrail.model.JobShape;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.worker.TaskStopper;
 
@@ -16,21 +16,21 @@
 
   /** Stops what is placed of the job if it is a gang that is not complete any more. */
   void stopIncomplete(OwnedEntity entity, Job job, double now) {
-    if (job.spec().shape() != Shape.GANG || job.nothingPlaced() || job.unplaced() == 0) {
+    if (job.spec().shape() != JobShape.GANG || job.hasNoPlacements() || job.unplacedCount() == 0) {
       return;
     }
     // After a move its tasks are seen one by one, as their machines report: what has not been seen
     // yet is not lost. Without this every move of an entity stopped all of its gangs.
-    if (job.recovered() && entity.uncertain(now)) {
+    if (job.loadedFromStore() && entity.hasUncertainMachine(now)) {
       return;
     }
-    for (Placement placement : job.placements()) {
-      if (placement.revocable()) {
-        entity.unplace(placement, now, GoneProof.NEVER_SENT);
+    for (TaskPlacement placement : job.placements()) {
+      if (placement.isRevocable()) {
+        entity.removePlacement(placement, now, TerminationEvidence.NEVER_SENT);
       } else {
-        placement.halt(0);
+        placement.requestStop(0);
         // The sooner the rest is gone, the sooner it starts anew.
-        taskStopper.halted(placement);
+        taskStopper.enqueueStop(placement);
       }
     }
   }
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -1,10 +1,10 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.evidence.Departure;
+import io.violetrail.evidence.TaskDeparture;
+import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView.Status;
 import io.violetrail.model.JobView;
-import io.violetrail.model.Shape;
+import io.violetrail.model.JobView.JobStatus;
 import java.util.ArrayDeque;
 import java.util.BitSet;
 import java.util.List;
@@ -24,87 +24,95 @@
     /** Its user has cancelled it; that is being stored. */
     CANCELLING,
     /** Its end is stored and never changes. */
-    OVER
+    FINISHED
   }
 
   /** Waiting for longer, a job is starving: it no longer keeps to what is merely better. */
-  private static final double STARVING_S = 60;
+  private static final double STARVATION_SECONDS = 60;
 
   /** After so long it takes accelerators that are kept for work yet to come. */
-  private static final double LAST_RESORT_S = 75;
+  private static final double LAST_RESORT_SECONDS = 75;
 
   /** A job that can't use what it withholds from others lets go of it for as long, in turns. */
-  private static final double TURN_S = 80;
+  private static final double RESERVATION_TURN_SECONDS = 80;
 
   private final JobSpec spec;
-  private final long arrivedMs;
+  private final long arrivedAtMillis;
 
   /**
    * When it arrived on this controller's steady clock; before this process started for older jobs.
    */
-  private final double arrivedS;
+  private final double arrivedAtSeconds;
 
   /** Loaded from the state service: tasks of it may be on machines that have not reported yet. */
-  private final boolean recovered;
+  private final boolean loadedFromStore;
 
-  /** Run in room and on machines that nobody else needs; see {@link Aims#spareWork}. */
-  private final boolean spareWork;
+  /**
+   * Run in room and on machines that nobody else needs; see {@link
+   * ServiceLevelObjectives#isBestEffort}.
+   */
+  private final boolean bestEffort;
 
-  private final BitSet done = new BitSet();
+  private final BitSet doneTasks = new BitSet();
   private int doneCount;
 
   /** The part of what is done that the state service has. */
-  private final BitSet stored = new BitSet();
+  private final BitSet storedDoneTasks = new BitSet();
 
-  private final Int2ObjectHashMap<Placement> placed = new Int2ObjectHashMap<>();
+  private final Int2ObjectHashMap<TaskPlacement> placementsByIndex = new Int2ObjectHashMap<>();
 
   /** Done or placed, so that the next free task of a wide job is found without a search. */
-  private final BitSet taken = new BitSet();
+  private final BitSet doneOrPlacedTasks = new BitSet();
 
   /** Where tasks were last that wait to start anew. */
-  private final Int2ObjectHashMap<Departure> departures = new Int2ObjectHashMap<>();
+  private final Int2ObjectHashMap<TaskDeparture> lastDepartures = new Int2ObjectHashMap<>();
 
   /** When each failed task may be tried again. */
-  private final Int2ObjectHashMap<Double> notBefore = new Int2ObjectHashMap<>();
+  private final Int2ObjectHashMap<Double> retryNotBeforeSeconds = new Int2ObjectHashMap<>();
 
   /** What its failures say. */
-  private final Trial trial = new Trial();
+  private final JobFailureHistory failureHistory = new JobFailureHistory();
 
   /** What a waiting task is worth, as of a moment: asked for each machine, the same for all. */
-  private double worth;
+  private double maxPriceRatio;
 
-  private double worthAtS = Double.NEGATIVE_INFINITY;
+  private double maxPriceRatioAtSeconds = Double.NEGATIVE_INFINITY;
 
   /** Failures of its own tasks, for whoever counts them. */
-  private int errors;
+  private int errorCount;
 
   /** Not before then is room for it made again. */
-  private double makeRoomS;
+  private double nextPreemptionAtSeconds;
 
   private Phase phase = Phase.OPEN;
-  private Status end;
+  private JobStatus finalStatus;
 
   /** It has waited too long for its first task, and goes before others for that one alone. */
-  private boolean toBegin;
+  private boolean prioritizedForFirstTask;
 
   /** When a task of it was placed last. */
-  private double placedS = Double.NEGATIVE_INFINITY;
+  private double lastPlacedAtSeconds = Double.NEGATIVE_INFINITY;
 
-  private final ArrayDeque<Supplier<CompletableFuture<?>>> writes = new ArrayDeque<>();
-  private boolean writing;
+  private final ArrayDeque<Supplier<CompletableFuture<?>>> queuedWrites = new ArrayDeque<>();
+  private boolean writeInFlight;
 
   /** An open job that is not spare work. */
-  public Job(JobSpec spec, long arrivedMs, double arrivedS, boolean recovered) {
-    this(spec, arrivedMs, arrivedS, recovered, false);
+  public Job(JobSpec spec, long arrivedAtMillis, double arrivedAtSeconds, boolean loadedFromStore) {
+    this(spec, arrivedAtMillis, arrivedAtSeconds, loadedFromStore, false);
   }
 
   /** An open job with no task placed. */
-  public Job(JobSpec spec, long arrivedMs, double arrivedS, boolean recovered, boolean spareWork) {
-    this.spareWork = spareWork;
+  public Job(
+      JobSpec spec,
+      long arrivedAtMillis,
+      double arrivedAtSeconds,
+      boolean loadedFromStore,
+      boolean bestEffort) {
+    this.bestEffort = bestEffort;
     this.spec = spec;
-    this.arrivedMs = arrivedMs;
-    this.arrivedS = arrivedS;
-    this.recovered = recovered;
+    this.arrivedAtMillis = arrivedAtMillis;
+    this.arrivedAtSeconds = arrivedAtSeconds;
+    this.loadedFromStore = loadedFromStore;
   }
 
   /** What was submitted. */
@@ -113,62 +121,62 @@
   }
 
   /** When it was accepted, in milliseconds of the time of day. */
-  public long arrivedMs() {
-    return arrivedMs;
+  public long arrivedAtMillis() {
+    return arrivedAtMillis;
   }
 
   /**
    * When it arrived on this controller's steady clock, in seconds; before this process started for
    * older jobs.
    */
-  public double arrivedS() {
-    return arrivedS;
+  public double arrivedAtSeconds() {
+    return arrivedAtSeconds;
   }
 
   /**
    * Whether it was loaded from the state service: tasks of it may be on machines that have not
    * reported yet.
    */
-  public boolean recovered() {
-    return recovered;
+  public boolean loadedFromStore() {
+    return loadedFromStore;
   }
 
   /** Whether it is run in room and on machines that nobody else needs. */
-  public boolean spareWork() {
-    return spareWork;
+  public boolean bestEffort() {
+    return bestEffort;
   }
 
   /** Whether the state service has it that the task is done. */
   public boolean isStored(int index) {
-    return stored.get(index);
+    return storedDoneTasks.get(index);
   }
 
   /** The state service has it that the task is done. */
   public void markStored(int index) {
-    stored.set(index);
+    storedDoneTasks.set(index);
   }
 
   /** The state service has all that is done, with the job's end. */
   private void markAllStored() {
-    stored.or(done);
+    storedDoneTasks.or(doneTasks);
   }
 
   /** Which tasks from {@code from} to before {@code to} are done without that being stored. */
   public BitSet doneNotStored(int from, int to) {
-    BitSet fresh = done.get(from, to);
-    fresh.andNot(stored.get(from, to));
+    BitSet fresh = doneTasks.get(from, to);
+    fresh.andNot(storedDoneTasks.get(from, to));
     return fresh;
   }
 
   /** When a failed task may be tried again, in seconds; null if it may be at any time. */
-  public Double notBefore(int index) {
-    return notBefore.get(index);
+  public Double retryNotBeforeSeconds(int index) {
+    return retryNotBeforeSeconds.get(index);
   }
 
   /** Whether some failed task may not be tried again yet. */
-  public boolean anyRetryLater(double now) {
-    for (Double retryAt : notBefore.values()) {
-      if (retryAt > now) {
+  public boolean anyRetryLater(double nowSeconds) {
+    for (Double retryAt : retryNotBeforeSeconds.values()) {
+      if (retryAt > nowSeconds) {
         return true;
       }
     }
@@ -177,51 +185,51 @@
 
   /** A failed task may be tried again at that second. */
   public void retryNotBefore(int index, double atSeconds) {
-    notBefore.put(index, (Double) atSeconds);
+    retryNotBeforeSeconds.put(index, (Double) atSeconds);
   }
 
   /** A task may be tried again at once. */
   public void retryAtOnce(int index) {
-    notBefore.remove(index);
+    retryNotBeforeSeconds.remove(index);
   }
 
   /** All failed tasks may be tried again at once. */
   public void retryAllAtOnce() {
-    notBefore.clear();
+    retryNotBeforeSeconds.clear();
   }
 
   /** What its failures say. */
-  public Trial trial() {
-    return trial;
+  public JobFailureHistory failureHistory() {
+    return failureHistory;
   }
 
   /** What a waiting task is worth, worked out once for each moment. */
-  double worthAt(double now, DoubleSupplier worthNow) {
-    if (worthAtS != now) {
-      worthAtS = now;
-      worth = worthNow.getAsDouble();
+  double worthAt(double nowSeconds, DoubleSupplier worthNow) {
+    if (maxPriceRatioAtSeconds != nowSeconds) {
+      maxPriceRatioAtSeconds = nowSeconds;
+      maxPriceRatio = worthNow.getAsDouble();
     }
-    return worth;
+    return maxPriceRatio;
   }
 
   /** Failures of its own tasks so far. */
-  public int errors() {
-    return errors;
+  public int errorCount() {
+    return errorCount;
   }
 
   /** A task of its own has failed. */
   public void countError() {
-    errors++;
+    errorCount++;
   }
 
   /** Not before then, in seconds, is room for it made again. */
-  double makeRoomS() {
-    return makeRoomS;
+  double nextPreemptionAtSeconds() {
+    return nextPreemptionAtSeconds;
   }
 
   /** Room is made for it now, and not again before then. */
   void makeRoomNotBefore(double atSeconds) {
-    makeRoomS = atSeconds;
+    nextPreemptionAtSeconds = atSeconds;
   }
 
   /** Where it is between intake and its stored end. */
@@ -230,8 +238,8 @@
   }
 
   /** Its end as stored; null before. */
-  public Status end() {
-    return end;
+  public JobStatus finalStatus() {
+    return finalStatus;
   }
 
   /** All of its tasks are done: what remains is to store that. */
@@ -253,61 +261,61 @@
   }
 
   /** Its end is stored. */
-  public void ended(Status status) {
-    phase = Phase.OVER;
-    end = status;
+  public void ended(JobStatus status) {
+    phase = Phase.FINISHED;
+    finalStatus = status;
     markAllStored();
   }
 
   /** Whether it goes before others for its first task, since it has waited too long. */
-  boolean toBegin() {
-    return toBegin;
+  boolean prioritizedForFirstTask() {
+    return prioritizedForFirstTask;
   }
 
   /** Says whether it goes before others for its first task. */
   void setToBegin(boolean first) {
-    toBegin = first;
+    prioritizedForFirstTask = first;
   }
 
   /** Whether all of its tasks are done. */
-  public boolean complete() {
-    return doneCount == spec.tasks();
+  public boolean isComplete() {
+    return doneCount == spec.taskCount();
   }
 
   /** How many tasks are neither done nor placed. */
-  public int unplaced() {
-    return spec.tasks() - taken.cardinality();
+  public int unplacedCount() {
+    return spec.taskCount() - doneOrPlacedTasks.cardinality();
   }
 
   /**
    * How many of its tasks may be started now. A suspect job gets one probe (a gang is one), and
    * nothing during its pauses.
    */
-  public int mayStart(double now) {
-    int waiting = unplaced();
-    if (!trial.suspect() || waiting == 0) {
-      return waiting;
+  public int startableCount(double nowSeconds) {
+    int unplacedCount = unplacedCount();
+    if (!failureHistory.isSuspect() || unplacedCount == 0) {
+      return unplacedCount;
     }
-    if (trial.paused(now)) {
+    if (failureHistory.isBackingOff(nowSeconds)) {
       return 0;
     }
-    if (spec.shape() == Shape.GANG) {
-      return waiting;
+    if (spec.shape() == JobShape.GANG) {
+      return unplacedCount;
     }
-    return placed.isEmpty() ? 1 : 0;
+    return placementsByIndex.isEmpty() ? 1 : 0;
   }
 
   /** Whether the task is done. */
   public boolean isDone(int index) {
-    return done.get(index);
+    return doneTasks.get(index);
   }
 
   /** The task is done. */
   public void markDone(int index) {
-    if (!done.get(index)) {
-      done.set(index);
+    if (!doneTasks.get(index)) {
+      doneTasks.set(index);
       doneCount++;
-      taken.set(index);
+      doneOrPlacedTasks.set(index);
     }
   }
 
@@ -317,135 +325,137 @@
   }
 
   /** A copy of which tasks are done. */
-  public BitSet done() {
-    return (BitSet) done.clone();
+  public BitSet doneTasks() {
+    return (BitSet) doneTasks.clone();
   }
 
   /** Whether the state service has all that is done. */
-  public boolean allStored() {
-    return stored.cardinality() >= doneCount;
+  public boolean isProgressStored() {
+    return storedDoneTasks.cardinality() >= doneCount;
   }
 
   /** Where the task is placed; null if it is not. */
-  public Placement placed(int index) {
-    return placed.get(index);
+  public TaskPlacement findPlacement(int index) {
+    return placementsByIndex.get(index);
   }
 
   /** All placements; changes while they are walked are safe. */
-  public List<Placement> placements() {
-    return List.copyOf(placed.values());
+  public List<TaskPlacement> placements() {
+    return List.copyOf(placementsByIndex.values());
   }
 
   /** Whether no task is placed. */
-  public boolean nothingPlaced() {
-    return placed.isEmpty();
+  public boolean hasNoPlacements() {
+    return placementsByIndex.isEmpty();
   }
 
   /** For the holding alone, which counts what is placed. */
-  public void place(Placement p) {
-    placedS = p.sinceS();
-    placed.put(p.index(), p);
-    taken.set(p.index());
+  public void addPlacement(TaskPlacement placement) {
+    lastPlacedAtSeconds = placement.placedAtSeconds();
+    placementsByIndex.put(placement.taskIndex(), placement);
+    doneOrPlacedTasks.set(placement.taskIndex());
   }
 
   /** Takes a placement away, unless the task has another one by now. */
-  public void unplace(Placement p) {
-    if (placed.get(p.index()) == p) {
-      placed.remove(p.index());
-      taken.set(p.index(), done.get(p.index()));
+  public void removePlacement(TaskPlacement placement) {
+    if (placementsByIndex.get(placement.taskIndex()) == placement) {
+      placementsByIndex.remove(placement.taskIndex());
+      doneOrPlacedTasks.set(placement.taskIndex(), doneTasks.get(placement.taskIndex()));
     }
   }
 
   /** A task that is not done has left its machine. */
-  public void departed(int index, Departure departure) {
-    departures.put(index, departure);
+  public void recordDeparture(int index, TaskDeparture departure) {
+    lastDepartures.put(index, departure);
   }
 
   /** Where a task that starts anew was last; null if it was nowhere as far as known here. */
-  public Departure takeDeparture(int index) {
-    return departures.isEmpty() ? null : departures.remove(index);
+  public TaskDeparture removeLastDeparture(int index) {
+    return lastDepartures.isEmpty() ? null : lastDepartures.remove(index);
   }
 
   /**
    * The next task at or after {@code from} that is neither done nor placed; -1 if there is none.
    */
-  public int nextFree(int from) {
-    int i = taken.nextClearBit(from);
-    return i < spec.tasks() ? i : -1;
+  public int findNextUnplaced(int from) {
+    int index = doneOrPlacedTasks.nextClearBit(from);
+    return index < spec.taskCount() ? index : -1;
   }
 
   /** When it should be complete, in seconds of the steady clock; infinite without a deadline. */
-  public double deadlineS() {
-    return spec.deadlineS() == null ? Double.POSITIVE_INFINITY : arrivedS + spec.deadlineS();
+  public double deadlineAtSeconds() {
+    return spec.deadlineSeconds() == null
+        ? Double.POSITIVE_INFINITY
+        : arrivedAtSeconds + spec.deadlineSeconds();
   }
 
   /** How long none of its waiting tasks has found a place. */
-  public double waitedS(double now) {
-    return Math.max(0, now - Math.max(arrivedS, placedS));
+  public double waitedSeconds(double nowSeconds) {
+    return Math.max(0, nowSeconds - Math.max(arrivedAtSeconds, lastPlacedAtSeconds));
   }
 
   /**
    * Whether it has waited so long that other entities make room for it. Nothing may wait for long
    * while a machine that fits has room.
    */
-  public boolean starving(double now) {
-    return waitedS(now) > STARVING_S;
+  public boolean isStarving(double nowSeconds) {
+    return waitedSeconds(nowSeconds) > STARVATION_SECONDS;
   }
 
   /** Whether it may take what is kept for work that is not there: nothing of it runs at all. */
-  public boolean atLastResort(double now) {
-    return waitedS(now) > LAST_RESORT_S && nothingPlaced();
+  public boolean isAtLastResort(double nowSeconds) {
+    return waitedSeconds(nowSeconds) > LAST_RESORT_SECONDS && hasNoPlacements();
   }
 
   /**
    * Whether it may gather what it cannot use yet, machines or parts of a limit, and keep others
    * from it. A job that gathers in vain would keep the rest from running for as long as it waits.
    */
-  public boolean gathers(double now) {
-    return waitedS(now) % (2 * TURN_S) < TURN_S;
+  public boolean mayHoldReservations(double nowSeconds) {
+    return waitedSeconds(nowSeconds) % (2 * RESERVATION_TURN_SECONDS) < RESERVATION_TURN_SECONDS;
   }
 
   /** Whether its end is asked for and not known to be stored: it may be, and others may know. */
-  public boolean endUndecided() {
+  public boolean isEndUndecided() {
     return phase == Phase.CLOSING || phase == Phase.CANCELLING;
   }
 
   /** What its user is told of it. */
-  public JobView view() {
-    if (phase == Phase.OVER) {
-      return new JobView(spec.id().value(), end, doneCount, 0);
+  public JobView toView() {
+    if (phase == Phase.FINISHED) {
+      return new JobView(spec.id().value(), finalStatus, doneCount, 0);
     }
-    int running = 0;
-    for (Placement p : placed.values()) {
-      running += p.running() ? 1 : 0;
+    int runningCount = 0;
+    for (TaskPlacement placement : placementsByIndex.values()) {
+      runningCount += placement.isRunning() ? 1 : 0;
     }
-    Status status = running > 0 ? Status.RUNNING : Status.QUEUED;
-    return new JobView(spec.id().value(), status, doneCount, running);
+    JobStatus status = runningCount > 0 ? JobStatus.RUNNING : JobStatus.QUEUED;
+    return new JobView(spec.id().value(), status, doneCount, runningCount);
   }
 
   /** Runs this job's writes one after the other, so that none overtakes another. */
-  public void write(Supplier<CompletableFuture<?>> next) {
-    writes.add(next);
-    nextWrite();
+  public void enqueueWrite(Supplier<CompletableFuture<?>> next) {
+    queuedWrites.add(next);
+    startNextWrite();
   }
 
   /** Whether one of its writes is under way. */
-  public boolean writing() {
-    return writing;
+  public boolean isWriteInFlight() {
+    return writeInFlight;
   }
 
-  private void nextWrite() {
-    if (writing || writes.isEmpty()) {
+  private void startNextWrite() {
+    if (writeInFlight || queuedWrites.isEmpty()) {
       return;
     }
-    writing = true;
-    writes
+    writeInFlight = true;
+    queuedWrites
         .poll()
         .get()
         .whenComplete(
-            (r, f) -> {
-              writing = false;
-              nextWrite();
+            (result, failure) -> {
+              writeInFlight = false;
+              startNextWrite();
             });
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -1,10 +1,10 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.evidence.GoneProof;
+import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.Machine;
-import io.violetrail.ownership.Directory;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Timing;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,8 +21,8 @@
 
   private static final double SILENT_SLACK_SECONDS = 1;
 
-  private final Directory directory;
-  private final Timing timing;
+  private final ClusterView directory;
+  private final LeaseTiming timing;
   private final double heartbeatSeconds;
   private final double periodSeconds;
 
@@ -33,7 +33,7 @@
    * @param periodSeconds the interval at which {@link #check} is called
    */
   public MachineLivenessMonitor(
-      Directory directory, Timing timing, double heartbeatSeconds, double periodSeconds) {
+      ClusterView directory, LeaseTiming timing, double heartbeatSeconds, double periodSeconds) {
     this.directory = directory;
     this.timing = timing;
     this.heartbeatSeconds = heartbeatSeconds;
@@ -42,20 +42,22 @@
 
   /** Looks at one machine of an active entity at the given second of the steady clock. */
   void check(OwnedEntity entity, Machine machine, double now) {
-    if (!machine.row().up()) {
+    if (!machine.row().hasReported()) {
       return;
     }
     machine.countUse(periodSeconds);
-    if (!machine.silent() && now - machine.heardS() > silentAfterSeconds()) {
+    if (!machine.unresponsive() && now - machine.lastHeartbeatAtSeconds() > silentAfterSeconds()) {
       markSilent(entity, machine, now);
     }
-    if (!machine.heard() && directory.anyAnswersWithoutToken()) {
+    if (!machine.tasksKnown() && directory.anyControllerRepliesWithoutToken()) {
       // Its worker may have seen no token yet, and then that controller's answers keep its lease.
       // This ends with the upgrade, or with the machine's return to the cloud.
-      double keptUntil = now + periodSeconds + timing.goneAfterAnswerS();
+      double keptUntil = now + periodSeconds + timing.tasksGoneAfterReplySeconds();
       machine.mayHoldTasksUntil(keptUntil);
     }
-    if (machine.silent() && leaseIsOver(machine, now) && machine.firstSession() <= machine.session()) {
+    if (machine.unresponsive()
+        && leaseIsOver(machine, now)
+        && machine.firstValidSession() <= machine.lastSession()) {
       expireLease(entity, machine, now);
     }
   }
@@ -65,9 +67,9 @@
   }
 
   private boolean leaseIsOver(Machine machine, double now) {
-    return machine.heard()
-        ? now - machine.answeredS() > timing.goneAfterAnswerS()
-        : now > machine.unheardGoneS();
+    return machine.tasksKnown()
+        ? now - machine.lastAnsweredAtSeconds() > timing.tasksGoneAfterReplySeconds()
+        : now > machine.unreportedTasksGoneAtSeconds();
   }
 
   private static void markSilent(OwnedEntity entity, Machine machine, double now) {
@@ -75,13 +77,13 @@
     LOG.info(
         "machine {} of entity {} is silent: last report {} s ago in session {}, {} tasks",
         machine.id(),
-        entity.entity(),
-        tenths(now - machine.heardS()),
-        machine.session(),
-        machine.tasks().size());
-    for (Placement placement : List.copyOf(machine.tasks().values())) {
-      if (placement.revocable()) {
-        entity.unplace(placement, now, GoneProof.NEVER_SENT);
+        entity.id(),
+        tenths(now - machine.lastHeartbeatAtSeconds()),
+        machine.lastSession(),
+        machine.placements().size());
+    for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
+      if (placement.isRevocable()) {
+        entity.removePlacement(placement, now, TerminationEvidence.NEVER_SENT);
       }
     }
   }
@@ -91,13 +93,13 @@
         "machine {}: its worker's lease is over, and so are {} tasks: last answer {} s ago, a lease"
             + " ends after {} s; heard under this version: {}",
         machine.id(),
-        machine.tasks().size(),
-        tenths(now - machine.answeredS()),
-        tenths(timing.goneAfterAnswerS()),
-        machine.heard());
+        machine.placements().size(),
+        tenths(now - machine.lastAnsweredAtSeconds()),
+        tenths(timing.tasksGoneAfterReplySeconds()),
+        machine.tasksKnown());
     machine.leaseExpired();
-    for (Placement placement : List.copyOf(machine.tasks().values())) {
-      entity.unplace(placement, now, GoneProof.LEASE_OVER);
+    for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
+      entity.removePlacement(placement, now, TerminationEvidence.LEASE_OVER);
     }
   }
 
--- a/src/main/java/io/violetrail/scheduling/PendingJobs.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueues.java
@@ -1,6 +1,6 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import io.violetrail.ownership.OwnedEntity;
 import java.util.Collection;
 import java.util.HashMap;
@@ -8,17 +8,21 @@
 import java.util.Map;
 
 /** The queues of pending jobs, one for each entity owned here. */
-public final class PendingJobs {
-  private final Loop loop;
-  private final Aims aims;
-  private final Estimates estimates;
+public final class PendingQueues {
+  private final EventLoop loop;
+  private final ServiceLevelObjectives aims;
+  private final RuntimeEstimates estimates;
   private final SchedulingLoop schedulingLoop;
-  private final Map<OwnedEntity, Waiting> queues = new HashMap<>();
+  private final Map<OwnedEntity, PendingQueue> queues = new HashMap<>();
 
   /** Queues are ordered by the objectives and by how long jobs are expected to run. */
-  public PendingJobs(Loop loop, Aims aims, Estimates estimates, SchedulingLoop schedulingLoop) {
+  public PendingQueues(
+      EventLoop loop,
+      ServiceLevelObjectives objectives,
+      RuntimeEstimates estimates,
+      SchedulingLoop schedulingLoop) {
     this.loop = loop;
-    this.aims = aims;
+    this.aims = objectives;
     this.estimates = estimates;
     this.schedulingLoop = schedulingLoop;
   }
@@ -26,15 +30,15 @@
   /** Jobs of the entity with unplaced tasks, the most urgent first. */
   public List<Job> inOrder(OwnedEntity entity) {
     return queues
-        .computeIfAbsent(entity, owned -> new Waiting(owned, aims, estimates))
-        .order(loop.seconds());
+        .computeIfAbsent(entity, owned -> new PendingQueue(owned, aims, estimates))
+        .orderedJobs(loop.monotonicSeconds());
   }
 
   /** A job has arrived, or tasks of one are pending again: the order is worked out anew. */
   public void jobsChanged(OwnedEntity entity) {
-    Waiting queue = queues.get(entity);
+    PendingQueue queue = queues.get(entity);
     if (queue != null) {
-      queue.changed();
+      queue.invalidateOrder();
     }
     schedulingLoop.requestPass();
   }
