--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -1,9 +1,9 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.evidence.GoneProof;
+import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.Machine;
-import io.violetrail.model.Amounts;
-import io.violetrail.model.Shape;
+import io.violetrail.model.JobShape;
+import io.violetrail.model.Resources;
 import io.violetrail.ownership.OwnedEntity;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -21,12 +21,12 @@
   /**
    * Room that is being made is kept this long beyond the time to save, in which two reports pass.
    */
-  static final double RESERVED_S = 6;
+  static final double RESERVATION_SECONDS = 6;
 
   /** A job for which no room could be made is not tried again sooner: the search is the dearest. */
-  private static final double AGAIN_S = 1;
+  private static final double RETRY_SECONDS = 1;
 
-  private final Consumer<Placement> halted;
+  private final Consumer<TaskPlacement> onStopRequested;
 
   /**
    * Creates a preemption that stops tasks through a callback.
@@ -34,165 +34,190 @@
    * @param halted told of each task that is to stop
    */
   /** Stops placements through the given consumer, which sends the commands. */
-  public Preemption(Consumer<Placement> halted) {
-    this.halted = halted;
+  public Preemption(Consumer<TaskPlacement> onStopRequested) {
+    this.onStopRequested = onStopRequested;
   }
 
   /** A machine that would take some tasks of the job, after stopping some of others. */
-  private record Offer(Machine machine, int tasks, List<Placement> victims, double loss) {}
+  private record PreemptionCandidate(
+      Machine machine, int taskCount, List<TaskPlacement> victims, double lostCpuSeconds) {}
 
   /**
    * Makes room for a job that waits: for one task of an array, and for a gang whole or not at all,
    * since gangs that hold parts of each other's room would all wait. The job is placed once the
    * stopped tasks are gone; until then the room is reserved for it.
    */
-  void makeRoom(OwnedEntity h, Job job, double now) {
-    if (now < job.makeRoomS() || !h.placedBelow(job.spec().priority())) {
+  void preemptFor(OwnedEntity entity, Job job, double nowSeconds) {
+    if (nowSeconds < job.nextPreemptionAtSeconds()
+        || !entity.hasPlacedTaskBelow(job.spec().priority())) {
       return;
     }
-    job.makeRoomNotBefore(now + AGAIN_S);
-    Map<String, List<Offer>> zones = new HashMap<>();
-    for (Machine m : h.machines().values()) {
-      if (m.reservedFor() == job && now <= m.reservedUntilS()) {
+    job.makeRoomNotBefore(nowSeconds + RETRY_SECONDS);
+    Map<String, List<PreemptionCandidate>> candidatesByZone = new HashMap<>();
+    for (Machine machine : entity.machines().values()) {
+      if (machine.reservedForJob() == job && nowSeconds <= machine.reservedUntilSeconds()) {
         return;
       }
-      Offer offer = offer(job, m, now);
-      if (offer != null) {
-        String zone = job.spec().oneZone() ? m.row().zone() : "";
-        zones.computeIfAbsent(zone, z -> new ArrayList<>()).add(offer);
+      PreemptionCandidate candidate = findCandidate(job, machine, nowSeconds);
+      if (candidate != null) {
+        String zone = job.spec().singleZone() ? machine.row().zone() : "";
+        candidatesByZone.computeIfAbsent(zone, z -> new ArrayList<>()).add(candidate);
       }
     }
-    int tasks = job.spec().shape() == Shape.GANG ? job.spec().tasks() : 1;
-    List<Offer> best = null;
-    double bestLoss = Double.POSITIVE_INFINITY;
-    for (List<Offer> zone : zones.values()) {
-      List<Offer> cheapest = cheapest(zone, tasks);
-      double loss = 0;
-      for (Offer o : cheapest) {
-        loss += o.loss();
+    int neededTaskCount = job.spec().shape() == JobShape.GANG ? job.spec().taskCount() : 1;
+    List<PreemptionCandidate> bestCandidates = null;
+    double bestLostCpuSeconds = Double.POSITIVE_INFINITY;
+    for (List<PreemptionCandidate> zone : candidatesByZone.values()) {
+      List<PreemptionCandidate> cheapest = selectCheapest(zone, neededTaskCount);
+      double lostCpuSeconds = 0;
+      for (PreemptionCandidate chosen : cheapest) {
+        lostCpuSeconds += chosen.lostCpuSeconds();
       }
-      if (!cheapest.isEmpty() && loss < bestLoss) {
-        best = cheapest;
-        bestLoss = loss;
+      if (!cheapest.isEmpty() && lostCpuSeconds < bestLostCpuSeconds) {
+        bestCandidates = cheapest;
+        bestLostCpuSeconds = lostCpuSeconds;
       }
     }
-    if (best != null) {
-      take(h, job, best, now);
+    if (bestCandidates != null) {
+      preemptAndReserve(entity, job, bestCandidates, nowSeconds);
     }
   }
 
   /** The offers with the least loss a task that hold so many tasks; empty if all do not. */
-  private static List<Offer> cheapest(List<Offer> offers, int tasks) {
-    offers.sort(Comparator.comparingDouble(o -> o.loss() / o.tasks()));
-    List<Offer> chosen = new ArrayList<>();
-    int held = 0;
-    for (Offer o : offers) {
-      if (held >= tasks) {
+  private static List<PreemptionCandidate> selectCheapest(
+      List<PreemptionCandidate> candidates, int neededTaskCount) {
+    candidates.sort(
+        Comparator.comparingDouble(
+            candidate -> candidate.lostCpuSeconds() / candidate.taskCount()));
+    List<PreemptionCandidate> chosen = new ArrayList<>();
+    int coveredTaskCount = 0;
+    for (PreemptionCandidate candidate : candidates) {
+      if (coveredTaskCount >= neededTaskCount) {
         break;
       }
-      chosen.add(o);
-      held += o.tasks();
+      chosen.add(candidate);
+      coveredTaskCount += candidate.taskCount();
     }
-    return held >= tasks ? chosen : List.of();
+    return coveredTaskCount >= neededTaskCount ? chosen : List.of();
   }
 
-  private void take(OwnedEntity h, Job job, List<Offer> offers, double now) {
-    double grace = 0;
-    int stopped = 0;
-    for (Offer o : offers) {
-      for (Placement p : o.victims()) {
-        grace = Math.max(grace, stop(h, p, now));
-        stopped++;
+  private void preemptAndReserve(
+      OwnedEntity entity, Job job, List<PreemptionCandidate> candidates, double nowSeconds) {
+    double graceSeconds = 0;
+    int stoppedCount = 0;
+    for (PreemptionCandidate candidate : candidates) {
+      for (TaskPlacement placement : candidate.victims()) {
+        graceSeconds = Math.max(graceSeconds, preempt(entity, placement, nowSeconds));
+        stoppedCount++;
       }
     }
-    for (Offer o : offers) {
-      o.machine().reserve(job, now + grace + RESERVED_S);
+    for (PreemptionCandidate candidate : candidates) {
+      candidate.machine().reserve(job, nowSeconds + graceSeconds + RESERVATION_SECONDS);
     }
     LOG.info(
-        "job {}: {} less urgent tasks stop on {} machines", job.spec().id(), stopped, offers.size());
+        "job {}: {} less urgent tasks stop on {} machines",
+        job.spec().id(),
+        stoppedCount,
+        candidates.size());
   }
 
   /** Stops a task, letting it save if it can; returns how long that may take. */
-  double stop(OwnedEntity h, Placement p, double now) {
-    double save = p.job().spec().checkpointS() > 0 ? p.job().spec().saveS() : 0;
-    if (p.job().spec().shape() == Shape.GANG) {
-      for (Placement q : p.job().placements()) {
-        q.halt(save);
-        halted.accept(q);
+  double preempt(OwnedEntity entity, TaskPlacement placement, double nowSeconds) {
+    double saveSeconds =
+        placement.job().spec().checkpointIntervalSeconds() > 0
+            ? placement.job().spec().checkpointSaveSeconds()
+            : 0;
+    if (placement.job().spec().shape() == JobShape.GANG) {
+      for (TaskPlacement gangPlacement : placement.job().placements()) {
+        gangPlacement.requestStop(saveSeconds);
+        onStopRequested.accept(gangPlacement);
       }
-    } else if (p.revocable()) {
-      h.unplace(p, now, GoneProof.NEVER_SENT);
+    } else if (placement.isRevocable()) {
+      entity.removePlacement(placement, nowSeconds, TerminationEvidence.NEVER_SENT);
     } else {
-      p.halt(save);
-      halted.accept(p);
+      placement.requestStop(saveSeconds);
+      onStopRequested.accept(placement);
     }
-    return save;
+    return saveSeconds;
   }
 
   /** What the machine could hold of the job; null if nothing. */
-  private static Offer offer(Job job, Machine m, double now) {
-    Amounts task = job.spec().task();
-    boolean taken = m.reservedFor() != null && now <= m.reservedUntilS();
-    if (taken || !m.open() || !task.fitsIn(m.type().size()) || !Placer.allowed(job, m, Map.of())) {
+  private static PreemptionCandidate findCandidate(Job job, Machine machine, double nowSeconds) {
+    Resources taskResources = job.spec().taskResources();
+    boolean reserved =
+        machine.reservedForJob() != null && nowSeconds <= machine.reservedUntilSeconds();
+    if (reserved
+        || !machine.isSchedulable()
+        || !taskResources.fitsIn(machine.type().capacity())
+        || !BinPacker.isAllowed(job, machine, Map.of())) {
       return null;
     }
-    if (m.type().size().gpus() > 0 && task.gpus() == 0) {
+    if (machine.type().capacity().gpus() > 0 && taskResources.gpus() == 0) {
       // Work without accelerators is not placed there either while others may want them.
       return null;
     }
     // Waiting for the image counts like work lost.
-    double fetch =
-        m.hasImage(job.spec().image())
+    double fetchCpuSeconds =
+        machine.hasImage(job.spec().image())
             ? 0
-            : job.spec().imageGb() / m.type().fetchGbPerS() * task.cpus();
-    int free = m.room().count(task);
-    if (free > 0) {
-      return new Offer(m, free, List.of(), fetch * free);
+            : job.spec().imageGb() / machine.type().fetchGbPerSecond() * taskResources.cpus();
+    int freeTaskCount = machine.freeCapacity().countFitting(taskResources);
+    if (freeTaskCount > 0) {
+      return new PreemptionCandidate(
+          machine, freeTaskCount, List.of(), fetchCpuSeconds * freeTaskCount);
     }
-    List<Placement> lower = new ArrayList<>();
-    Amounts room = m.room();
-    for (Placement p : m.tasks().values()) {
-      if (p.job().spec().priority().compareTo(job.spec().priority()) > 0) {
-        lower.add(p);
-        room = room.plus(p.job().spec().task());
+    List<TaskPlacement> lessUrgent = new ArrayList<>();
+    Resources room = machine.freeCapacity();
+    for (TaskPlacement placement : machine.placements().values()) {
+      if (placement.job().spec().priority().compareTo(job.spec().priority()) > 0) {
+        lessUrgent.add(placement);
+        room = room.plus(placement.job().spec().taskResources());
       }
     }
-    if (!task.fitsIn(room)) {
+    if (!taskResources.fitsIn(room)) {
       return null;
     }
-    lower.sort(Comparator.comparingDouble(p -> loss(p, now)));
-    room = m.room();
-    List<Placement> victims = new ArrayList<>();
+    lessUrgent.sort(Comparator.comparingDouble(p -> lostCpuSeconds(p, nowSeconds)));
+    room = machine.freeCapacity();
+    List<TaskPlacement> victims = new ArrayList<>();
     double loss = 0;
-    for (Placement p : lower) {
-      if (task.fitsIn(room)) {
+    for (TaskPlacement placement : lessUrgent) {
+      if (taskResources.fitsIn(room)) {
         break;
       }
-      room = room.plus(p.job().spec().task());
-      victims.add(p);
-      loss += loss(p, now);
+      room = room.plus(placement.job().spec().taskResources());
+      victims.add(placement);
+      loss += lostCpuSeconds(placement, nowSeconds);
     }
-    return new Offer(m, 1, victims, loss + fetch);
+    return new PreemptionCandidate(machine, 1, victims, loss + fetchCpuSeconds);
   }
 
   /**
    * Work lost if all of a machine's tasks are stopped, gangs with all of theirs, in cpu seconds.
    */
-  public static double loss(Machine m, double now) {
-    double sum = 0;
-    for (Placement p : m.tasks().values()) {
-      List<Placement> stopped = p.job().spec().shape() == Shape.GANG ? p.job().placements() : List.of(p);
-      for (Placement q : stopped) {
-        sum += loss(q, now);
+  public static double lostCpuSeconds(Machine machine, double nowSeconds) {
+    double totalCpuSeconds = 0;
+    for (TaskPlacement placement : machine.placements().values()) {
+      List<TaskPlacement> stopped =
+          placement.job().spec().shape() == JobShape.GANG
+              ? placement.job().placements()
+              : List.of(placement);
+      for (TaskPlacement gangPlacement : stopped) {
+        totalCpuSeconds += lostCpuSeconds(gangPlacement, nowSeconds);
       }
     }
-    return sum;
+    return totalCpuSeconds;
   }
 
   /** Work lost with a task, in cpu seconds; what saves loses little. */
-  private static double loss(Placement p, double now) {
-    double age = now - p.sinceS();
-    double lost = p.job().spec().checkpointS() > 0 ? Math.min(age, p.job().spec().saveS()) : age;
-    return lost * (p.job().spec().task().cpus() + 8 * p.job().spec().task().gpus());
+  private static double lostCpuSeconds(TaskPlacement placement, double nowSeconds) {
+    double runSeconds = nowSeconds - placement.placedAtSeconds();
+    double lostSeconds =
+        placement.job().spec().checkpointIntervalSeconds() > 0
+            ? Math.min(runSeconds, placement.job().spec().checkpointSaveSeconds())
+            : runSeconds;
+    return lostSeconds
+        * (placement.job().spec().taskResources().cpus()
+            + 8 * placement.job().spec().taskResources().gpus());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
+++ b/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
@@ -1,7 +1,7 @@
 package io.violetrail.scheduling;
 
-import io.violetrail.net.Loop;
-import io.violetrail.net.Soon;
+import io.violetrail.net.CoalescingTimer;
+import io.violetrail.net.EventLoop;
 
 /**
  * Decides when a scheduling pass runs. Requests are debounced, since events come in bunches, and a
@@ -15,15 +15,15 @@
   /** Length of the pause after a pass, as a multiple of the pass. */
   private static final double PAUSE_FACTOR = 5;
 
-  private final Loop loop;
-  private final Soon nextPass;
+  private final EventLoop loop;
+  private final CoalescingTimer nextPass;
   private Runnable pass = () -> {};
   private double pausedUntilSeconds;
 
   /** Runs passes as turns of the event loop. */
-  public SchedulingLoop(Loop loop) {
+  public SchedulingLoop(EventLoop loop) {
     this.loop = loop;
-    this.nextPass = new Soon(loop, this::runPass);
+    this.nextPass = new CoalescingTimer(loop, this::runPass);
   }
 
   /** Sets what a pass does. Until then requested passes do nothing. */
@@ -33,13 +33,13 @@
 
   /** Something has changed that may let a task be placed. */
   public void requestPass() {
-    nextPass.in(Math.max(DEBOUNCE_SECONDS, pausedUntilSeconds - loop.seconds()));
+    nextPass.schedule(Math.max(DEBOUNCE_SECONDS, pausedUntilSeconds - loop.monotonicSeconds()));
   }
 
   private void runPass() {
-    double beganSeconds = loop.seconds();
+    double beganSeconds = loop.monotonicSeconds();
     pass.run();
-    double endedSeconds = loop.seconds();
+    double endedSeconds = loop.monotonicSeconds();
     pausedUntilSeconds = endedSeconds + PAUSE_FACTOR * (endedSeconds - beganSeconds);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -1,7 +1,7 @@
 package io.violetrail.scheduling;
 
 import io.violetrail.fleet.Machine;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import io.violetrail.wire.HeartbeatMessages.ExitCause;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -12,21 +12,22 @@
   private static final double RETRY_AFTER_REFUSAL_SECONDS = 1.5;
   private static final double RETRY_AFTER_UNKNOWN_SECONDS = 5;
 
-  private final Loop loop;
+  private final EventLoop loop;
 
   /** Takes the time of failures from the loop. */
-  public TaskFailureHandler(Loop loop) {
+  public TaskFailureHandler(EventLoop loop) {
     this.loop = loop;
   }
 
   /** A task has ended on the machine without being done. */
-  public void taskFailed(Machine machine, Placement placement, ExitCause cause) {
-    double now = loop.seconds();
+  public void taskFailed(Machine machine, TaskPlacement placement, ExitCause cause) {
+    double now = loop.monotonicSeconds();
     Job job = placement.job();
-    int index = placement.index();
+    int index = placement.taskIndex();
     switch (cause) {
       case ERROR -> {
-        double ranSeconds = placement.runningS() > 0 ? now - placement.runningS() : 0;
+        double ranSeconds =
+            placement.runningSinceSeconds() > 0 ? now - placement.runningSinceSeconds() : 0;
         LOG.info(
             "task {}/{} failed on {} after {} s",
             job.spec().id(),
@@ -34,10 +35,11 @@
             machine.id(),
             Math.round(ranSeconds));
         job.countError();
-        Blame.failed(machine, job, ranSeconds, now);
-        job.retryNotBefore(index, job.trial().againS());
+        FailureAttribution.recordFailure(machine, job, ranSeconds, now);
+        job.retryNotBefore(index, job.failureHistory().retryAtSeconds());
       }
-      case NO_ROOM, BUSY -> job.retryNotBefore(index, now + RETRY_AFTER_REFUSAL_SECONDS);
+      case INSUFFICIENT_RESOURCES, BUSY ->
+          job.retryNotBefore(index, now + RETRY_AFTER_REFUSAL_SECONDS);
       case UNKNOWN -> job.retryNotBefore(index, now + RETRY_AFTER_UNKNOWN_SECONDS);
       default -> job.retryAtOnce(index);
     }
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -1,11 +1,11 @@
 package io.violetrail.state;
 
-import io.violetrail.net.Budget;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Soon;
-import io.violetrail.state.StateStore.Unavailable;
-import io.violetrail.wire.StateWire.Outcome;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.net.CoalescingTimer;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.RateLimiter;
+import io.violetrail.state.StateStore.StateUnavailableException;
+import io.violetrail.wire.StateStoreMessages.Transaction;
+import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -36,104 +36,105 @@
     PROGRESS
   }
 
-  private static final double GATHER_S = 0.004;
-  private static final double RETRY_S = 0.3;
-  private static final double PAUSE_S = 0.05;
+  private static final double GATHER_SECONDS = 0.004;
+  private static final double RETRY_SECONDS = 0.3;
+  private static final double BUDGET_WAIT_SECONDS = 0.05;
 
   /** After so long a later lane has its turn, the last one after twice that. */
-  private static final double PATIENCE_S = 0.7;
+  private static final double LANE_STARVATION_SECONDS = 0.7;
 
   /** Writes that a transaction must find in the budget; it may take more. */
-  private static final int NARROW = 2;
+  private static final int NARROW_TRANSACTION_WRITES = 2;
 
   /** What a transaction that is yet to be drawn up is taken to write: a job and its sheet. */
-  private static final int UNDRAFTED = 3;
+  private static final int UNDRAFTED_WRITES_ESTIMATE = 3;
 
   /** Requests under way at the same time: one may be slow without holding up the next. */
-  private static final int IN_FLIGHT = 3;
+  private static final int MAX_REQUESTS_IN_FLIGHT = 3;
 
   /** Below the protocol's 64 KiB, with room for what surrounds the parts. */
-  private static final int MAX_BYTES = 48 * 1024;
+  private static final int MAX_REQUEST_BYTES = 48 * 1024;
 
-  private final Loop loop;
-  private final Budget requests;
-  private final Budget writes;
-  private final int maxWrites;
-  private final Function<Txn, CompletableFuture<Outcome>> send;
-  private final Map<Lane, ArrayDeque<Part>> lanes = new EnumMap<>(Lane.class);
-  private int inFlight;
-  private final Soon next;
+  private final EventLoop loop;
+  private final RateLimiter requestLimiter;
+  private final RateLimiter writeLimiter;
+  private final int maxWritesPerRequest;
+  private final Function<Transaction, CompletableFuture<TransactionOutcome>> sender;
+  private final Map<Lane, ArrayDeque<PendingTransaction>> lanes = new EnumMap<>(Lane.class);
+  private int requestsInFlight;
+  private final CoalescingTimer flushDebouncer;
 
   /** The lane that the last request began with, and the one that goes before its place. */
-  private Lane served;
+  private Lane lastServedLane;
 
-  private Lane turn;
+  private Lane overdueLane;
 
-  private static final class Part {
+  private static final class PendingTransaction {
     final Lane lane;
-    final CompletableFuture<Outcome> done = new CompletableFuture<>();
+    final CompletableFuture<TransactionOutcome> outcome = new CompletableFuture<>();
 
     /** Null until a late part is drafted. */
-    Txn txn;
+    Transaction transaction;
 
-    final Supplier<Txn> draft;
-    int bytes;
-    final double sinceS;
+    final Supplier<Transaction> drafter;
+    int sizeBytes;
+    final double queuedAtSeconds;
 
     /** Refused as malformed together with others: sent alone, to find out which one it was. */
-    boolean alone;
+    boolean sentAlone;
 
-    Part(Txn txn, Supplier<Txn> draft, Lane lane, double sinceS) {
+    PendingTransaction(
+        Transaction transaction, Supplier<Transaction> drafter, Lane lane, double queuedAtSeconds) {
       this.lane = lane;
-      this.sinceS = sinceS;
-      this.draft = draft;
-      this.alone = draft != null;
-      if (txn != null) {
-        is(txn);
+      this.queuedAtSeconds = queuedAtSeconds;
+      this.drafter = drafter;
+      this.sentAlone = drafter != null;
+      if (transaction != null) {
+        setTransaction(transaction);
       }
     }
 
-    private void is(Txn now) {
-      txn = now;
-      bytes = now.bytes().length;
+    private void setTransaction(Transaction drafted) {
+      transaction = drafted;
+      sizeBytes = drafted.encode().length;
     }
 
     /** Drafts a late part; false if there is nothing left to write. */
-    boolean drafted() {
-      if (txn == null) {
-        Txn now = draft.get();
-        if (now == null) {
+    boolean draftIfNeeded() {
+      if (transaction == null) {
+        Transaction drafted = drafter.get();
+        if (drafted == null) {
           return false;
         }
-        is(now);
+        setTransaction(drafted);
       }
       return true;
     }
 
-    int writes() {
-      return txn == null ? 1 : txn.writes();
+    int writeCount() {
+      return transaction == null ? 1 : transaction.writeCount();
     }
   }
 
   GroupCommit(
-      Loop loop,
-      Budget requests,
-      Budget writes,
-      int maxWrites,
-      Function<Txn, CompletableFuture<Outcome>> send) {
+      EventLoop loop,
+      RateLimiter requestLimiter,
+      RateLimiter writeLimiter,
+      int maxWritesPerRequest,
+      Function<Transaction, CompletableFuture<TransactionOutcome>> sender) {
     this.loop = loop;
-    this.next = new Soon(loop, this::flush);
-    this.requests = requests;
-    this.writes = writes;
-    this.maxWrites = maxWrites;
-    this.send = send;
+    this.flushDebouncer = new CoalescingTimer(loop, this::flush);
+    this.requestLimiter = requestLimiter;
+    this.writeLimiter = writeLimiter;
+    this.maxWritesPerRequest = maxWritesPerRequest;
+    this.sender = sender;
     for (Lane lane : Lane.values()) {
       lanes.put(lane, new ArrayDeque<>());
     }
   }
 
-  CompletableFuture<Outcome> add(Txn txn, Lane lane) {
-    return add(new Part(txn, null, lane, loop.seconds()));
+  CompletableFuture<TransactionOutcome> add(Transaction transaction, Lane lane) {
+    return add(new PendingTransaction(transaction, null, lane, loop.monotonicSeconds()));
   }
 
   /**
@@ -141,47 +142,47 @@
    * as can be: one drafted before a wait for the budget would fail on conditions gone stale. The
    * future fails if there is nothing to write by then.
    */
-  CompletableFuture<Outcome> late(Supplier<Txn> draft, Lane lane) {
-    return add(new Part(null, draft, lane, loop.seconds()));
+  CompletableFuture<TransactionOutcome> addDeferred(Supplier<Transaction> drafter, Lane lane) {
+    return add(new PendingTransaction(null, drafter, lane, loop.monotonicSeconds()));
   }
 
-  private CompletableFuture<Outcome> add(Part part) {
-    lanes.get(part.lane).addLast(part);
-    next.in(GATHER_S);
-    return part.done;
+  private CompletableFuture<TransactionOutcome> add(PendingTransaction pending) {
+    lanes.get(pending.lane).addLast(pending);
+    flushDebouncer.schedule(GATHER_SECONDS);
+    return pending.outcome;
   }
 
   /** Changes that users and machines wait for; progress is not counted, nobody waits for it. */
-  double changesWaiting() {
-    double sum = 0;
+  double waitingWriteCount() {
+    double count = 0;
     for (Lane lane : List.of(Lane.USERS, Lane.MACHINES)) {
-      for (Part p : lanes.get(lane)) {
-        sum += p.txn == null ? UNDRAFTED : p.writes();
+      for (PendingTransaction pending : lanes.get(lane)) {
+        count += pending.transaction == null ? UNDRAFTED_WRITES_ESTIMATE : pending.writeCount();
       }
     }
-    return sum;
+    return count;
   }
 
   /** More of the budget is there. */
-  void wake() {
-    next.in(0);
+  void flushNow() {
+    flushDebouncer.schedule(0);
   }
 
   private void flush() {
-    boolean waits = false;
-    while (inFlight < IN_FLIGHT) {
-      List<Part> group = gather();
-      if (group.isEmpty()) {
+    boolean hasWaiting = false;
+    while (requestsInFlight < MAX_REQUESTS_IN_FLIGHT) {
+      List<PendingTransaction> batch = gatherBatch();
+      if (batch.isEmpty()) {
         break;
       }
-      inFlight++;
-      send(group);
+      requestsInFlight++;
+      sendBatch(batch);
     }
-    for (ArrayDeque<Part> lane : lanes.values()) {
-      waits |= !lane.isEmpty();
+    for (ArrayDeque<PendingTransaction> lane : lanes.values()) {
+      hasWaiting |= !lane.isEmpty();
     }
-    if (waits && inFlight < IN_FLIGHT) {
-      next.in(PAUSE_S);
+    if (hasWaiting && requestsInFlight < MAX_REQUESTS_IN_FLIGHT) {
+      flushDebouncer.schedule(BUDGET_WAIT_SECONDS);
     }
   }
 
@@ -189,16 +190,16 @@
    * The lanes in their order, but one that has waited for long has its turn after each request of
    * another: submissions without end would keep machines from ever coming into use.
    */
-  private List<Lane> order(double now) {
+  private List<Lane> orderLanes(double nowSeconds) {
     List<Lane> order = new ArrayList<>(List.of(Lane.values()));
-    turn = null;
+    overdueLane = null;
     for (Lane lane : Lane.values()) {
-      Part head = lanes.get(lane).peekFirst();
+      PendingTransaction head = lanes.get(lane).peekFirst();
       if (lane != Lane.USERS
-          && lane != served
+          && lane != lastServedLane
           && head != null
-          && now - head.sinceS > PATIENCE_S * lane.ordinal()) {
-        turn = lane;
+          && nowSeconds - head.queuedAtSeconds > LANE_STARVATION_SECONDS * lane.ordinal()) {
+        overdueLane = lane;
         order.remove(lane);
         order.add(0, lane);
         break;
@@ -208,124 +209,136 @@
   }
 
   /** Takes what goes into one request out of the lanes and the budgets. */
-  private List<Part> gather() {
-    double now = loop.seconds();
-    List<Part> group = new ArrayList<>();
-    if (!requests.has(1, now)) {
-      return group;
+  private List<PendingTransaction> gatherBatch() {
+    double nowSeconds = loop.monotonicSeconds();
+    List<PendingTransaction> batch = new ArrayList<>();
+    if (!requestLimiter.canAcquire(1, nowSeconds)) {
+      return batch;
     }
-    Group sum = new Group();
-    for (Lane lane : order(now)) {
+    Batch request = new Batch();
+    for (Lane lane : orderLanes(nowSeconds)) {
       // The later lanes leave a part of the budget to submissions that are yet to come, unless it
       // is
       // their turn.
-      double left = lane == turn ? 0 : writes.burst() * lane.ordinal() * 0.25;
-      for (var parts = lanes.get(lane).iterator(); parts.hasNext() && !sum.closed; ) {
-        Part p = parts.next();
+      double reservedWrites =
+          lane == overdueLane ? 0 : writeLimiter.burst() * lane.ordinal() * 0.25;
+      for (var queue = lanes.get(lane).iterator(); queue.hasNext() && !request.closed; ) {
+        PendingTransaction pending = queue.next();
         // A wide transaction goes when a narrow one could, and those after it pay: one that had to
         // find its whole need in the bucket never went while submissions kept that low.
-        double need = sum.writes + Math.min(p.writes(), NARROW) + left;
-        if (!writes.has(Math.min(need, writes.burst()), now) || p.alone && !group.isEmpty()) {
+        double neededWrites =
+            request.writeCount
+                + Math.min(pending.writeCount(), NARROW_TRANSACTION_WRITES)
+                + reservedWrites;
+        if (!writeLimiter.canAcquire(Math.min(neededWrites, writeLimiter.burst()), nowSeconds)
+            || pending.sentAlone && !batch.isEmpty()) {
           break;
         }
-        if (!p.drafted()) {
-          parts.remove();
-          p.done.completeExceptionally(new Unavailable("nothing to write", 400));
-        } else if (sum.takes(p, maxWrites)) {
-          parts.remove();
-          group.add(p);
+        if (!pending.draftIfNeeded()) {
+          queue.remove();
+          pending.outcome.completeExceptionally(
+              new StateUnavailableException("nothing to write", 400));
+        } else if (request.tryAdd(pending, maxWritesPerRequest)) {
+          queue.remove();
+          batch.add(pending);
         }
       }
     }
-    if (!group.isEmpty()) {
-      served = group.get(0).lane;
-      requests.force(1, now);
-      writes.force(sum.writes, now);
+    if (!batch.isEmpty()) {
+      lastServedLane = batch.get(0).lane;
+      requestLimiter.acquireUnconditionally(1, nowSeconds);
+      writeLimiter.acquireUnconditionally(request.writeCount, nowSeconds);
     }
-    return group;
+    return batch;
   }
 
   /** What a request under construction comes to. */
-  private static final class Group {
-    int writes;
-    int bytes;
-    int parts;
+  private static final class Batch {
+    int writeCount;
+    int sizeBytes;
+    int transactionCount;
     boolean closed;
-    final Set<String> written = new HashSet<>();
+    final Set<String> writtenKeys = new HashSet<>();
     final Map<String, Long> conditions = new HashMap<>();
 
     /** Adds the part if it fits and says nothing that contradicts the others. */
-    boolean takes(Part p, int maxWrites) {
+    boolean tryAdd(PendingTransaction pending, int maxWritesPerRequest) {
       boolean fits =
-          parts == 0
-              || !p.alone
-                  && writes + p.txn.writes() <= maxWrites
-                  && bytes + p.bytes <= MAX_BYTES
-                  && conditions.size() + p.txn.conditions().size() <= 4 * maxWrites;
+          transactionCount == 0
+              || !pending.sentAlone
+                  && writeCount + pending.transaction.writeCount() <= maxWritesPerRequest
+                  && sizeBytes + pending.sizeBytes <= MAX_REQUEST_BYTES
+                  && conditions.size() + pending.transaction.expectedRevisions().size()
+                      <= 4 * maxWritesPerRequest;
       if (closed || !fits) {
         return false;
       }
-      for (String key : p.txn.writtenKeys()) {
-        if (written.contains(key) || conditions.containsKey(key)) {
+      for (String key : pending.transaction.writtenKeys()) {
+        if (writtenKeys.contains(key) || conditions.containsKey(key)) {
           return false;
         }
       }
-      for (var c : p.txn.conditions().entrySet()) {
-        Long other = conditions.get(c.getKey());
-        if (written.contains(c.getKey()) || other != null && !other.equals(c.getValue())) {
+      for (var condition : pending.transaction.expectedRevisions().entrySet()) {
+        Long otherRevision = conditions.get(condition.getKey());
+        if (writtenKeys.contains(condition.getKey())
+            || otherRevision != null && !otherRevision.equals(condition.getValue())) {
           return false;
         }
       }
-      written.addAll(p.txn.writtenKeys());
-      conditions.putAll(p.txn.conditions());
-      writes += p.txn.writes();
-      bytes += p.bytes;
-      parts++;
-      closed = p.alone;
+      writtenKeys.addAll(pending.transaction.writtenKeys());
+      conditions.putAll(pending.transaction.expectedRevisions());
+      writeCount += pending.transaction.writeCount();
+      sizeBytes += pending.sizeBytes;
+      transactionCount++;
+      closed = pending.sentAlone;
       return true;
     }
   }
 
-  private void send(List<Part> group) {
-    Txn all = new Txn();
-    group.forEach(p -> all.add(p.txn));
-    send.apply(all)
+  private void sendBatch(List<PendingTransaction> batch) {
+    Transaction combined = new Transaction();
+    batch.forEach(p -> combined.merge(p.transaction));
+    sender
+        .apply(combined)
         .whenComplete(
             (outcome, failure) -> {
-              inFlight--;
+              requestsInFlight--;
               if (failure == null) {
-                settled(group, outcome);
-              } else if (Unavailable.of(failure).status() != 400) {
-                loop.after(RETRY_S, () -> again(group));
-              } else if (group.size() == 1) {
-                group.get(0).done.completeExceptionally(failure);
+                completeBatch(batch, outcome);
+              } else if (StateUnavailableException.from(failure).status() != 400) {
+                loop.schedule(RETRY_SECONDS, () -> requeue(batch));
+              } else if (batch.size() == 1) {
+                batch.get(0).outcome.completeExceptionally(failure);
               } else {
-                group.forEach(p -> p.alone = true);
-                again(group);
+                batch.forEach(p -> p.sentAlone = true);
+                requeue(batch);
               }
-              next.in(0);
+              flushDebouncer.schedule(0);
             });
   }
 
-  private void settled(List<Part> group, Outcome outcome) {
-    List<Part> rest = new ArrayList<>();
-    List<Part> told = new ArrayList<>();
-    for (Part p : group) {
-      boolean refused = p.txn.conditions().keySet().stream().anyMatch(outcome.failed()::contains);
-      (outcome.applied() || refused ? told : rest).add(p);
+  private void completeBatch(List<PendingTransaction> batch, TransactionOutcome outcome) {
+    List<PendingTransaction> undecided = new ArrayList<>();
+    List<PendingTransaction> decided = new ArrayList<>();
+    for (PendingTransaction pending : batch) {
+      boolean refused =
+          pending.transaction.expectedRevisions().keySet().stream()
+              .anyMatch(outcome.failedKeys()::contains);
+      (outcome.applied() || refused ? decided : undecided).add(pending);
     }
-    again(rest);
-    for (Part p : told) {
-      Set<String> failed = new HashSet<>(outcome.failed());
-      failed.retainAll(p.txn.conditions().keySet());
-      p.done.complete(new Outcome(outcome.applied(), outcome.revision(), failed));
+    requeue(undecided);
+    for (PendingTransaction pending : decided) {
+      Set<String> failed = new HashSet<>(outcome.failedKeys());
+      failed.retainAll(pending.transaction.expectedRevisions().keySet());
+      pending.outcome.complete(
+          new TransactionOutcome(outcome.applied(), outcome.revision(), failed));
     }
   }
 
-  private void again(List<Part> group) {
-    for (int i = group.size() - 1; i >= 0; i--) {
-      lanes.get(group.get(i).lane).addFirst(group.get(i));
+  private void requeue(List<PendingTransaction> batch) {
+    for (int i = batch.size() - 1; i >= 0; i--) {
+      lanes.get(batch.get(i).lane).addFirst(batch.get(i));
     }
-    next.in(0);
+    flushDebouncer.schedule(0);
   }
 }
--- a/src/main/java/io/violetrail/state/RowFeed.java
+++ b/src/main/java/io/violetrail/state/PrefixWatcher.java
@@ -1,41 +1,41 @@
 package io.violetrail.state;
 
-import io.violetrail.net.Loop;
-import io.violetrail.wire.StateWire;
-import io.violetrail.wire.StateWire.Change;
-import io.violetrail.wire.StateWire.Entry;
+import io.violetrail.net.EventLoop;
+import io.violetrail.wire.StateStoreMessages;
+import io.violetrail.wire.StateStoreMessages.Entry;
+import io.violetrail.wire.StateStoreMessages.RowChange;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** All rows of a prefix and every change of them, in the state service's order. */
-public final class RowFeed {
-  private static final Logger LOG = LoggerFactory.getLogger(RowFeed.class);
-  private static final double WATCH_S = 20;
-  private static final double AGAIN_S = 1;
+public final class PrefixWatcher {
+  private static final Logger LOG = LoggerFactory.getLogger(PrefixWatcher.class);
+  private static final double WATCH_SECONDS = 20;
+  private static final double RETRY_SECONDS = 1;
 
   private final StateStore store;
-  private final Loop loop;
+  private final EventLoop loop;
   private final String prefix;
-  private final Rows rows;
+  private final RowListener listener;
   private long revision;
   private boolean ready;
 
   /** Who is told. */
-  public interface Rows {
+  public interface RowListener {
     /** The rows as of a revision: at the start, and again after changes have been missed. */
-    void listed(List<Entry> all, long revision);
+    void onListing(List<Entry> all, long revision);
 
     /** Changes after the last revision, up to this one. */
-    void changed(List<Change> changes, long revision);
+    void onChanges(List<RowChange> changes, long revision);
   }
 
   /** Creates a feed of the rows under a key prefix; nothing is read before {@code start()}. */
-  public RowFeed(StateStore store, Loop loop, String prefix, Rows rows) {
+  public PrefixWatcher(StateStore store, EventLoop loop, String prefix, RowListener listener) {
     this.store = store;
     this.loop = loop;
     this.prefix = prefix;
-    this.rows = rows;
+    this.listener = listener;
   }
 
   /** Lists all rows and then watches for changes; a failed listing is tried again after a delay. */
@@ -45,17 +45,17 @@
         .whenComplete(
             (listing, failure) -> {
               if (failure != null) {
-                loop.after(AGAIN_S, this::start);
+                loop.schedule(RETRY_SECONDS, this::start);
                 return;
               }
               revision = listing.revision();
               ready = true;
-              rows.listed(listing.entries(), revision);
+              listener.onListing(listing.entries(), revision);
               watch();
             });
   }
 
-  public boolean ready() {
+  public boolean isReady() {
     return ready;
   }
 
@@ -67,13 +67,15 @@
     store.watch(
         prefix,
         revision,
-        WATCH_S,
+        WATCH_SECONDS,
         body -> {
-          long upTo = StateWire.revision(body);
-          List<Change> fresh =
-              StateWire.changes(body).stream().filter(c -> c.stamp() > revision).toList();
-          revision = Math.max(revision, upTo);
-          rows.changed(fresh, revision);
+          long upToRevision = StateStoreMessages.parseRevision(body);
+          List<RowChange> newChanges =
+              StateStoreMessages.parseChanges(body).stream()
+                  .filter(c -> c.modRevision() > revision)
+                  .toList();
+          revision = Math.max(revision, upToRevision);
+          listener.onChanges(newChanges, revision);
           watch();
         },
         tooOld -> {
@@ -82,7 +84,7 @@
             ready = false;
             start();
           } else {
-            loop.after(AGAIN_S, this::watch);
+            loop.schedule(RETRY_SECONDS, this::watch);
           }
         });
   }
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -2,16 +2,16 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings;
-import io.violetrail.net.Budget;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.net.RateLimiter;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.Cbor.Malformed;
-import io.violetrail.wire.StateWire;
-import io.violetrail.wire.StateWire.Entry;
-import io.violetrail.wire.StateWire.Outcome;
-import io.violetrail.wire.StateWire.Page;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.StateStoreMessages;
+import io.violetrail.wire.StateStoreMessages.Entry;
+import io.violetrail.wire.StateStoreMessages.ListPage;
+import io.violetrail.wire.StateStoreMessages.Transaction;
+import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -25,87 +25,98 @@
  */
 public final class StateStore {
   /** Two timeouts fit into a user's patience of 5 s. */
-  private static final double TIMEOUT_S = 1.5;
+  private static final double TIMEOUT_SECONDS = 1.5;
 
-  private static final double URGENT_RETRY_S = 0.3;
+  private static final double URGENT_RETRY_SECONDS = 0.3;
 
   /**
    * The rest is left unused, since a takeover and late requests of a dead controller come on top.
    */
-  private static final double USED = 0.9;
+  private static final double BUDGET_FRACTION_USED = 0.9;
 
   /** A submission behind more seconds' worth of writes than this is turned away at once. */
-  private static final double BACKLOG_S = 1.5;
+  private static final double MAX_BACKLOG_SECONDS = 1.5;
 
   /**
    * The part of the requests that questions about jobs may take: renewals and moves need the rest.
    */
-  private static final double ASKED = 0.4;
+  private static final double USER_READ_FRACTION = 0.4;
 
   /** What a submission takes at most: its claim, and half of a sheet when the budget is short. */
-  private static final double WRITES_A_JOB = 1.5;
+  private static final double WRITES_PER_SUBMISSION = 1.5;
 
-  private static final int PAGE = 500;
+  private static final int PAGE_SIZE = 500;
 
   /** The part of a second's changes that a lender keeps for what comes next. */
-  private static final double KEPT_OF_BURST = 0.5;
+  private static final double RESERVED_BURST_FRACTION = 0.5;
 
-  private final Loop loop;
-  private final Http http;
+  private final EventLoop loop;
+  private final HttpClient http;
   private final Settings settings;
-  private final Budget requests;
-  private final Budget writes;
-  private final Budget asked;
-  private final GroupCommit group;
-  private int sharers;
+  private final RateLimiter requestLimiter;
+  private final RateLimiter writeLimiter;
+  private final RateLimiter userReadLimiter;
+  private final GroupCommit groupCommit;
+  private int activeControllerCount;
 
   /** Creates a client with equal shares of the state service's rate limits. */
-  public StateStore(Loop loop, Http http, Settings settings) {
+  public StateStore(EventLoop loop, HttpClient http, Settings settings) {
     this.loop = loop;
     this.http = http;
     this.settings = settings;
-    double now = loop.seconds();
-    this.requests = new Budget(1, 1, now);
-    this.writes = new Budget(1, 1, now);
-    this.asked = new Budget(1, 1, now);
-    sharers(settings.peers().size() + 1);
-    this.group =
-        new GroupCommit(loop, requests, writes, settings.stateLimits().txnOps(), this::send);
+    double nowSeconds = loop.monotonicSeconds();
+    this.requestLimiter = new RateLimiter(1, 1, nowSeconds);
+    this.writeLimiter = new RateLimiter(1, 1, nowSeconds);
+    this.userReadLimiter = new RateLimiter(1, 1, nowSeconds);
+    setActiveControllerCount(settings.peers().size() + 1);
+    this.groupCommit =
+        new GroupCommit(
+            loop,
+            requestLimiter,
+            writeLimiter,
+            settings.stateStoreLimits().maxTransactionOperations(),
+            this::send);
   }
 
   /** How many controllers share the budgets now: what a dead one leaves goes to its survivors. */
-  public void sharers(int controllers) {
-    if (controllers == sharers) {
+  public void setActiveControllerCount(int newCount) {
+    if (newCount == activeControllerCount) {
       return;
     }
-    sharers = controllers;
-    double share = USED / Math.max(1, controllers);
-    requests.resize(settings.stateLimits().rps() * share, loop.seconds());
-    writes.resize(settings.stateLimits().writeRps() * share, loop.seconds());
-    asked.resize(settings.stateLimits().rps() * share * ASKED, loop.seconds());
+    activeControllerCount = newCount;
+    double shareOfBudget = BUDGET_FRACTION_USED / Math.max(1, newCount);
+    requestLimiter.setRateAndBurst(
+        settings.stateStoreLimits().requestsPerSecond() * shareOfBudget, loop.monotonicSeconds());
+    writeLimiter.setRateAndBurst(
+        settings.stateStoreLimits().writesPerSecond() * shareOfBudget, loop.monotonicSeconds());
+    userReadLimiter.setRateAndBurst(
+        settings.stateStoreLimits().requestsPerSecond() * shareOfBudget * USER_READ_FRACTION,
+        loop.monotonicSeconds());
   }
 
   /** The service said no, or said nothing. */
-  public static final class Unavailable extends RuntimeException {
+  public static final class StateUnavailableException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    public Unavailable(String why, int status) {
-      super(why, null, false, false);
+    public StateUnavailableException(String message, int status) {
+      super(message, null, false, false);
       this.status = status;
     }
 
     /** The cause of a failed future, whatever it is wrapped in. */
-    public static Unavailable of(Throwable failure) {
-      Throwable t =
+    public static StateUnavailableException from(Throwable failure) {
+      Throwable cause =
           failure instanceof java.util.concurrent.CompletionException
               ? failure.getCause()
               : failure;
-      return t instanceof Unavailable u ? u : new Unavailable(String.valueOf(t), 0);
+      return cause instanceof StateUnavailableException unavailable
+          ? unavailable
+          : new StateUnavailableException(String.valueOf(cause), 0);
     }
 
     /** Certainly not carried out, now or later. */
-    public boolean refused() {
+    public boolean isDefinitelyNotApplied() {
       return status != 0;
     }
 
@@ -118,19 +129,21 @@
   public record Listing(List<Entry> entries, long revision) {}
 
   public CompletableFuture<Entry> get(String key) {
-    return requests.has(1, loop.seconds()) ? getNow(key) : busy();
+    return requestLimiter.canAcquire(1, loop.monotonicSeconds())
+        ? getUrgent(key)
+        : rejectOverBudget();
   }
 
   /** A read that a takeover waits for: sent whatever the budget says. */
-  public CompletableFuture<Entry> getNow(String key) {
-    requests.force(1, loop.seconds());
-    return call("GET", "/keys/" + key, null, TIMEOUT_S)
+  public CompletableFuture<Entry> getUrgent(String key) {
+    requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
+    return call("GET", "/keys/" + key, null, TIMEOUT_SECONDS)
         .thenApply(
-            r -> {
-              if (r.status() == 404) {
+            reply -> {
+              if (reply.status() == 404) {
                 return new Entry(key, null, 0);
               }
-              return StateWire.entry(body(r));
+              return StateStoreMessages.parseEntry(parseBody(reply));
             });
   }
 
@@ -147,21 +160,28 @@
    * find its own in the budget, a rush of questions used it up with first reads, and hardly any
    * question was answered.
    */
-  public CompletableFuture<Entry> getForUser(String key, int reads) {
-    return asked.take(reads, loop.seconds()) ? get(key) : busy();
+  public CompletableFuture<Entry> getForUser(String key, int readCount) {
+    return userReadLimiter.tryAcquire(readCount, loop.monotonicSeconds())
+        ? get(key)
+        : rejectOverBudget();
   }
 
   /** A page of keys after a key (empty: from the first on) for whoever asks, within that part. */
-  public CompletableFuture<Page> pageForUser(String prefix, String after, int most) {
-    if (!asked.take(1, loop.seconds()) || !requests.take(1, loop.seconds())) {
-      return busy();
+  public CompletableFuture<ListPage> pageForUser(String prefix, String afterKey, int maxEntries) {
+    if (!userReadLimiter.tryAcquire(1, loop.monotonicSeconds())
+        || !requestLimiter.tryAcquire(1, loop.monotonicSeconds())) {
+      return rejectOverBudget();
     }
-    return call("GET", pagePath(prefix, after, most), null, TIMEOUT_S)
-        .thenApply(r -> read(r, StateWire::page));
+    return call("GET", pagePath(prefix, afterKey, maxEntries), null, TIMEOUT_SECONDS)
+        .thenApply(reply -> parse(reply, StateStoreMessages::parsePage));
   }
 
-  private static String pagePath(String prefix, String after, int most) {
-    return "/keys?under=" + prefix + "&most=" + most + (after.isEmpty() ? "" : "&after=" + after);
+  private static String pagePath(String prefix, String afterKey, int maxEntries) {
+    return "/keys?under="
+        + prefix
+        + "&most="
+        + maxEntries
+        + (afterKey.isEmpty() ? "" : "&after=" + afterKey);
   }
 
   /**
@@ -171,46 +191,48 @@
    * listing went on were taken for dropped, and no watch told of them any more.
    */
   public CompletableFuture<Listing> list(String prefix) {
-    return nextPage(prefix, "")
-        .thenCompose(first -> rest(prefix, first, new ArrayList<>(first.entries())));
+    return readPage(prefix, "")
+        .thenCompose(first -> listRemaining(prefix, first, new ArrayList<>(first.entries())));
   }
 
-  private CompletableFuture<Listing> rest(String prefix, Page first, List<Entry> all) {
-    return restAfter(prefix, first, all).thenApply(nothing -> new Listing(all, first.revision()));
+  private CompletableFuture<Listing> listRemaining(String prefix, ListPage first, List<Entry> all) {
+    return readPagesAfter(prefix, first, all)
+        .thenApply(nothing -> new Listing(all, first.revision()));
   }
 
-  private CompletableFuture<Void> restAfter(String prefix, Page page, List<Entry> all) {
+  private CompletableFuture<Void> readPagesAfter(String prefix, ListPage page, List<Entry> all) {
     if (!page.more() || page.entries().isEmpty()) {
       return CompletableFuture.completedFuture(null);
     }
-    String last = page.entries().get(page.entries().size() - 1).key();
-    return nextPage(prefix, last)
+    String lastKey = page.entries().get(page.entries().size() - 1).key();
+    return readPage(prefix, lastKey)
         .thenCompose(
             next -> {
               all.addAll(next.entries());
-              return restAfter(prefix, next, all);
+              return readPagesAfter(prefix, next, all);
             });
   }
 
-  private CompletableFuture<Page> nextPage(String prefix, String after) {
-    requests.force(1, loop.seconds());
-    return call("GET", pagePath(prefix, after, PAGE), null, TIMEOUT_S * 2)
+  private CompletableFuture<ListPage> readPage(String prefix, String afterKey) {
+    requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
+    return call("GET", pagePath(prefix, afterKey, PAGE_SIZE), null, TIMEOUT_SECONDS * 2)
         .thenApply(
-            r -> {
-              if (!r.ok()) {
-                throw new Unavailable("list", r.status());
+            reply -> {
+              if (!reply.isOk()) {
+                throw new StateUnavailableException("list", reply.status());
               }
-              return read(r, StateWire::page);
+              return parse(reply, StateStoreMessages::parsePage);
             });
   }
 
   /** One try of a transaction. */
-  public CompletableFuture<Outcome> txn(Txn txn) {
-    double now = loop.seconds();
-    if (!requests.take(1, now) || !writes.take(txn.writes(), now)) {
-      return busy();
+  public CompletableFuture<TransactionOutcome> tryTransaction(Transaction transaction) {
+    double nowSeconds = loop.monotonicSeconds();
+    if (!requestLimiter.tryAcquire(1, nowSeconds)
+        || !writeLimiter.tryAcquire(transaction.writeCount(), nowSeconds)) {
+      return rejectOverBudget();
     }
-    return send(txn);
+    return send(transaction);
   }
 
   /**
@@ -218,187 +240,204 @@
    * must be such that it cannot apply twice: each set key is among them. An outcome of "not
    * applied" can then mean that an earlier try was; the caller reads to find out.
    */
-  public CompletableFuture<Outcome> settle(Txn txn) {
-    return group.add(txn, GroupCommit.Lane.MACHINES);
+  public CompletableFuture<TransactionOutcome> commit(Transaction transaction) {
+    return groupCommit.add(transaction, GroupCommit.Lane.MACHINES);
   }
 
   /**
-   * Like {@link #settle}, but drawn up by {@code draft} only when it is about to be sent. Fails
+   * Like {@link #commit}, but drawn up by {@code drafter} only when it is about to be sent. Fails
    * with status 400 if the draft is null.
    */
-  public CompletableFuture<Outcome> settleLate(Supplier<Txn> draft) {
-    return group.late(draft, GroupCommit.Lane.MACHINES);
+  public CompletableFuture<TransactionOutcome> commitDeferred(Supplier<Transaction> drafter) {
+    return groupCommit.addDeferred(drafter, GroupCommit.Lane.MACHINES);
   }
 
-  /** Like {@link #settleLate}, before all else: users wait for it. */
-  public CompletableFuture<Outcome> settleLateForUser(Supplier<Txn> draft) {
-    return group.late(draft, GroupCommit.Lane.USERS);
+  /** Like {@link #commitDeferred}, before all else: users wait for it. */
+  public CompletableFuture<TransactionOutcome> commitDeferredForUser(
+      Supplier<Transaction> drafter) {
+    return groupCommit.addDeferred(drafter, GroupCommit.Lane.USERS);
   }
 
   /** Repeats a transaction that cannot wait for the budget until its outcome is certain. */
-  public CompletableFuture<Outcome> settleUrgent(Txn txn) {
-    CompletableFuture<Outcome> done = new CompletableFuture<>();
-    urgent(txn)
+  public CompletableFuture<TransactionOutcome> commitUrgent(Transaction transaction) {
+    CompletableFuture<TransactionOutcome> result = new CompletableFuture<>();
+    tryUrgentTransaction(transaction)
         .whenComplete(
             (outcome, failure) -> {
               if (failure == null) {
-                done.complete(outcome);
+                result.complete(outcome);
               } else {
-                loop.after(
-                    URGENT_RETRY_S,
-                    () -> settleUrgent(txn).whenComplete((o, f) -> done.complete(o)));
+                loop.schedule(
+                    URGENT_RETRY_SECONDS,
+                    () ->
+                        commitUrgent(transaction)
+                            .whenComplete(
+                                (retriedOutcome, retriedFailure) ->
+                                    result.complete(retriedOutcome)));
               }
             });
-    return done;
+    return result;
   }
 
-  /** Like {@link #settle}, after all else: nobody waits for it. */
-  public CompletableFuture<Outcome> settleLast(Txn txn) {
-    return group.add(txn, GroupCommit.Lane.PROGRESS);
+  /** Like {@link #commit}, after all else: nobody waits for it. */
+  public CompletableFuture<TransactionOutcome> commitInBackground(Transaction transaction) {
+    return groupCommit.add(transaction, GroupCommit.Lane.PROGRESS);
   }
 
   /** Changes that wait and that this controller's part of the budget does not allow now. */
-  public double changesShort() {
-    return writes.lacking(group.changesWaiting(), loop.seconds());
+  public double missingWrites() {
+    return writeLimiter.shortfall(groupCommit.waitingWriteCount(), loop.monotonicSeconds());
   }
 
   /** Gives up so many changes of this controller's part, or what it can spare of them. */
-  public double lendChanges(double wanted) {
-    double now = loop.seconds();
-    if (group.changesWaiting() > 0) {
+  public double lendWrites(double wantedWrites) {
+    double nowSeconds = loop.monotonicSeconds();
+    if (groupCommit.waitingWriteCount() > 0) {
       return 0;
     }
-    double lent = Math.min(wanted, writes.spare(KEPT_OF_BURST * writes.burst(), now));
-    writes.force(lent, now);
-    return lent;
+    double lentWrites =
+        Math.min(
+            wantedWrites,
+            writeLimiter.surplusAbove(RESERVED_BURST_FRACTION * writeLimiter.burst(), nowSeconds));
+    writeLimiter.acquireUnconditionally(lentWrites, nowSeconds);
+    return lentWrites;
   }
 
   /** Another controller has given up so many changes of its part for this one. */
-  public void borrowedChanges(double changes) {
-    writes.add(changes, loop.seconds());
-    group.wake();
+  public void addBorrowedWrites(double borrowedWrites) {
+    writeLimiter.addPermits(borrowedWrites, loop.monotonicSeconds());
+    groupCommit.flushNow();
   }
 
   /** This controller's part of the writes. */
   public double writesPerSecond() {
-    return writes.burst();
+    return writeLimiter.burst();
   }
 
   /** Whether so many submissions wait that one more would not be stored in time. */
-  public boolean overloaded(int submissions) {
-    return submissions * WRITES_A_JOB > BACKLOG_S * writes.burst() + 1;
+  public boolean isOverloaded(int waitingSubmissions) {
+    return waitingSubmissions * WRITES_PER_SUBMISSION
+        > MAX_BACKLOG_SECONDS * writeLimiter.burst() + 1;
   }
 
   /** A transaction that renewals and moves depend on: sent whatever the budget says. */
-  public CompletableFuture<Outcome> urgent(Txn txn) {
-    requests.force(1, loop.seconds());
-    writes.force(txn.writes(), loop.seconds());
-    return send(txn);
+  public CompletableFuture<TransactionOutcome> tryUrgentTransaction(Transaction transaction) {
+    requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
+    writeLimiter.acquireUnconditionally(transaction.writeCount(), loop.monotonicSeconds());
+    return send(transaction);
   }
 
-  private CompletableFuture<Outcome> send(Txn txn) {
-    byte[] bytes = txn.bytes();
-    return call("POST", "/txn", bytes, TIMEOUT_S)
+  private CompletableFuture<TransactionOutcome> send(Transaction transaction) {
+    byte[] bytes = transaction.encode();
+    return call("POST", "/txn", bytes, TIMEOUT_SECONDS)
         .thenApply(
-            r -> {
-              if (r.status() == 409) {
-                return StateWire.outcome(false, body(r));
+            reply -> {
+              if (reply.status() == 409) {
+                return StateStoreMessages.parseOutcome(false, parseBody(reply));
               }
-              if (!r.ok()) {
-                throw new Unavailable("txn answered " + r.status(), r.status());
+              if (!reply.isOk()) {
+                throw new StateUnavailableException(
+                    "txn answered " + reply.status(), reply.status());
               }
-              return StateWire.outcome(true, body(r));
+              return StateStoreMessages.parseOutcome(true, parseBody(reply));
             });
   }
 
   /**
    * Requests a new lease and returns its id.
    *
-   * @param ttlS time to live in seconds
+   * @param ttlSeconds time to live in seconds
    */
-  public CompletableFuture<Long> lease(double ttlS) {
-    requests.force(1, loop.seconds());
-    return call("POST", "/leases", Cbor.bytes(StateWire.lease(Math.round(ttlS * 1000))), TIMEOUT_S)
-        .thenApply(r -> read(r, StateWire::leaseId));
+  public CompletableFuture<Long> grantLease(double ttlSeconds) {
+    requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
+    return call(
+            "POST",
+            "/leases",
+            Cbor.encode(StateStoreMessages.leaseRequest(Math.round(ttlSeconds * 1000))),
+            TIMEOUT_SECONDS)
+        .thenApply(reply -> parse(reply, StateStoreMessages::parseLeaseId));
   }
 
   /** True if renewed, false if the lease has ended. */
-  public CompletableFuture<Boolean> renew(long lease) {
-    requests.force(1, loop.seconds());
-    return call("POST", "/leases/" + lease + "/renew", Cbor.bytes(Cbor.map()), TIMEOUT_S)
-        .thenApply(r -> r.ok());
+  public CompletableFuture<Boolean> renewLease(long leaseId) {
+    requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
+    return call(
+            "POST", "/leases/" + leaseId + "/renew", Cbor.encode(Cbor.newMap()), TIMEOUT_SECONDS)
+        .thenApply(reply -> reply.isOk());
   }
 
   /** Watches a prefix: the answer's body, or null if the revision is too old. */
   public void watch(
       String prefix,
-      long after,
-      double waitS,
-      Consumer<ObjectNode> changed,
-      Consumer<Boolean> failed) {
-    requests.force(1, loop.seconds());
+      long afterRevision,
+      double waitSeconds,
+      Consumer<ObjectNode> onChanges,
+      Consumer<Boolean> onFailure) {
+    requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
     http.call(
-            settings.state(),
+            settings.stateStoreAddress(),
             "GET",
             "/changes?under="
                 + prefix
                 + "&after="
-                + after
+                + afterRevision
                 + "&block_ms="
-                + Math.round(waitS * 1000),
+                + Math.round(waitSeconds * 1000),
             null,
-            waitS + 3)
+            waitSeconds + 3)
         .whenComplete(
-            (r, failure) -> {
-              if (failure == null && r.ok()) {
+            (reply, failure) -> {
+              if (failure == null && reply.isOk()) {
                 try {
-                  changed.accept(Cbor.parse(r.body()));
+                  onChanges.accept(Cbor.parse(reply.body()));
                   return;
-                } catch (Malformed e) {
+                } catch (MalformedMessageException malformed) {
                   // Treated like any other failure.
                 }
               }
-              failed.accept(failure == null && r.status() == 410);
+              onFailure.accept(failure == null && reply.status() == 410);
             });
   }
 
-  private CompletableFuture<Http.Reply> call(
-      String method, String path, byte[] body, double timeoutS) {
-    CompletableFuture<Http.Reply> done = new CompletableFuture<>();
-    http.call(settings.state(), method, path, body, timeoutS)
+  private CompletableFuture<HttpClient.ClientReply> call(
+      String method, String path, byte[] body, double timeoutSeconds) {
+    CompletableFuture<HttpClient.ClientReply> result = new CompletableFuture<>();
+    http.call(settings.stateStoreAddress(), method, path, body, timeoutSeconds)
         .whenComplete(
-            (r, failure) -> {
+            (reply, failure) -> {
               if (failure != null) {
-                done.completeExceptionally(
-                    new Unavailable("state service: " + failure.getMessage(), 0));
-              } else if (r.status() == 200 || r.status() == 404 || r.status() == 409) {
-                done.complete(r);
+                result.completeExceptionally(
+                    new StateUnavailableException("state service: " + failure.getMessage(), 0));
+              } else if (reply.status() == 200 || reply.status() == 404 || reply.status() == 409) {
+                result.complete(reply);
               } else {
-                done.completeExceptionally(
-                    new Unavailable("state service answered " + r.status(), r.status()));
+                result.completeExceptionally(
+                    new StateUnavailableException(
+                        "state service answered " + reply.status(), reply.status()));
               }
             });
-    return done;
+    return result;
   }
 
-  private <T> CompletableFuture<T> busy() {
-    return CompletableFuture.failedFuture(new Unavailable("the budget is used up", 429));
+  private <T> CompletableFuture<T> rejectOverBudget() {
+    return CompletableFuture.failedFuture(
+        new StateUnavailableException("the budget is used up", 429));
   }
 
   /** Reads a part of an answer. */
-  private interface Reader<T> {
-    T read(ObjectNode body) throws Malformed;
+  private interface BodyReader<T> {
+    T read(ObjectNode body) throws MalformedMessageException;
   }
 
-  private static ObjectNode body(Http.Reply r) {
-    return read(r, m -> m);
+  private static ObjectNode parseBody(HttpClient.ClientReply reply) {
+    return parse(reply, m -> m);
   }
 
-  private static <T> T read(Http.Reply r, Reader<T> reader) {
+  private static <T> T parse(HttpClient.ClientReply reply, BodyReader<T> reader) {
     try {
-      return reader.read(Cbor.parse(r.body()));
-    } catch (Malformed e) {
-      throw new Unavailable("the state service's answer is unclear", 0);
+      return reader.read(Cbor.parse(reply.body()));
+    } catch (MalformedMessageException malformed) {
+      throw new StateUnavailableException("the state service's answer is unclear", 0);
     }
   }
 }
--- a/src/main/java/io/violetrail/state/Tombstones.java
+++ b/src/main/java/io/violetrail/state/Tombstones.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.StateWire.Txn;
+import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
@@ -17,30 +17,35 @@
  * more try.
  */
 public final class Tombstones {
-  private static final int ROWS = 64;
+  private static final int ROW_COUNT = 64;
 
   private Tombstones() {}
 
   /** Where deletions of the key are marked. */
-  public static String of(String key) {
-    return "tomb/" + Math.floorMod(key.hashCode(), ROWS);
+  public static String keyFor(String key) {
+    return "tomb/" + Math.floorMod(key.hashCode(), ROW_COUNT);
   }
 
   /** Adds the mark to a transaction that deletes the key. */
-  public static Txn mark(Txn deletion, String key, long nowMs) {
-    return deletion.set(of(key), Cbor.map().put("at", nowMs));
+  public static Transaction markDeletion(
+      Transaction deletionTransaction, String key, long nowMillis) {
+    return deletionTransaction.put(keyFor(key), Cbor.newMap().put("at", nowMillis));
   }
 
   /**
    * A transaction that creates the row unless it is there, or a key of its tombstone is deleted
    * meanwhile.
    */
-  public static CompletableFuture<Txn> creation(
-      StateStore store, Supplier<Txn> fenced, String key, JsonNode value) {
+  public static CompletableFuture<Transaction> draftCreation(
+      StateStore store, Supplier<Transaction> fencedTransaction, String key, JsonNode value) {
     return store
-        .getForUser(of(key))
+        .getForUser(keyFor(key))
         .thenApply(
             tombstone ->
-                fenced.get().when(of(key), tombstone.stamp()).when(key, 0).set(key, value));
+                fencedTransaction
+                    .get()
+                    .ifRevision(keyFor(key), tombstone.modRevision())
+                    .ifRevision(key, 0)
+                    .put(key, value));
   }
 }
--- a/src/main/java/io/violetrail/tracing/Traces.java
+++ b/src/main/java/io/violetrail/tracing/JobTracer.java
@@ -1,44 +1,44 @@
 package io.violetrail.tracing;
 
 import io.violetrail.model.JobId;
-import io.violetrail.model.JobView.Status;
+import io.violetrail.model.JobView.JobStatus;
 import io.violetrail.model.MachineId;
 
 /** What is noted of a job on its way from the request to its end, at one controller. */
-public interface Traces {
+public interface JobTracer {
   /** Notes nothing. */
-  Traces NONE =
-      new Traces() {
+  JobTracer NO_OP =
+      new JobTracer() {
         @Override
-        public void asked(JobId id) {}
+        public void submissionStarted(JobId id) {}
 
         @Override
-        public void answered(JobId id, String verdict) {}
+        public void submissionDecided(JobId id, String verdict) {}
 
         @Override
-        public void launched(JobId id, MachineId machine) {}
+        public void taskLaunched(JobId id, MachineId machine) {}
 
         @Override
-        public void ended(JobId id, Status status) {}
+        public void jobEnded(JobId id, JobStatus status) {}
 
         @Override
-        public String text() {
+        public String finishedSpansAsJsonLines() {
           return null;
         }
       };
 
   /** A request to take the job begins to be decided. */
-  void asked(JobId id);
+  void submissionStarted(JobId id);
 
   /** It is decided, and stored if it was accepted. */
-  void answered(JobId id, String verdict);
+  void submissionDecided(JobId id, String verdict);
 
   /** The command to launch one of its tasks leaves; only the first one counts. */
-  void launched(JobId id, MachineId machine);
+  void taskLaunched(JobId id, MachineId machine);
 
   /** Its end is stored. */
-  void ended(JobId id, Status status);
+  void jobEnded(JobId id, JobStatus status);
 
   /** The newest spans that are over, a JSON object a line; null if none are noted at all. */
-  String text();
+  String finishedSpansAsJsonLines();
 }
--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -21,104 +21,105 @@
   private Cbor() {}
 
   /** A message that breaks the protocol. */
-  public static final class Malformed extends Exception {
+  public static final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public Malformed(String why) {
-      super(why, null, false, false);
+    public MalformedMessageException(String reason) {
+      super(reason, null, false, false);
     }
   }
 
-  public static ObjectNode map() {
+  public static ObjectNode newMap() {
     return MAPPER.createObjectNode();
   }
 
-  public static ArrayNode list() {
+  public static ArrayNode newList() {
     return MAPPER.createArrayNode();
   }
 
   /** Encodes a document as CBOR. */
-  public static byte[] bytes(JsonNode node) {
+  public static byte[] encode(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
-    } catch (IOException e) {
-      throw new IllegalStateException(e);
+    } catch (IOException exception) {
+      throw new IllegalStateException(exception);
     }
   }
 
   /** Reads one map that fills the whole body. */
-  public static ObjectNode parse(byte[] body) throws Malformed {
+  public static ObjectNode parse(byte[] body) throws MalformedMessageException {
     try (var parser = MAPPER.getFactory().createParser(body)) {
       JsonNode node = MAPPER.readTree(parser);
       if (!(node instanceof ObjectNode map) || parser.nextToken() != null) {
-        throw new Malformed("the body is not one CBOR map");
+        throw new MalformedMessageException("the body is not one CBOR map");
       }
       return map;
     } catch (IOException | RuntimeException e) {
-      throw new Malformed("the body is not CBOR");
+      throw new MalformedMessageException("the body is not CBOR");
     }
   }
 
-  static JsonNode present(JsonNode map, String field) {
+  static JsonNode findPresent(JsonNode map, String field) {
     JsonNode node = map.get(field);
     return node == null || node.isNull() ? null : node;
   }
 
-  static String text(JsonNode map, String field) throws Malformed {
-    JsonNode node = present(map, field);
+  static String readText(JsonNode map, String field) throws MalformedMessageException {
+    JsonNode node = findPresent(map, field);
     if (node == null || !node.isTextual() || node.asText().isEmpty()) {
-      throw new Malformed(field + " must be text");
+      throw new MalformedMessageException(field + " must be text");
     }
     return node.asText();
   }
 
-  static String textOr(JsonNode map, String field, String other) throws Malformed {
-    return present(map, field) == null ? other : text(map, field);
+  static String readTextOrDefault(JsonNode map, String field, String defaultText)
+      throws MalformedMessageException {
+    return findPresent(map, field) == null ? defaultText : readText(map, field);
   }
 
-  static double amount(JsonNode map, String field) throws Malformed {
-    JsonNode node = present(map, field);
+  static double readAmount(JsonNode map, String field) throws MalformedMessageException {
+    JsonNode node = findPresent(map, field);
     if (node == null || !node.isNumber()) {
-      throw new Malformed(field + " must be a number");
+      throw new MalformedMessageException(field + " must be a number");
     }
     double value = node.asDouble();
     if (!Double.isFinite(value) || value < 0 || value > 1e12) {
-      throw new Malformed(field + " is out of range");
+      throw new MalformedMessageException(field + " is out of range");
     }
     return value;
   }
 
-  static long count(JsonNode map, String field) throws Malformed {
-    JsonNode node = present(map, field);
+  static long readCount(JsonNode map, String field) throws MalformedMessageException {
+    JsonNode node = findPresent(map, field);
     if (node == null || !node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < 0) {
-      throw new Malformed(field + " must be a count");
+      throw new MalformedMessageException(field + " must be a count");
     }
     return node.asLong();
   }
 
-  static boolean flag(JsonNode map, String field) throws Malformed {
-    JsonNode node = present(map, field);
+  static boolean readFlag(JsonNode map, String field) throws MalformedMessageException {
+    JsonNode node = findPresent(map, field);
     if (node == null || !node.isBoolean()) {
-      throw new Malformed(field + " must be true or false");
+      throw new MalformedMessageException(field + " must be true or false");
     }
     return node.asBoolean();
   }
 
-  static List<String> texts(JsonNode map, String field) throws Malformed {
-    JsonNode node = present(map, field);
+  static List<String> readTexts(JsonNode map, String field) throws MalformedMessageException {
+    JsonNode node = findPresent(map, field);
     if (node == null) {
       return null;
     }
     if (!node.isArray()) {
-      throw new Malformed(field + " must be a list");
+      throw new MalformedMessageException(field + " must be a list");
     }
-    List<String> all = new ArrayList<>();
+    List<String> texts = new ArrayList<>();
     for (JsonNode item : node) {
       if (!item.isTextual()) {
-        throw new Malformed(field + " must hold text");
+        throw new MalformedMessageException(field + " must hold text");
       }
-      all.add(item.asText());
+      texts.add(item.asText());
     }
-    return List.copyOf(all);
+    return List.copyOf(texts);
   }
 }
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -5,7 +5,7 @@
 import io.violetrail.model.MachineId;
 import io.violetrail.model.TaskId;
 import io.violetrail.model.Version;
-import io.violetrail.wire.Cbor.Malformed;
+import io.violetrail.wire.Cbor.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -16,37 +16,38 @@
 public final class HeartbeatMessages {
   private HeartbeatMessages() {}
 
-  /** A worker's report. {@code noticeS} is null without a spot notice. */
+  /** A worker's report. {@code spotNoticeSeconds} is null without a spot notice. */
   public record WorkerReport(
-      MachineId machine,
+      MachineId machineId,
       String endpoint,
-      String type,
+      String machineType,
       String zone,
       boolean spot,
       long session,
       long sequence,
-      Version token,
-      Double noticeS,
-      List<TaskReport> pieces) {
+      Version fencingToken,
+      Double spotNoticeSeconds,
+      List<TaskReport> tasks) {
     /** Whether any task of the report may still be on the machine. */
     public boolean holdsTasks() {
-      return pieces.stream().anyMatch(p -> p.state() != State.EXITED);
+      return tasks.stream().anyMatch(p -> p.state() != TaskState.EXITED);
     }
 
-    public boolean newerThan(long otherSession, long otherSequence) {
+    public boolean isNewerThan(long otherSession, long otherSequence) {
       return session > otherSession || session == otherSession && sequence > otherSequence;
     }
   }
 
-  /** One task as a worker sees it. {@code why} is null unless it has ended. */
-  public record TaskReport(TaskId task, long attempt, State state, ExitCause why, boolean saved) {}
+  /** One task as a worker sees it. {@code exitCause} is null unless it has ended. */
+  public record TaskReport(
+      TaskId taskId, long attempt, TaskState state, ExitCause exitCause, boolean checkpointSaved) {}
 
   /** A task's state on its machine. */
-  public enum State {
+  public enum TaskState {
     FETCHING,
-    WAITING,
+    WAITING_FOR_GANG,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     EXITED
   }
 
@@ -54,50 +55,50 @@
   public enum ExitCause {
     DONE,
     STOPPED,
-    PEERS_GONE,
-    INCOMPLETE,
+    GANG_MEMBER_LOST,
+    GANG_INCOMPLETE,
     ERROR,
-    NO_ROOM,
+    INSUFFICIENT_RESOURCES,
     BUSY,
     UNKNOWN
   }
 
   /** A command. */
-  public record Command(Verb verb, TaskId task, long attempt, double graceS) {
+  public record WorkerCommand(CommandType type, TaskId taskId, long attempt, double graceSeconds) {
     /** What a worker can be told. */
-    public enum Verb {
+    public enum CommandType {
       LAUNCH,
-      HALT,
+      STOP,
       FORGET
     }
   }
 
-  private static final Map<String, State> STATES =
+  private static final Map<String, TaskState> STATES =
       Map.of(
           "fetching",
-          State.FETCHING,
+          TaskState.FETCHING,
           "gathering",
-          State.WAITING,
+          TaskState.WAITING_FOR_GANG,
           "running",
-          State.RUNNING,
+          TaskState.RUNNING,
           "flushing",
-          State.SAVING,
+          TaskState.CHECKPOINTING,
           "ended",
-          State.EXITED);
-  private static final Map<String, ExitCause> WHYS =
+          TaskState.EXITED);
+  private static final Map<String, ExitCause> EXIT_CAUSES =
       Map.of(
           "done",
           ExitCause.DONE,
           "halted",
           ExitCause.STOPPED,
           "mates_gone",
-          ExitCause.PEERS_GONE,
+          ExitCause.GANG_MEMBER_LOST,
           "incomplete",
-          ExitCause.INCOMPLETE,
+          ExitCause.GANG_INCOMPLETE,
           "error",
           ExitCause.ERROR,
           "no_room",
-          ExitCause.NO_ROOM,
+          ExitCause.INSUFFICIENT_RESOURCES,
           "in_use",
           ExitCause.BUSY,
           "unknown",
@@ -108,94 +109,101 @@
    * greater one is broken; believed, it would make all later reports of its machine look old, or
    * take terms to the end of their numbers.
    */
-  private static final long MOST = 1L << 53;
+  private static final long MAX_COUNTER = 1L << 53;
 
   /**
    * Decodes a worker's heartbeat.
    *
-   * @throws Malformed if a required field is missing or has the wrong type
+   * @throws MalformedRequestException if a required field is missing or has the wrong type
    */
-  public static WorkerReport report(JsonNode m) throws Malformed {
-    List<TaskReport> pieces = new ArrayList<>();
+  public static WorkerReport parseReport(JsonNode message) throws MalformedMessageException {
+    List<TaskReport> tasks = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    JsonNode list = Cbor.present(m, "pieces");
+    JsonNode list = Cbor.findPresent(message, "pieces");
     if (list != null && !list.isArray()) {
-      throw new Malformed("pieces must be a list");
+      throw new MalformedMessageException("pieces must be a list");
     }
     if (list != null) {
-      for (JsonNode p : list) {
-        TaskReport piece = piece(p);
-        if (!seen.add(piece.task() + " " + piece.attempt())) {
-          throw new Malformed("an attempt stands twice in the report");
+      for (JsonNode taskMessage : list) {
+        TaskReport taskReport = parseTaskReport(taskMessage);
+        if (!seen.add(taskReport.taskId() + " " + taskReport.attempt())) {
+          throw new MalformedMessageException("an attempt stands twice in the report");
         }
-        pieces.add(piece);
+        tasks.add(taskReport);
       }
     }
-    Double notice =
-        Cbor.present(m, "warning_s") == null ? null : (Double) m.get("warning_s").asDouble();
+    Double spotNoticeSeconds =
+        Cbor.findPresent(message, "warning_s") == null
+            ? null
+            : (Double) message.get("warning_s").asDouble();
     return new WorkerReport(
-        new MachineId(Cbor.text(m, "host")),
-        Cbor.textOr(m, "endpoint", ""),
-        Cbor.text(m, "hosttype"),
-        Cbor.text(m, "yard"),
-        Cbor.flag(m, "loaners"),
-        session(m),
-        count(m, "tick"),
-        Cbor.present(m, "baton") == null ? Version.NONE : new Version(count(m, "baton")),
-        notice,
-        pieces);
+        new MachineId(Cbor.readText(message, "host")),
+        Cbor.readTextOrDefault(message, "endpoint", ""),
+        Cbor.readText(message, "hosttype"),
+        Cbor.readText(message, "yard"),
+        Cbor.readFlag(message, "loaners"),
+        parseSession(message),
+        parseCounter(message, "tick"),
+        Cbor.findPresent(message, "baton") == null
+            ? Version.NONE
+            : new Version(parseCounter(message, "baton")),
+        spotNoticeSeconds,
+        tasks);
   }
 
   /** Sessions start at 1: 0 stands for "not heard of yet" wherever a session is kept. */
-  private static long session(JsonNode m) throws Malformed {
-    long session = count(m, "tenure");
+  private static long parseSession(JsonNode message) throws MalformedMessageException {
+    long session = parseCounter(message, "tenure");
     if (session == 0) {
-      throw new Malformed("tenure starts at 1");
+      throw new MalformedMessageException("tenure starts at 1");
     }
     return session;
   }
 
-  private static long count(JsonNode m, String field) throws Malformed {
-    long value = Cbor.count(m, field);
-    if (value > MOST) {
-      throw new Malformed(field + " is out of range");
+  private static long parseCounter(JsonNode message, String field)
+      throws MalformedMessageException {
+    long value = Cbor.readCount(message, field);
+    if (value > MAX_COUNTER) {
+      throw new MalformedMessageException(field + " is out of range");
     }
     return value;
   }
 
-  private static TaskReport piece(JsonNode p) throws Malformed {
-    TaskId task = TaskId.parse(Cbor.text(p, "piece"));
-    State state = STATES.get(Cbor.text(p, "status"));
-    if (task == null || state == null) {
-      throw new Malformed("a task of the report is unclear");
+  private static TaskReport parseTaskReport(JsonNode message) throws MalformedMessageException {
+    TaskId taskId = TaskId.parse(Cbor.readText(message, "piece"));
+    TaskState state = STATES.get(Cbor.readText(message, "status"));
+    if (taskId == null || state == null) {
+      throw new MalformedMessageException("a task of the report is unclear");
     }
-    ExitCause why =
-        state == State.EXITED
-            ? WHYS.getOrDefault(Cbor.textOr(p, "cause", "error"), ExitCause.ERROR)
+    ExitCause exitCause =
+        state == TaskState.EXITED
+            ? EXIT_CAUSES.getOrDefault(
+                Cbor.readTextOrDefault(message, "cause", "error"), ExitCause.ERROR)
             : null;
-    JsonNode kept = Cbor.present(p, "kept");
-    return new TaskReport(task, count(p, "try"), state, why, kept != null && kept.asBoolean());
+    JsonNode kept = Cbor.findPresent(message, "kept");
+    return new TaskReport(
+        taskId, parseCounter(message, "try"), state, exitCause, kept != null && kept.asBoolean());
   }
 
   /** Commands under a token; in an answer to a report this renews the worker's lease. */
-  public static ObjectNode reply(Version token, List<Command> orders) {
-    ObjectNode m = Cbor.map().put("baton", token.requireToken().value());
-    var list = m.putArray("orders");
-    for (Command o : orders) {
+  public static ObjectNode commandReply(Version fencingToken, List<WorkerCommand> commands) {
+    ObjectNode message = Cbor.newMap().put("baton", fencingToken.requireToken().value());
+    var list = message.putArray("orders");
+    for (WorkerCommand command : commands) {
       var node = list.addObject();
       node.put(
           "verb",
-          switch (o.verb()) {
+          switch (command.type()) {
             case LAUNCH -> "launch";
-            case HALT -> "halt";
+            case STOP -> "halt";
             case FORGET -> "forget";
           });
-      node.put("piece", o.task().toString()).put("try", o.attempt());
-      if (o.verb() == Command.Verb.HALT) {
-        node.put("wind_down_s", o.graceS());
+      node.put("piece", command.taskId().toString()).put("try", command.attempt());
+      if (command.type() == WorkerCommand.CommandType.STOP) {
+        node.put("wind_down_s", command.graceSeconds());
       }
     }
-    return m;
+    return message;
   }
 
   /**
@@ -204,15 +212,15 @@
    *
    * <p>A worker that has seen no token at all takes it, so it is not for one that has tasks.
    */
-  public static ObjectNode stay() {
-    ObjectNode m = Cbor.map().put("baton", Version.NONE.value());
-    m.putArray("orders");
-    return m;
+  public static ObjectNode nonRenewingReply() {
+    ObjectNode message = Cbor.newMap().put("baton", Version.NONE.value());
+    message.putArray("orders");
+    return message;
   }
 
   /** Tells a worker to report elsewhere; {@code owner} may be null. */
-  public static ObjectNode elsewhere(String owner) {
-    ObjectNode m = Cbor.map();
-    return owner == null ? m : m.put("master", owner);
+  public static ObjectNode redirectReply(String owner) {
+    ObjectNode message = Cbor.newMap();
+    return owner == null ? message : message.put("master", owner);
   }
 }
--- a/src/main/java/io/violetrail/wire/kubernetes/Refusal.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/FieldError.java
@@ -1,7 +1,7 @@
 package io.violetrail.wire.kubernetes;
 
 /** One field that is not taken: its path, the published kind of cause, and why. */
-public record Refusal(String path, Cause cause, String why) {
+public record FieldError(String path, Cause cause, String message) {
   /** Causes by their published names. */
   public enum Cause {
     REQUIRED("FieldValueRequired", 422),
@@ -11,20 +11,20 @@
     DUPLICATE("FieldValueDuplicate", 400),
     TYPE("FieldValueTypeInvalid", 400);
 
-    private final String published;
-    private final int code;
+    private final String publishedName;
+    private final int httpStatus;
 
-    Cause(String published, int code) {
-      this.published = published;
-      this.code = code;
+    Cause(String publishedName, int httpStatus) {
+      this.publishedName = publishedName;
+      this.httpStatus = httpStatus;
     }
 
-    public String published() {
-      return published;
+    public String publishedName() {
+      return publishedName;
     }
 
-    public int code() {
-      return code;
+    public int httpStatus() {
+      return httpStatus;
     }
   }
 }
--- a/src/main/java/io/violetrail/wire/kubernetes/Paths.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/FieldPaths.java
@@ -1,11 +1,11 @@
 package io.violetrail.wire.kubernetes;
 
 /** Paths of fields as the Kubernetes API writes them: {@code spec.containers[0].name}. */
-public final class Paths {
-  private Paths() {}
+public final class FieldPaths {
+  private FieldPaths() {}
 
   /** Turns a JSON pointer into such a path. */
-  public static String dotted(String pointer) {
+  public static String fromJsonPointer(String pointer) {
     StringBuilder path = new StringBuilder();
     for (String raw : pointer.split("/")) {
       String step = raw.replace("~1", "/").replace("~0", "~");
@@ -24,7 +24,7 @@
   }
 
   /** The path of a field inside another. */
-  public static String in(String path, String field) {
+  public static String join(String path, String field) {
     return path.isEmpty() ? field : path + "." + field;
   }
 }
--- a/src/main/java/io/violetrail/wire/kubernetes/KubeJson.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/KubernetesJson.java
@@ -13,7 +13,7 @@
 import java.io.IOException;
 
 /** JSON as the Kubernetes API reads it strictly: one object, no key twice, bounded depth. */
-public final class KubeJson {
+public final class KubernetesJson {
   private static final int MAX_DEPTH = 32;
 
   private static final ObjectMapper MAPPER =
@@ -25,41 +25,41 @@
                   .build())
           .build();
 
-  private static final ObjectMapper SORTED =
+  private static final ObjectMapper SORTING_MAPPER =
       JsonMapper.builder().enable(JsonNodeFeature.WRITE_PROPERTIES_SORTED).build();
 
-  private KubeJson() {}
+  private KubernetesJson() {}
 
   /** One text for equal values: a store may give fields back in another order. */
-  public static String canonical(JsonNode node) {
+  public static String toCanonicalText(JsonNode node) {
     try {
-      return SORTED.writeValueAsString(node);
-    } catch (IOException e) {
-      throw new IllegalStateException(e);
+      return SORTING_MAPPER.writeValueAsString(node);
+    } catch (IOException exception) {
+      throw new IllegalStateException(exception);
     }
   }
 
   /** A text that is not one strict JSON object. */
-  public static final class Malformed extends Exception {
+  public static final class MalformedRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** The path of what is wrong, empty if it is the whole. */
     private final String path;
 
-    private final Refusal.Cause kind;
+    private final FieldError.Cause errorCause;
 
-    public Malformed(String path, String why) {
-      this(path, Refusal.Cause.TYPE, why);
+    public MalformedRequestException(String path, String reason) {
+      this(path, FieldError.Cause.TYPE, reason);
     }
 
-    Malformed(String path, Refusal.Cause cause, String why) {
-      super(why, null, false, false);
+    MalformedRequestException(String path, FieldError.Cause errorCause, String reason) {
+      super(reason, null, false, false);
       this.path = path;
-      this.kind = cause;
+      this.errorCause = errorCause;
     }
 
-    public Refusal.Cause kind() {
-      return kind;
+    public FieldError.Cause errorCause() {
+      return errorCause;
     }
 
     public String path() {
@@ -67,58 +67,62 @@
     }
   }
 
-  public static ObjectNode object() {
+  public static ObjectNode newObject() {
     return MAPPER.createObjectNode();
   }
 
   /** Encodes a document as JSON in UTF-8. */
-  public static byte[] bytes(JsonNode node) {
+  public static byte[] toBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
-    } catch (IOException e) {
-      throw new IllegalStateException(e);
+    } catch (IOException exception) {
+      throw new IllegalStateException(exception);
     }
   }
 
   /**
    * Decodes a JSON object.
    *
-   * @throws Malformed if the body cannot be parsed or is not an object
+   * @throws MalformedRequestException if the body cannot be parsed or is not an object
    */
-  public static ObjectNode parse(byte[] body) throws Malformed {
+  public static ObjectNode parse(byte[] body) throws MalformedRequestException {
     try (JsonParser parser = MAPPER.getFactory().createParser(body)) {
       return parse(parser);
-    } catch (IOException e) {
-      throw new Malformed("", "the body cannot be read");
+    } catch (IOException exception) {
+      throw new MalformedRequestException("", "the body cannot be read");
     }
   }
 
   /** Reads the one object that fills the rest of a parser's input. */
-  private static ObjectNode parse(JsonParser parser) throws Malformed {
-    JsonNode node = next(parser);
+  private static ObjectNode parse(JsonParser parser) throws MalformedRequestException {
+    JsonNode node = readNext(parser);
     try {
       if (!(node instanceof ObjectNode map) || parser.nextToken() != null) {
-        throw new Malformed("", "the body is not one object");
+        throw new MalformedRequestException("", "the body is not one object");
       }
       return map;
-    } catch (IOException e) {
-      throw new Malformed("", "something follows the object");
+    } catch (IOException exception) {
+      throw new MalformedRequestException("", "something follows the object");
     }
   }
 
   /** The parser's next value; null at the end of its input. */
-  public static JsonNode next(JsonParser parser) throws Malformed {
+  public static JsonNode readNext(JsonParser parser) throws MalformedRequestException {
     try {
       return MAPPER.readTree(parser);
-    } catch (JsonParseException e) {
-      String text = e.getOriginalMessage();
+    } catch (JsonParseException exception) {
+      String text = exception.getOriginalMessage();
       if (text != null && text.startsWith("Duplicate field")) {
-        String path = Paths.dotted(parser.getParsingContext().pathAsPointer().toString());
-        throw new Malformed(path, Refusal.Cause.DUPLICATE, "the key is there twice");
+        String path =
+            FieldPaths.fromJsonPointer(parser.getParsingContext().pathAsPointer().toString());
+        throw new MalformedRequestException(
+            path, FieldError.Cause.DUPLICATE, "the key is there twice");
       }
-      throw new Malformed("", "not JSON at line " + e.getLocation().getLineNr());
-    } catch (IOException | RuntimeException e) {
-      throw new Malformed("", "the body cannot be read: it is not text, or nested too deeply");
+      throw new MalformedRequestException(
+          "", "not JSON at line " + exception.getLocation().getLineNr());
+    } catch (IOException | RuntimeException exception) {
+      throw new MalformedRequestException(
+          "", "the body cannot be read: it is not text, or nested too deeply");
     }
   }
 }
--- a/src/main/java/io/violetrail/wire/kubernetes/Quantity.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/Quantity.java
@@ -8,9 +8,9 @@
 
 /** Amounts and durations as texts, read strictly: empty where the text is not one. */
 public final class Quantity {
-  private static final Pattern AMOUNT =
+  private static final Pattern AMOUNT_PATTERN =
       Pattern.compile("([0-9]{1,18}(?:\\.[0-9]{1,9})?)(|m|k|M|G|T|Ki|Mi|Gi|Ti|[eE][0-9]{1,2})");
-  private static final Map<String, BigDecimal> FACTORS =
+  private static final Map<String, BigDecimal> FACTOR_BY_SUFFIX =
       Map.of(
           "", BigDecimal.ONE,
           "m", new BigDecimal("0.001"),
@@ -23,30 +23,32 @@
           "Gi", new BigDecimal(1L << 30),
           "Ti", new BigDecimal(1L << 40));
 
-  private static final Pattern DURATION = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,3})?)(s|m|h)");
-  private static final Map<String, Double> SECONDS = Map.of("s", 1.0, "m", 60.0, "h", 3600.0);
+  private static final Pattern DURATION_PATTERN =
+      Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,3})?)(s|m|h)");
+  private static final Map<String, Double> SECONDS_BY_UNIT =
+      Map.of("s", 1.0, "m", 60.0, "h", 3600.0);
 
   private Quantity() {}
 
   /** A quantity such as {@code 500m}, {@code 2} or {@code 1.5Gi}, in units. */
-  public static Optional<BigDecimal> amount(String text) {
-    Matcher m = AMOUNT.matcher(text);
-    if (!m.matches()) {
+  public static Optional<BigDecimal> parseAmount(String text) {
+    Matcher matcher = AMOUNT_PATTERN.matcher(text);
+    if (!matcher.matches()) {
       return Optional.empty();
     }
-    String suffix = m.group(2);
-    BigDecimal number = new BigDecimal(m.group(1));
+    String suffix = matcher.group(2);
+    BigDecimal number = new BigDecimal(matcher.group(1));
     if (suffix.startsWith("e") || suffix.startsWith("E")) {
       return Optional.of(number.scaleByPowerOfTen(Integer.parseInt(suffix.substring(1))));
     }
-    return Optional.of(number.multiply(FACTORS.get(suffix)));
+    return Optional.of(number.multiply(FACTOR_BY_SUFFIX.get(suffix)));
   }
 
   /** A duration such as {@code 90s}, {@code 1.5m} or {@code 2h}, in seconds. */
-  public static Optional<Double> seconds(String text) {
-    Matcher m = DURATION.matcher(text);
-    return m.matches()
-        ? Optional.of(Double.parseDouble(m.group(1)) * SECONDS.get(m.group(2)))
+  public static Optional<Double> parseDurationSeconds(String text) {
+    Matcher matcher = DURATION_PATTERN.matcher(text);
+    return matcher.matches()
+        ? Optional.of(Double.parseDouble(matcher.group(1)) * SECONDS_BY_UNIT.get(matcher.group(2)))
         : Optional.empty();
   }
 }
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -1,14 +1,14 @@
 package io.violetrail.worker;
 
 import io.violetrail.configuration.Configuration;
-import io.violetrail.evidence.Departure;
 import io.violetrail.evidence.EvidenceLog;
+import io.violetrail.evidence.TaskDeparture;
 import io.violetrail.fleet.Machine;
-import io.violetrail.scheduling.Placement;
-import io.violetrail.tracing.Traces;
-import io.violetrail.wire.HeartbeatMessages.Command;
-import io.violetrail.wire.HeartbeatMessages.Command.Verb;
-import io.violetrail.wire.HeartbeatMessages.State;
+import io.violetrail.scheduling.TaskPlacement;
+import io.violetrail.tracing.JobTracer;
+import io.violetrail.wire.HeartbeatMessages.TaskState;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,47 +23,55 @@
   private static final Logger LOG = LoggerFactory.getLogger(CommandWriter.class);
 
   private final Configuration configuration;
-  private final Traces traces;
+  private final JobTracer traces;
   private final EvidenceLog evidence;
 
   /** Notes launches in the traces and in the evidence log. */
-  public CommandWriter(Configuration configuration, Traces traces, EvidenceLog evidence) {
+  public CommandWriter(Configuration configuration, JobTracer traces, EvidenceLog evidence) {
     this.configuration = configuration;
     this.traces = traces;
     this.evidence = evidence;
   }
 
   /** Adds launches and halts for what is placed on the machine. */
-  void addCommands(Machine machine, List<Command> commands) {
-    for (Placement placement : machine.tasks().values()) {
-      if (placement.revocable()) {
+  void addCommands(Machine machine, List<WorkerCommand> commands) {
+    for (TaskPlacement placement : machine.placements().values()) {
+      if (placement.isRevocable()) {
         if (mayLaunch(machine, commands)) {
           launch(machine, placement, commands);
         }
       } else if (shouldHalt(placement)) {
         commands.add(
-            new Command(Verb.HALT, placement.task(), placement.attempt(), placement.haltGraceS()));
+            new WorkerCommand(
+                CommandType.STOP,
+                placement.taskId(),
+                placement.attempt(),
+                placement.stopGraceSeconds()));
       }
     }
   }
 
-  private boolean mayLaunch(Machine machine, List<Command> commands) {
-    return machine.open() && commands.size() < LeaseRenewal.MAX_COMMANDS && configuration.fresh();
+  private boolean mayLaunch(Machine machine, List<WorkerCommand> commands) {
+    return machine.isSchedulable()
+        && commands.size() < LeaseRenewal.MAX_COMMANDS
+        && configuration.isFresh();
   }
 
-  private void launch(Machine machine, Placement placement, List<Command> commands) {
-    commands.add(new Command(Verb.LAUNCH, placement.task(), placement.attempt(), 0));
+  private void launch(Machine machine, TaskPlacement placement, List<WorkerCommand> commands) {
+    commands.add(new WorkerCommand(CommandType.LAUNCH, placement.taskId(), placement.attempt(), 0));
     placement.launched();
-    LOG.debug("task {} try {} launched on {}", placement.task(), placement.attempt(), machine.id());
-    traces.launched(placement.job().spec().id(), machine.id());
-    Departure from = placement.job().takeDeparture(placement.index());
+    LOG.debug(
+        "task {} try {} launched on {}", placement.taskId(), placement.attempt(), machine.id());
+    traces.taskLaunched(placement.job().spec().id(), machine.id());
+    TaskDeparture from = placement.job().removeLastDeparture(placement.taskIndex());
     if (from != null) {
-      evidence.startsElsewhere(placement.task(), placement.attempt(), machine.id(), from);
+      evidence.recordStartElsewhere(placement.taskId(), placement.attempt(), machine.id(), from);
     }
   }
 
-  private static boolean shouldHalt(Placement placement) {
-    return placement.haltGraceS() >= 0
-        && (placement.state() != State.SAVING || placement.haltGraceS() == 0);
+  private static boolean shouldHalt(TaskPlacement placement) {
+    return placement.stopGraceSeconds() >= 0
+        && (placement.reportedState() != TaskState.CHECKPOINTING
+            || placement.stopGraceSeconds() == 0);
   }
 }
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -2,17 +2,17 @@
 
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.Machine;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service.Answer;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.Cbor.Malformed;
+import io.violetrail.wire.Cbor.MalformedMessageException;
 import io.violetrail.wire.HeartbeatMessages;
-import io.violetrail.wire.HeartbeatMessages.Command;
-import io.violetrail.wire.HeartbeatMessages.Command.Verb;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,13 +23,13 @@
  * the machine's entity, another controller, or nobody yet.
  */
 public final class HeartbeatHandler {
-  private final Loop loop;
-  private final Directory directory;
+  private final EventLoop loop;
+  private final ClusterView directory;
   private final Membership membership;
   private final EntityMachines machines;
   private final WorkerReachability reachability;
   private final LongPolls longPolls;
-  private final WorkerContacts contacts;
+  private final LastHeartbeats lastHeartbeats;
   private final WorkerRouter router;
   private final MachineAdoption adoption;
   private final OwnedMachineHeartbeat ownedMachine;
@@ -38,13 +38,13 @@
 
   /** Routes heartbeats between the given parts. */
   public HeartbeatHandler(
-      Loop loop,
-      Directory directory,
+      EventLoop loop,
+      ClusterView directory,
       Membership membership,
       EntityMachines machines,
       WorkerReachability reachability,
       LongPolls longPolls,
-      WorkerContacts contacts,
+      LastHeartbeats contacts,
       WorkerRouter router,
       MachineAdoption adoption,
       OwnedMachineHeartbeat ownedMachine,
@@ -56,7 +56,7 @@
     this.machines = machines;
     this.reachability = reachability;
     this.longPolls = longPolls;
-    this.contacts = contacts;
+    this.lastHeartbeats = contacts;
     this.router = router;
     this.adoption = adoption;
     this.ownedMachine = ownedMachine;
@@ -65,68 +65,70 @@
   }
 
   /** Takes the body of a heartbeat; the answer is given at once or when its long poll ends. */
-  public void handle(byte[] body, Consumer<Answer> done) {
+  public void handle(byte[] body, Consumer<HttpAnswer> replyConsumer) {
     WorkerReport report;
     try {
-      report = HeartbeatMessages.report(Cbor.parse(body));
-    } catch (Malformed e) {
-      done.accept(Answer.error(400, e.getMessage()));
+      report = HeartbeatMessages.parseReport(Cbor.parse(body));
+    } catch (MalformedMessageException exception) {
+      replyConsumer.accept(HttpAnswer.error(400, exception.getMessage()));
       return;
     }
-    WorkerContacts.Contact contact = contacts.take(report);
-    if (contact == null) {
-      done.accept(HeartbeatReply.stay(report).answer());
+    LastHeartbeats.LastHeartbeat lastHeartbeat = lastHeartbeats.acceptIfNewer(report);
+    if (lastHeartbeat == null) {
+      replyConsumer.accept(HeartbeatReply.withoutRenewal(report).answer());
       return;
     }
     handle(
         report,
         reply -> {
-          contacts.replied(report.machine(), contact, reply);
-          done.accept(reply.answer());
+          lastHeartbeats.recordReply(report.machineId(), lastHeartbeat, reply);
+          replyConsumer.accept(reply.answer());
         });
   }
 
-  private void handle(WorkerReport report, Consumer<HeartbeatReply> done) {
-    reachability.heard(report);
-    longPolls.endSuperseded(report.machine());
-    if (machines.wasReturned(report.machine())) {
+  private void handle(WorkerReport report, Consumer<HeartbeatReply> replyConsumer) {
+    reachability.recordHeartbeat(report);
+    longPolls.endSuperseded(report.machineId());
+    if (machines.wasReturned(report.machineId())) {
       // Taken back for certain, though its record still stands: a report that was held back brought
       // the machine into use again, with tasks that had been started elsewhere since.
-      done.accept(HeartbeatReply.elsewhere(null));
+      replyConsumer.accept(HeartbeatReply.redirected(null));
       return;
     }
-    MachineRow row = directory.machine(report.machine());
+    MachineRow row = directory.findMachineRow(report.machineId());
     if (row == null) {
       adoption.adopt(
-          report, (entity, stored) -> done.accept(answerAdopted(entity, stored, report)), done);
+          report,
+          (entity, stored) -> replyConsumer.accept(answerAdopted(entity, stored, report)),
+          replyConsumer);
       return;
     }
-    OwnedEntity entity = membership.holding(row.entity());
+    OwnedEntity entity = membership.findOwnedEntity(row.entity());
     if (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING) {
-      done.accept(router.route(row, entity, report));
-    } else if (!membership.mayKeepAlive()) {
-      done.accept(HeartbeatReply.refused("not entitled"));
+      replyConsumer.accept(router.route(row, entity, report));
+    } else if (!membership.mayKeepWorkersAlive()) {
+      replyConsumer.accept(HeartbeatReply.refused("not entitled"));
     } else {
-      handleOwned(entity, row, report, done);
+      handleOwned(entity, row, report, replyConsumer);
     }
   }
 
   private HeartbeatReply answerAdopted(OwnedEntity entity, MachineRow row, WorkerReport report) {
     Machine machine =
-        entity.active() && membership.valid() ? machines.findOrAdd(entity, row) : null;
+        entity.isActive() && membership.isLeaseValid() ? machines.findOrAdd(entity, row) : null;
     return machine == null
-        ? HeartbeatReply.elsewhere(null)
+        ? HeartbeatReply.redirected(null)
         : ownedMachine.process(entity, machine, report, new ArrayList<>());
   }
 
   private void handleOwned(
       OwnedEntity entity, MachineRow row, WorkerReport report, Consumer<HeartbeatReply> done) {
-    Machine machine = entity.active() ? machines.findOrAdd(entity, row) : null;
+    Machine machine = entity.isActive() ? machines.findOrAdd(entity, row) : null;
     if (machine == null) {
       done.accept(leaseRenewal.renew(entity, entity.fencingToken(row), report, List.of()));
       return;
     }
-    List<Command> commands = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     HeartbeatReply reply = ownedMachine.process(entity, machine, report, commands);
     if (mayWaitForWork(entity, machine, report, commands)) {
       longPolls.park(
@@ -141,47 +143,47 @@
    * made there for a job that waits for other machines: then the answer waits for what is to start.
    */
   private boolean mayWaitForWork(
-      OwnedEntity entity, Machine machine, WorkerReport report, List<Command> commands) {
-    return entity.active()
-        && membership.valid()
-        && machine.open()
-        && (machine.empty() || hasReservedRoom(machine))
+      OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
+    return entity.isActive()
+        && membership.isLeaseValid()
+        && machine.isSchedulable()
+        && (machine.isEmpty() || hasReservedRoom(machine))
         && isNewestReport(machine, report)
-        && report.token().equals(entity.token(machine))
+        && report.fencingToken().equals(entity.fencingTokenFor(machine))
         && commands.size() < LeaseRenewal.MAX_COMMANDS
-        && commands.stream().allMatch(command -> command.verb() == Verb.FORGET);
+        && commands.stream().allMatch(command -> command.type() == CommandType.FORGET);
   }
 
   private boolean hasReservedRoom(Machine machine) {
-    return machine.reservedFor() != null
-        && loop.seconds() <= machine.reservedUntilS()
-        && machine.reservedFor().unplaced() > 0
-        && machine.room().count(machine.reservedFor().spec().task()) > 0;
+    return machine.reservedForJob() != null
+        && loop.monotonicSeconds() <= machine.reservedUntilSeconds()
+        && machine.reservedForJob().unplacedCount() > 0
+        && machine.freeCapacity().countFitting(machine.reservedForJob().spec().taskResources()) > 0;
   }
 
   private static boolean isNewestReport(Machine machine, WorkerReport report) {
-    return machine.session() == report.session() && machine.sequence() == report.sequence();
+    return machine.lastSession() == report.session() && machine.lastSequence() == report.sequence();
   }
 
   /** The answer to a report that was kept open, with what there is to do by now. */
   private HeartbeatReply answerParked(
-      Machine machine, WorkerReport report, List<Command> parkedCommands) {
-    MachineRow row = directory.machine(machine.id());
-    OwnedEntity entity = row == null ? null : membership.holding(row.entity());
+      Machine machine, WorkerReport report, List<WorkerCommand> parkedCommands) {
+    MachineRow row = directory.findMachineRow(machine.id());
+    OwnedEntity entity = row == null ? null : membership.findOwnedEntity(row.entity());
     if (row != null && (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING)) {
       return router.route(row, entity, report);
     }
     if (entity == null
         || entity.machines().get(machine.id()) != machine
-        || !membership.mayKeepAlive()) {
+        || !membership.mayKeepWorkersAlive()) {
       return HeartbeatReply.refused("the machine has passed on");
     }
     // The worker counts its lease from the report's sending; this is later, so on the safe side.
-    machine.reportAnswered(loop.seconds());
-    List<Command> commands = new ArrayList<>(parkedCommands);
-    if (isNewestReport(machine, report) && membership.valid() && entity.active()) {
+    machine.reportAnswered(loop.monotonicSeconds());
+    List<WorkerCommand> commands = new ArrayList<>(parkedCommands);
+    if (isNewestReport(machine, report) && membership.isLeaseValid() && entity.isActive()) {
       commandWriter.addCommands(machine, commands);
     }
-    return leaseRenewal.renew(entity, entity.token(machine), report, commands);
+    return leaseRenewal.renew(entity, entity.fencingTokenFor(machine), report, commands);
   }
 }
--- a/src/main/java/io/violetrail/worker/HeartbeatReply.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatReply.java
@@ -1,22 +1,24 @@
 package io.violetrail.worker;
 
-import io.violetrail.evidence.ReplyKind;
+import io.violetrail.evidence.HeartbeatReplyKind;
 import io.violetrail.model.Version;
-import io.violetrail.net.Service.Answer;
+import io.violetrail.net.RequestHandler.HttpAnswer;
 import io.violetrail.wire.HeartbeatMessages;
-import io.violetrail.wire.HeartbeatMessages.Command;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.List;
 
 /**
- * An answer to a worker's report. Only {@link #renewed} can renew the worker's lease, and it cannot
- * be made without a token.
+ * An answer to a worker's report. Only {@link #leaseRenewed} can renew the worker's lease, and it
+ * cannot be made without a token.
  */
-record HeartbeatReply(ReplyKind kind, Version token, Answer answer) {
+record HeartbeatReply(HeartbeatReplyKind kind, Version token, HttpAnswer answer) {
   /** Renews the lease and carries commands. */
-  static HeartbeatReply renewed(Version token, List<Command> commands) {
+  static HeartbeatReply leaseRenewed(Version token, List<WorkerCommand> commands) {
     return new HeartbeatReply(
-        ReplyKind.RENEWED, token, Answer.of(200, HeartbeatMessages.reply(token, commands)));
+        HeartbeatReplyKind.RENEWED,
+        token,
+        HttpAnswer.of(200, HeartbeatMessages.commandReply(token, commands)));
   }
 
   /**
@@ -24,20 +26,25 @@
    * worker's. There is none for a worker that has seen no token: with tasks, which only programs
    * that gave out version 0 can have started there, it is refused and tries the next controller.
    */
-  static HeartbeatReply stay(WorkerReport report) {
-    return report.token().equals(Version.NONE) && report.holdsTasks()
+  static HeartbeatReply withoutRenewal(WorkerReport report) {
+    return report.fencingToken().equals(Version.NONE) && report.holdsTasks()
         ? refused("no owner is known")
         : new HeartbeatReply(
-            ReplyKind.STAY, Version.NONE, Answer.of(200, HeartbeatMessages.stay()));
+            HeartbeatReplyKind.STAY,
+            Version.NONE,
+            HttpAnswer.of(200, HeartbeatMessages.nonRenewingReply()));
   }
 
   /** Sends a worker to a controller, or to whichever it tries next if {@code owner} is null. */
-  static HeartbeatReply elsewhere(String owner) {
+  static HeartbeatReply redirected(String owner) {
     return new HeartbeatReply(
-        ReplyKind.SENT_ELSEWHERE, Version.NONE, Answer.of(421, HeartbeatMessages.elsewhere(owner)));
+        HeartbeatReplyKind.SENT_ELSEWHERE,
+        Version.NONE,
+        HttpAnswer.of(421, HeartbeatMessages.redirectReply(owner)));
   }
 
-  static HeartbeatReply refused(String why) {
-    return new HeartbeatReply(ReplyKind.REFUSED, Version.NONE, Answer.later(why));
+  static HeartbeatReply refused(String reason) {
+    return new HeartbeatReply(
+        HeartbeatReplyKind.REFUSED, Version.NONE, HttpAnswer.unavailable(reason));
   }
 }
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -1,15 +1,15 @@
 package io.violetrail.worker;
 
-import io.violetrail.api.Jobs;
+import io.violetrail.api.JobLifecycle;
 import io.violetrail.evidence.EvidenceLog;
 import io.violetrail.model.Version;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Timing;
-import io.violetrail.wire.HeartbeatMessages.Command;
-import io.violetrail.wire.HeartbeatMessages.Command.Verb;
-import io.violetrail.wire.HeartbeatMessages.State;
 import io.violetrail.wire.HeartbeatMessages.TaskReport;
+import io.violetrail.wire.HeartbeatMessages.TaskState;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -25,11 +25,11 @@
   static final int MAX_COMMANDS = 400;
 
   private final Membership membership;
-  private final Jobs jobs;
+  private final JobLifecycle jobs;
   private final EvidenceLog evidence;
 
   /** Halts what the jobs say is over. */
-  public LeaseRenewal(Membership membership, Jobs jobs, EvidenceLog evidence) {
+  public LeaseRenewal(Membership membership, JobLifecycle jobs, EvidenceLog evidence) {
     this.membership = membership;
     this.jobs = jobs;
     this.evidence = evidence;
@@ -39,24 +39,25 @@
    * An answer that renews the worker's lease and carries the commands.
    *
    * <p>An owner that has not read its entity's rows yet knows no ends. Then only workers without
-   * tasks are sure of their lease; the others are for {@link Timing#unknowingS} at most, and stay
-   * here while theirs run on.
+   * tasks are sure of their lease; the others are for {@link LeaseTiming#unknowingS} at most, and
+   * stay here while theirs run on.
    */
   HeartbeatReply renew(
-      OwnedEntity entity, Version token, WorkerReport report, List<Command> commands) {
-    if (!entity.active()) {
-      return report.holdsTasks() && !membership.mayRenewUnknowing(entity)
-          ? HeartbeatReply.stay(report)
-          : HeartbeatReply.renewed(token, List.of());
+      OwnedEntity entity, Version token, WorkerReport report, List<WorkerCommand> commands) {
+    if (!entity.isActive()) {
+      return report.holdsTasks() && !membership.mayRenewWhileLoading(entity)
+          ? HeartbeatReply.withoutRenewal(report)
+          : HeartbeatReply.leaseRenewed(token, List.of());
     }
-    Set<Command> all = new LinkedHashSet<>();
-    for (TaskReport task : report.pieces()) {
-      if (task.state() != State.EXITED && jobs.over(entity, task.task().job())) {
-        all.add(new Command(Verb.HALT, task.task(), task.attempt(), 0));
+    Set<WorkerCommand> all = new LinkedHashSet<>();
+    for (TaskReport task : report.tasks()) {
+      if (task.state() != TaskState.EXITED
+          && jobs.isFinishedOrCancelled(entity, task.taskId().jobId())) {
+        all.add(new WorkerCommand(CommandType.STOP, task.taskId(), task.attempt(), 0));
       }
     }
     all.addAll(commands);
-    return HeartbeatReply.renewed(
+    return HeartbeatReply.leaseRenewed(
         token, List.copyOf(all).subList(0, Math.min(MAX_COMMANDS, all.size())));
   }
 
@@ -68,14 +69,14 @@
    */
   HeartbeatReply haltExpiredSession(OwnedEntity entity, Version token, WorkerReport report) {
     if (!report.holdsTasks()) {
-      return HeartbeatReply.stay(report);
+      return HeartbeatReply.withoutRenewal(report);
     }
-    List<Command> halts =
-        report.pieces().stream()
-            .filter(task -> task.state() != State.EXITED)
-            .map(task -> new Command(Verb.HALT, task.task(), task.attempt(), 0))
+    List<WorkerCommand> halts =
+        report.tasks().stream()
+            .filter(task -> task.state() != TaskState.EXITED)
+            .map(task -> new WorkerCommand(CommandType.STOP, task.taskId(), task.attempt(), 0))
             .toList();
-    evidence.leaseOutlived(report.machine(), report.session(), halts.size());
+    evidence.recordOutlivedLease(report.machineId(), report.session(), halts.size());
     return renew(entity, token, report, halts);
   }
 }
--- a/src/main/java/io/violetrail/worker/LongPolls.java
+++ b/src/main/java/io/violetrail/worker/LongPolls.java
@@ -1,7 +1,7 @@
 package io.violetrail.worker;
 
 import io.violetrail.model.MachineId;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -20,14 +20,15 @@
   private static final double MAX_WAIT_SECONDS = 2;
 
   /** A heartbeat whose answer is kept open. */
-  private record Parked(Consumer<HeartbeatReply> done, Runnable answer, Loop.Cancellable timer) {}
+  private record Parked(
+      Consumer<HeartbeatReply> done, Runnable answer, EventLoop.Cancellable timer) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final double waitSeconds;
   private final Map<MachineId, Parked> parked = new HashMap<>();
 
   /** Keeps answers open for a part of the workers' heartbeat interval. */
-  public LongPolls(Loop loop, double heartbeatSeconds) {
+  public LongPolls(EventLoop loop, double heartbeatSeconds) {
     this.loop = loop;
     this.waitSeconds = Math.min(MAX_WAIT_SECONDS, INTERVAL_PART * heartbeatSeconds);
   }
@@ -35,12 +36,12 @@
   /**
    * Keeps an answer open.
    *
-   * @param done takes the reply if the worker gives this heartbeat up
-   * @param answer run when there is something to tell the worker, or the time is over
+   * @param replyConsumer takes the reply if the worker gives this heartbeat up
+   * @param onTimeout run when there is something to tell the worker, or the time is over
    */
-  void park(MachineId machine, Consumer<HeartbeatReply> done, Runnable answer) {
-    Loop.Cancellable timer = loop.after(waitSeconds, () -> answer(machine));
-    parked.put(machine, new Parked(done, answer, timer));
+  void park(MachineId machine, Consumer<HeartbeatReply> replyConsumer, Runnable onTimeout) {
+    EventLoop.Cancellable timer = loop.schedule(waitSeconds, () -> answer(machine));
+    parked.put(machine, new Parked(replyConsumer, onTimeout, timer));
   }
 
   /** Answers the open heartbeat of a machine now; nothing happens if there is none. */
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -5,11 +5,11 @@
 import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.MachineRow;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -31,8 +31,8 @@
 
   private static final int MAX_REMEMBERED = 2_000;
 
-  private final Loop loop;
-  private final Directory directory;
+  private final EventLoop loop;
+  private final ClusterView directory;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final double startedAtSeconds;
@@ -43,12 +43,12 @@
 
   /** Adopts into the entity that the membership says is this controller's own. */
   public MachineAdoption(
-      Loop loop, Directory directory, Membership membership, MachineTypes machineTypes) {
+      EventLoop loop, ClusterView directory, Membership membership, MachineTypes machineTypes) {
     this.loop = loop;
     this.directory = directory;
     this.membership = membership;
     this.machineTypes = machineTypes;
-    this.startedAtSeconds = loop.seconds();
+    this.startedAtSeconds = loop.monotonicSeconds();
   }
 
   /**
@@ -61,30 +61,30 @@
       WorkerReport report,
       BiConsumer<OwnedEntity, MachineRow> adopted,
       Consumer<HeartbeatReply> done) {
-    OwnedEntity own = membership.own();
+    OwnedEntity own = membership.findHomeEntity();
     if (own == null
-        || !own.active()
-        || !membership.valid()
-        || directory.wasReturned(report.machine())
-        || machineTypes.find(report.type()) == null) {
-      done.accept(HeartbeatReply.elsewhere(null));
+        || !own.isActive()
+        || !membership.isLeaseValid()
+        || directory.wasTerminated(report.machineId())
+        || machineTypes.find(report.machineType()) == null) {
+      done.accept(HeartbeatReply.redirected(null));
       return;
     }
     if (mayBeRecordedSoon(report)) {
-      done.accept(HeartbeatReply.stay(report));
+      done.accept(HeartbeatReply.withoutRenewal(report));
       return;
     }
     MachineRow row = newRow(own, report);
-    own.register()
+    own.machineRecords()
         .add(row)
         .whenComplete(
             (stored, failure) -> {
               if (failure != null) {
-                done.accept(HeartbeatReply.elsewhere(null));
+                done.accept(HeartbeatReply.redirected(null));
                 return;
               }
               LOG.info(
-                  "machine {} adopted by entity {} version {}", row.id(), own.entity(), row.term());
+                  "machine {} adopted by entity {} version {}", row.id(), own.id(), row.term());
               adopted.accept(own, stored);
             });
   }
@@ -92,15 +92,17 @@
   private MachineRow newRow(OwnedEntity own, WorkerReport report) {
     // Strictly above what its worker has seen: a report held back for minutes then shows its age.
     Version seen =
-        report.token().compareTo(own.row().version()) > 0 ? report.token() : own.row().version();
+        report.fencingToken().compareTo(own.row().version()) > 0
+            ? report.fencingToken()
+            : own.row().version();
     return new MachineRow(
-        report.machine(),
-        own.entity(),
-        report.type(),
+        report.machineId(),
+        own.id(),
+        report.machineType(),
         report.zone(),
         report.spot(),
         true,
-        seen.nextFor(own.row().version().owner()),
+        seen.nextOwnedBy(own.row().version().ownerIndex()),
         loop.wallMillis());
   }
 
@@ -110,15 +112,15 @@
    * it had been rented, and another was rented in its place.
    */
   private boolean mayBeRecordedSoon(WorkerReport report) {
-    double now = loop.seconds();
+    double now = loop.monotonicSeconds();
     if (report.session() > 1
-        || !report.pieces().isEmpty()
+        || !report.tasks().isEmpty()
         || now - startedAtSeconds < SETTLED_SECONDS) {
       return false;
     }
-    Double first = firstSeenAtSeconds.getIfPresent(report.machine());
+    Double first = firstSeenAtSeconds.getIfPresent(report.machineId());
     if (first == null) {
-      firstSeenAtSeconds.put(report.machine(), (Double) now);
+      firstSeenAtSeconds.put(report.machineId(), (Double) now);
       return true;
     }
     return now - first < RECORDED_SECONDS;
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -4,14 +4,14 @@
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.Version;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Timing;
-import io.violetrail.scheduling.Dispatcher;
 import io.violetrail.scheduling.MachineDrainer;
 import io.violetrail.scheduling.SchedulingLoop;
-import io.violetrail.wire.HeartbeatMessages.Command;
+import io.violetrail.scheduling.TaskScheduler;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,11 +21,11 @@
  * and the answer with its commands.
  */
 public final class OwnedMachineHeartbeat {
-  private final Loop loop;
-  private final Timing timing;
+  private final EventLoop loop;
+  private final LeaseTiming timing;
   private final Membership membership;
   private final EntityMachines machines;
-  private final Dispatcher dispatcher;
+  private final TaskScheduler dispatcher;
   private final MachineDrainer drainer;
   private final SchedulingLoop schedulingLoop;
   private final ReportReconciler reconciler;
@@ -34,11 +34,11 @@
 
   /** Processes heartbeats through the given parts. */
   public OwnedMachineHeartbeat(
-      Loop loop,
-      Timing timing,
+      EventLoop loop,
+      LeaseTiming timing,
       Membership membership,
       EntityMachines machines,
-      Dispatcher dispatcher,
+      TaskScheduler dispatcher,
       MachineDrainer drainer,
       SchedulingLoop schedulingLoop,
       ReportReconciler reconciler,
@@ -62,23 +62,23 @@
    * @param commands gets the commands that the answer carries
    */
   HeartbeatReply process(
-      OwnedEntity entity, Machine machine, WorkerReport report, List<Command> commands) {
-    Version token = entity.token(machine);
-    if (report.token().compareTo(token) > 0) {
-      machines.raiseTerm(entity, machine, report.token());
-      return HeartbeatReply.elsewhere(null);
+      OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
+    Version token = entity.fencingTokenFor(machine);
+    if (report.fencingToken().compareTo(token) > 0) {
+      machines.raiseTerm(entity, machine, report.fencingToken());
+      return HeartbeatReply.redirected(null);
     }
-    if (!report.newerThan(machine.session(), machine.sequence())) {
-      return HeartbeatReply.stay(report);
+    if (!report.isNewerThan(machine.lastSession(), machine.lastSequence())) {
+      return HeartbeatReply.withoutRenewal(report);
     }
-    machine.reportArrived(HostPort.parse(report.endpoint()), loop.seconds());
-    if (!machine.row().up()) {
+    machine.reportArrived(HostPort.parse(report.endpoint()), loop.monotonicSeconds());
+    if (!machine.row().hasReported()) {
       machines.markUp(entity, machine);
     }
     if (isOutdatedSession(machine, report)) {
       return leaseRenewal.haltExpiredSession(entity, token, report);
     }
-    if (report.token().compareTo(machine.since()) < 0) {
+    if (report.fencingToken().compareTo(machine.acquiredVersion()) < 0) {
       return answerReportOfEarlierTerm(entity, machine, token, report);
     }
     return answerCurrentReport(entity, machine, token, report, commands);
@@ -87,17 +87,17 @@
   // A report may have been held back in the network for minutes. It is as old as it may be, unless
   // its worker has seen our term, or its session has begun after a lease that is surely over.
   private static boolean isOutdatedSession(Machine machine, WorkerReport report) {
-    return report.session() < machine.firstSession();
+    return report.session() < machine.firstValidSession();
   }
 
   private HeartbeatReply answerReportOfEarlierTerm(
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
-    double now = loop.seconds();
-    if (!machine.heard() && machine.uncertain(now)) {
-      machine.mayHoldTasksUntil(now + timing.goneAfterAnswerS());
+    double now = loop.monotonicSeconds();
+    if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(now)) {
+      machine.mayHoldTasksUntil(now + timing.tasksGoneAfterReplySeconds());
     }
-    List<Command> first = new ArrayList<>();
-    if (machine.heard() && machine.session() == 0 && mayCommand(entity)) {
+    List<WorkerCommand> first = new ArrayList<>();
+    if (machine.tasksKnown() && machine.lastSession() == 0 && mayCommand(entity)) {
       // Passed over empty: it can be given its first tasks before it has seen its new term.
       machine.newestReport(report.session(), report.sequence());
       commandWriter.addCommands(machine, first);
@@ -110,23 +110,23 @@
       Machine machine,
       Version token,
       WorkerReport report,
-      List<Command> commands) {
-    int tasksBefore = machine.tasks().size();
-    boolean wasOpen = machine.open();
-    reconciler.take(entity, machine, report, loop.seconds(), commands);
+      List<WorkerCommand> commands) {
+    int tasksBefore = machine.placements().size();
+    boolean wasOpen = machine.isSchedulable();
+    reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
     machine.newestReport(report.session(), report.sequence());
-    machine.reportTaken(report.noticeS());
+    machine.reportTaken(report.spotNoticeSeconds());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
     drainer.drain(machine);
-    if (machine.tasks().size() < tasksBefore) {
+    if (machine.placements().size() < tasksBefore) {
       // What has ended makes room that this very answer can fill; the next one is a report away.
       // Only this machine is looked at: a pass over all of them for each ended task left a small
       // processor nothing for the reports of hundreds of machines.
-      dispatcher.fill(entity, machine);
+      dispatcher.fillMachine(entity, machine);
       schedulingLoop.requestPass();
-    } else if (!wasOpen && machine.open()) {
+    } else if (!wasOpen && machine.isSchedulable()) {
       schedulingLoop.requestPass();
     }
     commandWriter.addCommands(machine, commands);
@@ -134,6 +134,6 @@
   }
 
   private boolean mayCommand(OwnedEntity entity) {
-    return membership.valid() && entity.active();
+    return membership.isLeaseValid() && entity.isActive();
   }
 }
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -1,22 +1,22 @@
 package io.violetrail.worker;
 
-import io.violetrail.api.Jobs;
-import io.violetrail.evidence.GoneProof;
+import io.violetrail.api.JobLifecycle;
+import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.Machine;
-import io.violetrail.model.Amounts;
-import io.violetrail.model.Shape;
+import io.violetrail.model.JobShape;
+import io.violetrail.model.Resources;
 import io.violetrail.model.TaskId;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.scheduling.Blame;
-import io.violetrail.scheduling.Estimates;
+import io.violetrail.scheduling.FailureAttribution;
 import io.violetrail.scheduling.Job;
-import io.violetrail.scheduling.Placement;
+import io.violetrail.scheduling.RuntimeEstimates;
 import io.violetrail.scheduling.TaskFailureHandler;
-import io.violetrail.wire.HeartbeatMessages.Command;
-import io.violetrail.wire.HeartbeatMessages.Command.Verb;
+import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.wire.HeartbeatMessages.ExitCause;
-import io.violetrail.wire.HeartbeatMessages.State;
 import io.violetrail.wire.HeartbeatMessages.TaskReport;
+import io.violetrail.wire.HeartbeatMessages.TaskState;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -33,128 +33,164 @@
 public final class ReportReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
 
-  private final Jobs jobs;
-  private final Estimates estimates;
+  private final JobLifecycle jobs;
+  private final RuntimeEstimates estimates;
   private final TaskFailureHandler failureHandler;
 
   /** Tells the jobs what is done and the failure handler what has failed. */
-  public ReportReconciler(Jobs jobs, Estimates estimates, TaskFailureHandler failureHandler) {
+  public ReportReconciler(
+      JobLifecycle jobs, RuntimeEstimates estimates, TaskFailureHandler failureHandler) {
     this.jobs = jobs;
     this.estimates = estimates;
     this.failureHandler = failureHandler;
   }
 
   /** Brings the picture of a machine in line with its newest report. */
-  void take(
-      OwnedEntity entity, Machine m, WorkerReport report, double now, List<Command> commands) {
-    Set<TaskId> present = new HashSet<>();
-    Map<TaskId, Amounts> strays = new HashMap<>();
-    for (TaskReport task : report.pieces()) {
-      Job job = entity.jobs().get(task.task().job());
-      if (job == null || task.task().index() >= job.spec().tasks()) {
-        stray(entity, m, task, strays, commands);
-      } else if (task.state() == State.EXITED) {
-        exited(entity, m, job, task, now, commands);
+  void reconcile(
+      OwnedEntity entity,
+      Machine machine,
+      WorkerReport report,
+      double nowSeconds,
+      List<WorkerCommand> commands) {
+    Set<TaskId> reportedTasks = new HashSet<>();
+    Map<TaskId, Resources> unknownTasks = new HashMap<>();
+    for (TaskReport taskReport : report.tasks()) {
+      Job job = entity.jobs().get(taskReport.taskId().jobId());
+      if (job == null || taskReport.taskId().index() >= job.spec().taskCount()) {
+        reconcileUnknownTask(entity, machine, taskReport, unknownTasks, commands);
+      } else if (taskReport.state() == TaskState.EXITED) {
+        reconcileExitedTask(entity, machine, job, taskReport, nowSeconds, commands);
       } else {
-        present.add(task.task());
-        if (!active(entity, m, job, task, now)) {
-          strays.put(task.task(), job.spec().task());
-          commands.add(new Command(Verb.HALT, task.task(), task.attempt(), 0));
+        reportedTasks.add(taskReport.taskId());
+        if (!reconcileRunningTask(entity, machine, job, taskReport, nowSeconds)) {
+          unknownTasks.put(taskReport.taskId(), job.spec().taskResources());
+          commands.add(
+              new WorkerCommand(CommandType.STOP, taskReport.taskId(), taskReport.attempt(), 0));
         }
       }
     }
-    m.strays(strays);
-    GoneProof proof =
-        m.heard() && report.session() > m.session()
-            ? GoneProof.LATER_SESSION
-            : GoneProof.REPORT_WITHOUT_IT;
-    for (Placement p : List.copyOf(m.tasks().values())) {
+    machine.replaceUnknownTasks(unknownTasks);
+    TerminationEvidence evidence =
+        machine.tasksKnown() && report.session() > machine.lastSession()
+            ? TerminationEvidence.LATER_SESSION
+            : TerminationEvidence.REPORT_WITHOUT_IT;
+    for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       // Sent in the answer to an earlier report and not in this newer one: it was never taken, or
       // is over.
-      if (!p.revocable() && !present.contains(p.task()) && m.task(p.task()) == p) {
-        LOG.debug("task {} try {} is no longer on {}", p.task(), p.attempt(), m.id());
-        entity.unplace(p, now, proof);
+      if (!placement.isRevocable()
+          && !reportedTasks.contains(placement.taskId())
+          && machine.findPlacement(placement.taskId()) == placement) {
+        LOG.debug(
+            "task {} try {} is no longer on {}",
+            placement.taskId(),
+            placement.attempt(),
+            machine.id());
+        entity.removePlacement(placement, nowSeconds, evidence);
       }
     }
   }
 
   /** False if the task is known to be on another machine. */
-  private boolean active(OwnedEntity entity, Machine m, Job job, TaskReport task, double now) {
-    int index = task.task().index();
-    Placement p = m.task(task.task());
-    if (p != null && p.attempt() != task.attempt() && p.revocable()) {
-      entity.unplace(p, now, GoneProof.NEVER_SENT);
-      p = null;
+  private boolean reconcileRunningTask(
+      OwnedEntity entity, Machine machine, Job job, TaskReport taskReport, double nowSeconds) {
+    int index = taskReport.taskId().index();
+    TaskPlacement placement = machine.findPlacement(taskReport.taskId());
+    if (placement != null
+        && placement.attempt() != taskReport.attempt()
+        && placement.isRevocable()) {
+      entity.removePlacement(placement, nowSeconds, TerminationEvidence.NEVER_SENT);
+      placement = null;
     }
-    if (p == null || p.attempt() != task.attempt()) {
-      Placement elsewhere = job.placed(index);
-      if (elsewhere != null && elsewhere.machine() != m) {
-        if (elsewhere.revocable()) {
-          entity.unplace(elsewhere, now, GoneProof.NEVER_SENT);
+    if (placement == null || placement.attempt() != taskReport.attempt()) {
+      TaskPlacement otherPlacement = job.findPlacement(index);
+      if (otherPlacement != null && otherPlacement.machine() != machine) {
+        if (otherPlacement.isRevocable()) {
+          entity.removePlacement(otherPlacement, nowSeconds, TerminationEvidence.NEVER_SENT);
         } else {
-          LOG.error("task {} is on {} and on {}", task.task(), m.id(), elsewhere.machine().id());
+          LOG.error(
+              "task {} is on {} and on {}",
+              taskReport.taskId(),
+              machine.id(),
+              otherPlacement.machine().id());
           return false;
         }
       }
-      p = new Placement(job, index, m, task.attempt(), now);
-      p.foundByReport();
-      entity.place(p);
+      placement = new TaskPlacement(job, index, machine, taskReport.attempt(), nowSeconds);
+      placement.foundByReport();
+      entity.addPlacement(placement);
     }
-    if (p.reported(task.state(), now)) {
-      m.imageSeen(job.spec().image());
+    if (placement.reported(taskReport.state(), nowSeconds)) {
+      machine.imageSeen(job.spec().image());
     }
-    if (p.state() == State.RUNNING && p.runningS() > 0) {
-      Blame.runs(job, now - p.runningS());
+    if (placement.reportedState() == TaskState.RUNNING && placement.runningSinceSeconds() > 0) {
+      FailureAttribution.recordRunning(job, nowSeconds - placement.runningSinceSeconds());
     }
     if (job.phase() != Job.Phase.OPEN || job.isDone(index)) {
-      p.halt(0);
+      placement.requestStop(0);
     }
     return true;
   }
 
-  private void exited(
-      OwnedEntity entity, Machine m, Job job, TaskReport task, double now, List<Command> commands) {
-    int index = task.task().index();
-    Placement p = m.task(task.task());
-    boolean current = p != null && p.attempt() == task.attempt() && !p.revocable();
+  private void reconcileExitedTask(
+      OwnedEntity entity,
+      Machine machine,
+      Job job,
+      TaskReport taskReport,
+      double nowSeconds,
+      List<WorkerCommand> commands) {
+    int index = taskReport.taskId().index();
+    TaskPlacement placement = machine.findPlacement(taskReport.taskId());
+    boolean isCurrentAttempt =
+        placement != null
+            && placement.attempt() == taskReport.attempt()
+            && !placement.isRevocable();
     // A replica is never done: one that ends is started again.
-    boolean done = task.why() == ExitCause.DONE && job.spec().shape() != Shape.SERVICE;
+    boolean done =
+        taskReport.exitCause() == ExitCause.DONE && job.spec().shape() != JobShape.SERVICE;
     if (done && !job.isDone(index)) {
       job.markDone(index);
-      Blame.endedWell(m, job);
-      m.imageSeen(job.spec().image());
+      FailureAttribution.recordSuccess(machine, job);
+      machine.imageSeen(job.spec().image());
     }
-    if (current) {
-      if (task.why() == ExitCause.DONE && p.runningS() > 0 && p.haltGraceS() < 0) {
-        estimates.learn(job.spec(), now - p.runningS());
+    if (isCurrentAttempt) {
+      if (taskReport.exitCause() == ExitCause.DONE
+          && placement.runningSinceSeconds() > 0
+          && placement.stopGraceSeconds() < 0) {
+        estimates.recordRuntime(job.spec(), nowSeconds - placement.runningSinceSeconds());
       }
-      entity.unplace(p, now, GoneProof.REPORTED_ENDED);
-      if (task.why() != ExitCause.DONE) {
-        failureHandler.taskFailed(m, p, task.why());
+      entity.removePlacement(placement, nowSeconds, TerminationEvidence.REPORTED_ENDED);
+      if (taskReport.exitCause() != ExitCause.DONE) {
+        failureHandler.taskFailed(machine, placement, taskReport.exitCause());
       }
     }
     if (job.isDone(index)) {
-      jobs.progressed(entity, job);
-      if (task.why() == ExitCause.DONE && !job.isStored(index) && job.phase() != Job.Phase.OVER) {
+      jobs.handleProgress(entity, job);
+      if (taskReport.exitCause() == ExitCause.DONE
+          && !job.isStored(index)
+          && job.phase() != Job.Phase.FINISHED) {
         return;
       }
     }
-    commands.add(new Command(Verb.FORGET, task.task(), task.attempt(), 0));
+    commands.add(
+        new WorkerCommand(CommandType.FORGET, taskReport.taskId(), taskReport.attempt(), 0));
   }
 
   /** A task of a job that is over, or that this owner has not loaded. */
-  private void stray(
+  private void reconcileUnknownTask(
       OwnedEntity entity,
-      Machine m,
-      TaskReport task,
-      Map<TaskId, Amounts> strays,
-      List<Command> commands) {
-    Jobs.Known known = jobs.known(entity, task.task().job());
-    if (task.state() != State.EXITED) {
+      Machine machine,
+      TaskReport taskReport,
+      Map<TaskId, Resources> unknownTasks,
+      List<WorkerCommand> commands) {
+    JobLifecycle.KnownJob knownJob = jobs.findKnownJob(entity, taskReport.taskId().jobId());
+    if (taskReport.state() != TaskState.EXITED) {
       // Its halt goes with whatever renews the lease.
-      strays.put(task.task(), known == null ? m.type().size() : known.amounts());
-    } else if (known != null) {
-      commands.add(new Command(Verb.FORGET, task.task(), task.attempt(), 0));
+      unknownTasks.put(
+          taskReport.taskId(),
+          knownJob == null ? machine.type().capacity() : knownJob.taskResources());
+    } else if (knownJob != null) {
+      commands.add(
+          new WorkerCommand(CommandType.FORGET, taskReport.taskId(), taskReport.attempt(), 0));
     }
   }
 }
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -1,15 +1,15 @@
 package io.violetrail.worker;
 
 import io.violetrail.fleet.Machine;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.scheduling.Placement;
+import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.HeartbeatMessages;
-import io.violetrail.wire.HeartbeatMessages.Command;
-import io.violetrail.wire.HeartbeatMessages.Command.Verb;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -26,40 +26,40 @@
  * end anyway, so a late one stops nothing else. Launches never travel this way.
  */
 public final class TaskStopper {
-  private static final double TIMEOUT_S = 2;
+  private static final double TIMEOUT_SECONDS = 2;
 
   /** Commands under way; beyond that the answers to reports must do. */
-  private static final int MOST_UNDER_WAY = 64;
+  private static final int MAX_CALLS_IN_FLIGHT = 64;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Membership membership;
-  private final Http http;
+  private final HttpClient http;
 
   /** Commands under way to machines that are silent, most of which are gone. */
-  private static final int MOST_TO_SILENT = 16;
+  private static final int MAX_CALLS_TO_UNRESPONSIVE = 16;
 
-  private static final double REPEAT_S = 1;
+  private static final double RESEND_INTERVAL_SECONDS = 1;
 
   /** Cancelled tasks that are remembered for repeats; the others' leases must do. */
-  private static final int MOST_OWED = 4_000;
+  private static final int MAX_UNCONFIRMED_CANCELLATIONS = 4_000;
 
-  private final Map<Machine, List<Placement>> pending = new LinkedHashMap<>();
+  private final Map<Machine, List<TaskPlacement>> pendingStops = new LinkedHashMap<>();
 
   /** Cancelled tasks of which it is not known yet that they are gone. */
-  private final Set<Placement> owed = new LinkedHashSet<>();
+  private final Set<TaskPlacement> unconfirmedCancellations = new LinkedHashSet<>();
 
-  private int underWay;
-  private int underWayToSilent;
+  private int callsInFlight;
+  private int callsInFlightToUnresponsive;
 
   /** Sends commands to the machines of the entities owned here. */
-  public TaskStopper(Loop loop, Membership membership, Http http) {
+  public TaskStopper(EventLoop loop, Membership membership, HttpClient http) {
     this.loop = loop;
     this.membership = membership;
     this.http = http;
   }
 
   public void start() {
-    loop.every(REPEAT_S, this::repeat);
+    loop.scheduleWithFixedDelay(RESEND_INTERVAL_SECONDS, this::resendUnconfirmed);
   }
 
   /**
@@ -68,72 +68,87 @@
    * with the next report alone, tasks whose image was being fetched began after their user had been
    * told that the job was cancelled.
    */
-  public void cancelled(Placement p) {
-    halted(p);
-    if (owed.size() < MOST_OWED) {
-      owed.add(p);
+  public void stopUntilGone(TaskPlacement placement) {
+    enqueueStop(placement);
+    if (unconfirmedCancellations.size() < MAX_UNCONFIRMED_CANCELLATIONS) {
+      unconfirmedCancellations.add(placement);
     }
   }
 
-  private void repeat() {
-    owed.removeIf(p -> p.machine().task(p.task()) != p);
-    Map<Machine, List<Placement>> silent = new LinkedHashMap<>();
-    for (Placement p : owed) {
-      if (p.machine().silent() && (silent.containsKey(p.machine()) || silent.size() < MOST_TO_SILENT)) {
-        silent.computeIfAbsent(p.machine(), m -> new ArrayList<>()).add(p);
+  private void resendUnconfirmed() {
+    unconfirmedCancellations.removeIf(p -> p.machine().findPlacement(p.taskId()) != p);
+    Map<Machine, List<TaskPlacement>> unresponsive = new LinkedHashMap<>();
+    for (TaskPlacement placement : unconfirmedCancellations) {
+      if (placement.machine().unresponsive()
+          && (unresponsive.containsKey(placement.machine())
+              || unresponsive.size() < MAX_CALLS_TO_UNRESPONSIVE)) {
+        unresponsive.computeIfAbsent(placement.machine(), m -> new ArrayList<>()).add(placement);
       }
     }
-    silent.forEach(
-        (m, tasks) -> {
+    unresponsive.forEach(
+        (machine, placements) -> {
           // To the end of the line, so that all have their turn.
-          tasks.forEach(owed::remove);
-          owed.addAll(tasks);
-          if (underWayToSilent < MOST_TO_SILENT) {
-            underWayToSilent++;
-            send(m, tasks, () -> underWayToSilent--);
+          placements.forEach(unconfirmedCancellations::remove);
+          unconfirmedCancellations.addAll(placements);
+          if (callsInFlightToUnresponsive < MAX_CALLS_TO_UNRESPONSIVE) {
+            callsInFlightToUnresponsive++;
+            sendStops(machine, placements, () -> callsInFlightToUnresponsive--);
           }
         });
   }
 
   /** A placement is to be halted; what is halted in the same moment goes together. */
-  public void halted(Placement p) {
-    if (p.revocable() || p.haltGraceS() < 0) {
+  public void enqueueStop(TaskPlacement placement) {
+    if (placement.isRevocable() || placement.stopGraceSeconds() < 0) {
       return;
     }
-    if (pending.isEmpty()) {
-      loop.execute(this::flush);
+    if (pendingStops.isEmpty()) {
+      loop.execute(this::sendPendingStops);
     }
-    pending.computeIfAbsent(p.machine(), m -> new ArrayList<>()).add(p);
+    pendingStops.computeIfAbsent(placement.machine(), m -> new ArrayList<>()).add(placement);
   }
 
-  private void flush() {
-    Map<Machine, List<Placement>> now = new LinkedHashMap<>(pending);
-    pending.clear();
-    now.forEach(
-        (m, stopped) -> {
-          if (!m.silent() && underWay < MOST_UNDER_WAY) {
-            underWay++;
-            send(m, stopped, () -> underWay--);
+  private void sendPendingStops() {
+    Map<Machine, List<TaskPlacement>> toSend = new LinkedHashMap<>(pendingStops);
+    pendingStops.clear();
+    toSend.forEach(
+        (machine, placements) -> {
+          if (!machine.unresponsive() && callsInFlight < MAX_CALLS_IN_FLIGHT) {
+            callsInFlight++;
+            sendStops(machine, placements, () -> callsInFlight--);
           }
         });
   }
 
-  /** {@code done} is run in any case. */
-  private void send(Machine m, List<Placement> stopped, Runnable done) {
-    OwnedEntity h = membership.holding(m.row().entity());
-    boolean mine = h != null && h.active() && h.machines().get(m.id()) == m;
-    List<Command> orders = new ArrayList<>();
-    for (Placement p : stopped) {
-      if (m.task(p.task()) == p) {
-        orders.add(new Command(Verb.HALT, p.task(), p.attempt(), p.haltGraceS()));
+  /** {@code onCompleted} is run in any case. */
+  private void sendStops(Machine machine, List<TaskPlacement> placements, Runnable onCompleted) {
+    OwnedEntity entity = membership.findOwnedEntity(machine.row().entity());
+    boolean isOwnedHere =
+        entity != null && entity.isActive() && entity.machines().get(machine.id()) == machine;
+    List<WorkerCommand> commands = new ArrayList<>();
+    for (TaskPlacement placement : placements) {
+      if (machine.findPlacement(placement.taskId()) == placement) {
+        commands.add(
+            new WorkerCommand(
+                CommandType.STOP,
+                placement.taskId(),
+                placement.attempt(),
+                placement.stopGraceSeconds()));
       }
     }
-    if (!mine || !membership.valid() || m.endpoint() == null || m.session() == 0 || orders.isEmpty()) {
-      done.run();
+    if (!isOwnedHere
+        || !membership.isLeaseValid()
+        || machine.endpoint() == null
+        || machine.lastSession() == 0
+        || commands.isEmpty()) {
+      onCompleted.run();
       return;
     }
-    byte[] body = Cbor.bytes(HeartbeatMessages.reply(h.token(m), orders).put("tenure", m.session()));
-    http.callOnce(m.endpoint(), "POST", "/orders", body, TIMEOUT_S)
-        .whenComplete((r, failure) -> done.run());
+    byte[] body =
+        Cbor.encode(
+            HeartbeatMessages.commandReply(entity.fencingTokenFor(machine), commands)
+                .put("tenure", machine.lastSession()));
+    http.callOnce(machine.endpoint(), "POST", "/orders", body, TIMEOUT_SECONDS)
+        .whenComplete((response, failure) -> onCompleted.run());
   }
 }
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -4,9 +4,9 @@
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.ControllerId;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.peer.PeerClient;
@@ -27,54 +27,54 @@
  */
 public final class WorkerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
-  private static final double TICK_S = 0.5;
+  private static final double TICK_SECONDS = 0.5;
 
   /** Workers report within a quarter more than their interval. */
-  private static final double JITTER = 1.25;
+  private static final double JITTER_FACTOR = 1.25;
 
   /** On top of that, for the network and a processor that is short. */
-  private static final double SLACK_S = 1;
+  private static final double SLACK_SECONDS = 1;
 
-  private static final double PROBE_S = 1;
+  private static final double PROBE_TIMEOUT_SECONDS = 1;
 
   /** So many workers that do not answer either make it certain enough; fewer prove nothing. */
-  private static final int PROBES = 3;
+  private static final int MAX_PROBES = 3;
 
-  private static final int LEAST = 2;
+  private static final int MIN_WORKERS = 2;
 
   /** Workers remembered for later tries; some may be gone by then. */
-  private static final int KNOWN = 24;
+  private static final int MAX_REMEMBERED_WORKERS = 24;
 
   /** After so long without any answer the entity is asked back all the same, each time later. */
-  private static final double GIVE_UP_S = 60;
+  private static final double INITIAL_GIVE_UP_SECONDS = 60;
 
-  private static final double MAX_GIVE_UP_S = 600;
+  private static final double MAX_GIVE_UP_SECONDS = 600;
 
   private final Settings settings;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Random random;
-  private final Directory directory;
+  private final ClusterView directory;
   private final Membership membership;
   private final PeerClient peers;
-  private final Http http;
-  private final List<HostPort> known = new ArrayList<>();
-  private double heardS;
-  private double tickedS;
-  private boolean deaf;
-  private double deafS;
-  private double giveUpS = GIVE_UP_S;
-  private boolean probing;
-  private boolean handing;
+  private final HttpClient http;
+  private final List<HostPort> rememberedWorkers = new ArrayList<>();
+  private double lastHeartbeatAtSeconds;
+  private double lastTickAtSeconds;
+  private boolean partitionedFromWorkers;
+  private double partitionedSinceSeconds;
+  private double giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
+  private boolean probeInFlight;
+  private boolean handOverInFlight;
 
   /** Probes workers over the given HTTP client. */
   public WorkerReachability(
       Settings settings,
-      Loop loop,
+      EventLoop loop,
       Random random,
-      Directory directory,
+      ClusterView directory,
       Membership membership,
       PeerClient peers,
-      Http http) {
+      HttpClient http) {
     this.settings = settings;
     this.loop = loop;
     this.random = random;
@@ -86,143 +86,155 @@
 
   /** Starts the periodic check of whether workers' heartbeats still arrive. */
   public void start() {
-    heardS = loop.seconds();
-    tickedS = heardS;
-    loop.every(TICK_S, this::tick);
+    lastHeartbeatAtSeconds = loop.monotonicSeconds();
+    lastTickAtSeconds = lastHeartbeatAtSeconds;
+    loop.scheduleWithFixedDelay(TICK_SECONDS, this::checkReachability);
   }
 
   /** Whether this controller is cut off from its workers. */
-  public boolean deaf() {
-    return deaf;
+  public boolean isPartitionedFromWorkers() {
+    return partitionedFromWorkers;
   }
 
   /** Whether any worker has been heard of late: a peer that is deaf asks for that. */
-  public boolean hears() {
-    return !deaf && loop.seconds() - heardS < 2 * quietS();
+  public boolean receivesHeartbeats() {
+    return !partitionedFromWorkers
+        && loop.monotonicSeconds() - lastHeartbeatAtSeconds < 2 * silenceThresholdSeconds();
   }
 
-  private double quietS() {
-    return JITTER * settings.workers().reportS() + SLACK_S;
+  private double silenceThresholdSeconds() {
+    return JITTER_FACTOR * settings.workerTiming().heartbeatIntervalSeconds() + SLACK_SECONDS;
   }
 
   /** A worker has reported, to whichever entity it belongs. */
-  void heard(WorkerReport beat) {
-    heardS = loop.seconds();
-    if (deaf) {
-      hear("a worker reports");
+  void recordHeartbeat(WorkerReport report) {
+    lastHeartbeatAtSeconds = loop.monotonicSeconds();
+    if (partitionedFromWorkers) {
+      endPartition("a worker reports");
     }
   }
 
-  private void hear(String how) {
-    LOG.info("workers can be heard again: {}", how);
-    deaf = false;
-    heardS = loop.seconds();
+  private void endPartition(String reason) {
+    LOG.info("workers can be heard again: {}", reason);
+    partitionedFromWorkers = false;
+    lastHeartbeatAtSeconds = loop.monotonicSeconds();
   }
 
-  private void tick() {
-    double now = loop.seconds();
+  private void checkReachability() {
+    double nowSeconds = loop.monotonicSeconds();
     // After a pause of this process itself, reports wait to be read.
-    boolean paused = now - tickedS > 2 * TICK_S;
-    tickedS = now;
-    if (paused || !membership.valid()) {
-      heardS = Math.max(heardS, now - quietS() / 2);
+    boolean paused = nowSeconds - lastTickAtSeconds > 2 * TICK_SECONDS;
+    lastTickAtSeconds = nowSeconds;
+    if (paused || !membership.isLeaseValid()) {
+      lastHeartbeatAtSeconds =
+          Math.max(lastHeartbeatAtSeconds, nowSeconds - silenceThresholdSeconds() / 2);
       return;
     }
-    if (!deaf) {
-      if (now - heardS > quietS()) {
-        suspect(now);
+    if (!partitionedFromWorkers) {
+      if (nowSeconds - lastHeartbeatAtSeconds > silenceThresholdSeconds()) {
+        probeOwnWorkers(nowSeconds);
       }
       return;
     }
-    handOver();
-    if (now - deafS > giveUpS) {
-      giveUpS = Math.min(MAX_GIVE_UP_S, 2 * giveUpS);
-      hear("not tried any longer");
-    } else if (!probing && !known.isEmpty()) {
-      probe(
-          List.of(known.get(random.nextInt(known.size()))),
-          answered -> {
-            if (answered > 0 && deaf) {
-              giveUpS = GIVE_UP_S;
-              hear("one answers");
+    handOverEntities();
+    if (nowSeconds - partitionedSinceSeconds > giveUpAfterSeconds) {
+      giveUpAfterSeconds = Math.min(MAX_GIVE_UP_SECONDS, 2 * giveUpAfterSeconds);
+      endPartition("not tried any longer");
+    } else if (!probeInFlight && !rememberedWorkers.isEmpty()) {
+      probeWorkers(
+          List.of(rememberedWorkers.get(random.nextInt(rememberedWorkers.size()))),
+          answeredCount -> {
+            if (answeredCount > 0 && partitionedFromWorkers) {
+              giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
+              endPartition("one answers");
             }
           });
     }
   }
 
   /** Nothing was heard for too long: asks the workers heard last. */
-  private void suspect(double now) {
-    List<HostPort> own = new ArrayList<>();
-    for (OwnedEntity h : membership.holdings()) {
-      for (Machine m : h.machines().values()) {
-        if (h.active() && m.endpoint() != null && m.row().up() && !m.returning()) {
-          own.add(m.endpoint());
+  private void probeOwnWorkers(double nowSeconds) {
+    List<HostPort> ownWorkers = new ArrayList<>();
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      for (Machine machine : entity.machines().values()) {
+        if (entity.isActive()
+            && machine.endpoint() != null
+            && machine.row().hasReported()
+            && !machine.returning()) {
+          ownWorkers.add(machine.endpoint());
         }
       }
     }
-    if (own.size() < LEAST || probing) {
+    if (ownWorkers.size() < MIN_WORKERS || probeInFlight) {
       return;
     }
-    Collections.shuffle(own, random);
-    double before = heardS;
-    probe(
-        own.subList(0, Math.min(PROBES, own.size())),
-        answered -> {
-          if (answered == 0 && heardS == before && membership.valid()) {
-            LOG.info("no worker is heard and none of {} answers: cut off from them", own.size());
-            deaf = true;
-            deafS = loop.seconds();
-            known.clear();
-            known.addAll(own.subList(0, Math.min(KNOWN, own.size())));
-            handOver();
-          } else if (answered > 0) {
-            heardS = Math.max(heardS, loop.seconds() - quietS() / 2);
+    Collections.shuffle(ownWorkers, random);
+    double heartbeatBeforeProbe = lastHeartbeatAtSeconds;
+    probeWorkers(
+        ownWorkers.subList(0, Math.min(MAX_PROBES, ownWorkers.size())),
+        answeredCount -> {
+          if (answeredCount == 0
+              && lastHeartbeatAtSeconds == heartbeatBeforeProbe
+              && membership.isLeaseValid()) {
+            LOG.info(
+                "no worker is heard and none of {} answers: cut off from them", ownWorkers.size());
+            partitionedFromWorkers = true;
+            partitionedSinceSeconds = loop.monotonicSeconds();
+            rememberedWorkers.clear();
+            rememberedWorkers.addAll(
+                ownWorkers.subList(0, Math.min(MAX_REMEMBERED_WORKERS, ownWorkers.size())));
+            handOverEntities();
+          } else if (answeredCount > 0) {
+            lastHeartbeatAtSeconds =
+                Math.max(
+                    lastHeartbeatAtSeconds,
+                    loop.monotonicSeconds() - silenceThresholdSeconds() / 2);
           }
         });
   }
 
-  private void probe(List<HostPort> workers, IntConsumer answered) {
-    probing = true;
-    int[] open = {workers.size()};
-    int[] ok = {0};
-    for (HostPort w : workers) {
-      http.callOnce(w, "GET", "/status", null, PROBE_S)
+  private void probeWorkers(List<HostPort> workers, IntConsumer onAnswered) {
+    probeInFlight = true;
+    int[] unansweredCount = {workers.size()};
+    int[] answeredCount = {0};
+    for (HostPort worker : workers) {
+      http.callOnce(worker, "GET", "/status", null, PROBE_TIMEOUT_SECONDS)
           .whenComplete(
-              (r, failure) -> {
-                ok[0] += failure == null && r.ok() ? 1 : 0;
-                if (--open[0] == 0) {
-                  probing = false;
-                  answered.accept(ok[0]);
+              (response, failure) -> {
+                answeredCount[0] += failure == null && response.isOk() ? 1 : 0;
+                if (--unansweredCount[0] == 0) {
+                  probeInFlight = false;
+                  onAnswered.accept(answeredCount[0]);
                 }
               });
     }
   }
 
   /** Gives all that is held to a peer that hears workers, by the ordinary conditional move. */
-  private void handOver() {
-    if (handing || membership.holdings().isEmpty()) {
+  private void handOverEntities() {
+    if (handOverInFlight || membership.ownedEntities().isEmpty()) {
       return;
     }
-    handing = true;
-    ask(new ArrayList<>(settings.peers().keySet()));
+    handOverInFlight = true;
+    handOverToReceivingPeer(new ArrayList<>(settings.peers().keySet()));
   }
 
-  private void ask(List<ControllerId> candidates) {
+  private void handOverToReceivingPeer(List<ControllerId> candidates) {
     candidates.removeIf(peer -> !directory.isAlive(peer));
-    if (candidates.isEmpty() || !deaf) {
-      handing = false;
+    if (candidates.isEmpty() || !partitionedFromWorkers) {
+      handOverInFlight = false;
       return;
     }
     ControllerId peer = candidates.remove(0);
     peers
         .hears(peer)
         .whenComplete(
-            (hears, failure) -> {
-              if (failure == null && hears && deaf) {
-                handing = false;
-                membership.holdings().forEach(h -> membership.release(h, peer));
+            (receivesHeartbeats, failure) -> {
+              if (failure == null && receivesHeartbeats && partitionedFromWorkers) {
+                handOverInFlight = false;
+                membership.ownedEntities().forEach(h -> membership.handBack(h, peer));
               } else {
-                ask(candidates);
+                handOverToReceivingPeer(candidates);
               }
             });
   }
--- a/src/main/java/io/violetrail/worker/WorkerRouter.java
+++ b/src/main/java/io/violetrail/worker/WorkerRouter.java
@@ -3,12 +3,12 @@
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
-import io.violetrail.net.Loop;
-import io.violetrail.ownership.Directory;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.Rows.MachineRow;
-import io.violetrail.ownership.Timing;
+import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.HashMap;
 import java.util.Map;
@@ -21,9 +21,9 @@
   private static final int MAX_REDIRECTED = 2_000;
 
   private final Settings settings;
-  private final Loop loop;
-  private final Timing timing;
-  private final Directory directory;
+  private final EventLoop loop;
+  private final LeaseTiming timing;
+  private final ClusterView directory;
   private final Membership membership;
 
   /** When each worker was last told to report to its owner. */
@@ -31,7 +31,11 @@
 
   /** Routes by what the directory knows of owners. */
   public WorkerRouter(
-      Settings settings, Loop loop, Timing timing, Directory directory, Membership membership) {
+      Settings settings,
+      EventLoop loop,
+      LeaseTiming timing,
+      ClusterView directory,
+      Membership membership) {
     this.settings = settings;
     this.loop = loop;
     this.timing = timing;
@@ -45,16 +49,16 @@
    * @param entity the entity if it is just being handed over; null if it is not owned here
    */
   HeartbeatReply route(MachineRow row, OwnedEntity entity, WorkerReport report) {
-    ControllerId owner = directory.ownerOf(row.entity());
+    ControllerId owner = directory.findLatestOwner(row.entity());
     boolean elsewhere = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
     // While the entity has no owner, its workers stay here, where the next one is soon known.
     // Sent away, each came back only after all dead controllers, and a second failure soon after
     // the first then ended the leases of a whole fleet.
     boolean withoutOwner =
-        entity == null && membership.valid() && (!elsewhere || cameBackSoon(row.id()));
+        entity == null && membership.isLeaseValid() && (!elsewhere || cameBackSoon(row.id()));
     return withoutOwner
-        ? HeartbeatReply.stay(report)
-        : HeartbeatReply.elsewhere(elsewhere ? owner.value() : null);
+        ? HeartbeatReply.withoutRenewal(report)
+        : HeartbeatReply.redirected(elsewhere ? owner.value() : null);
   }
 
   /**
@@ -62,9 +66,9 @@
    * which shows only when its lease lapses.
    */
   private boolean cameBackSoon(MachineId machine) {
-    double now = loop.seconds();
+    double now = loop.monotonicSeconds();
     Double before = redirectedAtSeconds.get(machine);
-    if (before != null && now - before < timing.ttlS() + LAPSE_SHOWS_SECONDS) {
+    if (before != null && now - before < timing.ttlSeconds() + LAPSE_SHOWS_SECONDS) {
       return true;
     }
     if (redirectedAtSeconds.size() >= MAX_REDIRECTED) {
--- a/src/test/java/io/violetrail/cli/ConfigCommandTest.java
+++ b/src/test/java/io/violetrail/cli/ConfigCommandTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.violetrail.config.Options;
-import io.violetrail.fakes.LiveWorld;
-import io.violetrail.fakes.World;
-import io.violetrail.net.Service;
-import io.violetrail.net.Service.Answer;
+import io.violetrail.fakes.ClusterSimulation;
+import io.violetrail.fakes.RealTimeSimulation;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.net.RequestHandler.HttpAnswer;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.kubernetes.KubeJson;
+import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -25,40 +25,46 @@
 
 /** The command line against a controller that is served on loopback. */
 class ConfigCommandTest {
-  @TempDir private Path dir;
-  private LiveWorld live;
-  private World world;
+  @TempDir private Path directory;
+  private RealTimeSimulation realTimeSimulation;
+  private ClusterSimulation simulation;
   private String server;
   private int port;
-  private String out;
-  private String err;
+  private String standardOutput;
+  private String standardError;
 
   /** What answers in a controller's place; null: the controller does. */
-  private volatile Service instead;
+  private volatile RequestHandler substituteService;
 
   @BeforeEach
   void start() throws Exception {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = socket.getLocalPort();
     }
-    server = LiveWorld.HOST + ":" + port;
-    world = new World(1, 1);
-    world.options =
+    server = RealTimeSimulation.HOST + ":" + port;
+    simulation = new ClusterSimulation(1, 1);
+    simulation.options =
         new Options(
-            null, Options.DEFAULTS.idleS(), Options.DEFAULTS.sample(), null, null, false, true);
-    world.up();
-    live = new LiveWorld(world);
-    live.serve(
+            null,
+            Options.DEFAULTS.maxIdleSeconds(),
+            Options.DEFAULTS.placementSampleSize(),
+            null,
+            null,
+            false,
+            true);
+    simulation.startAllControllers();
+    realTimeSimulation = new RealTimeSimulation(simulation);
+    realTimeSimulation.serve(
         port,
         (method, path, body, done) ->
-            (instead != null ? instead : world.nodes.get("c0").api())
+            (substituteService != null ? substituteService : simulation.controllers.get("c0").api())
                 .handle(method, path, body, done));
-    live.start();
+    realTimeSimulation.start();
   }
 
   @AfterEach
   void stop() {
-    live.stop();
+    realTimeSimulation.stop();
   }
 
   private int run(String... args) {
@@ -69,84 +75,89 @@
             .setOut(new PrintWriter(outText, true))
             .setErr(new PrintWriter(errText, true))
             .execute(args);
-    out = outText.toString();
-    err = errText.toString();
+    standardOutput = outText.toString();
+    standardError = errText.toString();
     return status;
   }
 
-  private String file(String content) throws IOException {
-    return Files.writeString(dir.resolve("teams.toml"), content).toString();
+  private String writeFile(String content) throws IOException {
+    return Files.writeString(directory.resolve("teams.toml"), content).toString();
   }
 
-  private static String team(double limit) {
+  private static String teamToml(double limit) {
     return "[[cluster.teams]]\nname = \"red\"\ncpus_max = " + limit + "\n";
   }
 
   @Test
-  void aFileIsCheckedComparedAppliedAndShown() throws Exception {
-    String file = file(team(20));
+  void fileIsCheckedDiffedAppliedAndShown() throws Exception {
+    String file = writeFile(teamToml(20));
     assertEquals(0, run("check", file));
     assertEquals(1, run("diff", "--server", server, file), "there are differences");
-    assertTrue(out.contains("~ team red: cpus_max no limit -> 20.0"), out);
+    assertTrue(standardOutput.contains("~ team red: cpus_max no limit -> 20.0"), standardOutput);
     assertEquals(
         0, run("apply", "--server", server, "--expect", "0", "--why", "less", "--who", "me", file));
-    assertEquals("revision 1", out.strip());
+    assertEquals("revision 1", standardOutput.strip());
     assertEquals(0, run("history", "--server", server));
-    assertTrue(out.startsWith("1  ") && out.contains("me: less"), out);
+    assertTrue(
+        standardOutput.startsWith("1  ") && standardOutput.contains("me: less"), standardOutput);
     assertEquals(0, run("--json", "status", "--server", server));
-    assertEquals(1, KubeJson.parse(out.getBytes()).at("/controllers/0/revision").asInt());
+    assertEquals(
+        1, KubernetesJson.parse(standardOutput.getBytes()).at("/controllers/0/revision").asInt());
     assertEquals(0, run("diff", "--server", server, file));
     assertEquals(0, run("show", "--server", server));
-    assertTrue(out.startsWith("# revision 1"), out);
-    String shown = out;
-    assertEquals(0, run("check", file(shown)), "what is shown can be applied");
+    assertTrue(standardOutput.startsWith("# revision 1"), standardOutput);
+    String shown = standardOutput;
+    assertEquals(0, run("check", writeFile(shown)), "what is shown can be applied");
   }
 
   @Test
-  void aChangeThatLostSaysWhichRevisionIsInForce() throws Exception {
-    String[] apply = {"apply", "--server", server, "--expect", "0", "--why", "x", file(team(20))};
+  void conflictingChangeReportsTheRevisionInForce() throws Exception {
+    String[] apply = {
+      "apply", "--server", server, "--expect", "0", "--why", "x", writeFile(teamToml(20))
+    };
     assertEquals(0, run(apply));
     assertEquals(5, run(apply));
-    assertTrue(err.contains("revision 1 is in force"), err);
+    assertTrue(standardError.contains("revision 1 is in force"), standardError);
     assertEquals(
-        0, run("apply", "--server", server, "--expect", "1", "--why", "y", file(team(30))));
+        0,
+        run("apply", "--server", server, "--expect", "1", "--why", "y", writeFile(teamToml(30))));
     assertEquals(0, run("rollback", "--server", server, "--expect", "2", "--why", "z", "1"));
-    assertEquals("revision 3", out.strip());
+    assertEquals("revision 3", standardOutput.strip());
     assertEquals(1, run("rollback", "--server", server, "--expect", "3", "--why", "z", "77"));
   }
 
   @Test
-  void aFileThatIsNotValidIsRefusedBeforeAnythingIsSent() throws Exception {
-    String file = file("[[cluster.teams]]\nname = \"red\"\ncpu = 1\n");
+  void invalidFileIsRejectedBeforeAnythingIsSent() throws Exception {
+    String file = writeFile("[[cluster.teams]]\nname = \"red\"\ncpu = 1\n");
     assertEquals(1, run("apply", "--server", server, "--expect", "0", "--why", "x", file));
-    assertTrue(err.contains("teams[0].cpu: is not known"), err);
-    assertEquals(2, run("check", dir.resolve("missing").toString()));
+    assertTrue(standardError.contains("teams[0].cpu: is not known"), standardError);
+    assertEquals(2, run("check", directory.resolve("missing").toString()));
     assertEquals(2, run("apply", "--server", server, file), "--expect and --why are required");
     assertEquals(2, run());
   }
 
   @Test
-  void noAnswerAndAnUnknownOutcomeAreToldApart() throws Exception {
-    String file = file(team(20));
+  void unreachableServerAndUnknownOutcomeHaveDistinctExitCodes() throws Exception {
+    String file = writeFile(teamToml(20));
     assertEquals(3, run("show", "--server", "127.0.0.1:1"));
     assertEquals(3, run("apply", "--server", "127.0.0.1:1", "--expect", "0", "--why", "x", file));
-    instead =
+    substituteService =
         (method, path, body, done) ->
             done.accept(
-                new Answer(
+                new HttpAnswer(
                     503,
-                    KubeJson.bytes(Cbor.map().put("error", "no decision in time")),
+                    KubernetesJson.toBytes(Cbor.newMap().put("error", "no decision in time")),
                     1,
                     "application/json"));
     String[] apply = {
       "apply", "--server", server, "--expect", "0", "--why", "x", "--request", "one", file
     };
     assertEquals(4, run(apply));
-    assertTrue(err.contains("--request one"), err);
-    instead = null;
+    assertTrue(standardError.contains("--request one"), standardError);
+    substituteService = null;
     assertEquals(0, run(apply));
     assertEquals(0, run(apply), "a repeat of the same request");
-    assertEquals("revision 1", out.strip());
+    assertEquals("revision 1", standardOutput.strip());
     assertEquals(0, run("show", "--server", "127.0.0.1:1," + server), "the next server is asked");
   }
 }
--- a/src/test/java/io/violetrail/compatibility/PeerMessagesCompatibilityTest.java
+++ b/src/test/java/io/violetrail/compatibility/PeerMessagesCompatibilityTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.violetrail.configuration.ConfigurationState;
-import io.violetrail.model.Amounts;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
+import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.Priority;
-import io.violetrail.model.Shape;
+import io.violetrail.model.Resources;
 import io.violetrail.peer.PeerCodec;
-import io.violetrail.peer.PeerMessages.JobStatus;
-import io.violetrail.peer.PeerMessages.Kind;
-import io.violetrail.peer.PeerMessages.Reply;
-import io.violetrail.peer.PeerMessages.Request;
+import io.violetrail.peer.PeerMessages.JobViewMessage;
+import io.violetrail.peer.PeerMessages.PeerRequest;
+import io.violetrail.peer.PeerMessages.PeerRequestKind;
+import io.violetrail.peer.PeerMessages.PeerResponse;
 import io.violetrail.peer.ResourceRequest;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -43,15 +43,15 @@
 
   static Map<String, Record> examples() {
     Map<String, Record> all = new LinkedHashMap<>();
-    all.put("question-VIEW", question(Kind.VIEW, 1001));
-    all.put("question-CANCEL", question(Kind.CANCEL, 1002));
-    all.put("question-HAND_BACK", question(Kind.HAND_BACK, 1003));
-    all.put("question-MOVED", question(Kind.MOVED, 1004));
-    all.put("question-RESOURCES", question(Kind.RESOURCES, 1005));
-    all.put("question-SOLD_OUT", question(Kind.SOLD_OUT, 1006));
-    all.put("question-HEARS", question(Kind.HEARS, 1007));
-    all.put("question-CONFIGURATION", question(Kind.CONFIGURATION, 1008));
-    all.put("question-BUDGET", question(Kind.BUDGET, 1009));
+    all.put("question-VIEW", question(PeerRequestKind.VIEW, 1001));
+    all.put("question-CANCEL", question(PeerRequestKind.CANCEL, 1002));
+    all.put("question-HAND_BACK", question(PeerRequestKind.HAND_BACK, 1003));
+    all.put("question-MOVED", question(PeerRequestKind.MOVED, 1004));
+    all.put("question-RESOURCES", question(PeerRequestKind.RESOURCES, 1005));
+    all.put("question-SOLD_OUT", question(PeerRequestKind.SOLD_OUT, 1006));
+    all.put("question-HEARS", question(PeerRequestKind.HEARS, 1007));
+    all.put("question-CONFIGURATION", question(PeerRequestKind.CONFIGURATION, 1008));
+    all.put("question-BUDGET", question(PeerRequestKind.BUDGET, 1009));
     all.put("question-machines", resources(machines(false, false, false)));
     all.put("question-machines-spot", resources(machines(true, false, false)));
     all.put("question-machines-starving", resources(machines(false, true, false)));
@@ -63,27 +63,27 @@
     all.put("question-of-a-job-NORMAL", resources(ofJob(Priority.NORMAL)));
     all.put("question-of-a-job-LOW", resources(ofJob(Priority.LOW)));
     all.put("question-slice-of-a-job", resources(sliceOfJob()));
-    all.put("reply-unknown", new Reply(false, list(), list(), 0));
-    all.put("reply-known", new Reply(true, list(), list(), 0));
-    all.put("reply-number", new Reply(true, list(), list(), 2_750));
-    all.put("reply-view-QUEUED", reply(JobView.Status.QUEUED));
-    all.put("reply-view-RUNNING", reply(JobView.Status.RUNNING));
-    all.put("reply-view-DONE", reply(JobView.Status.DONE));
-    all.put("reply-view-CANCELLED", reply(JobView.Status.CANCELLED));
+    all.put("reply-unknown", new PeerResponse(false, list(), list(), 0));
+    all.put("reply-known", new PeerResponse(true, list(), list(), 0));
+    all.put("reply-number", new PeerResponse(true, list(), list(), 2_750));
+    all.put("reply-view-QUEUED", reply(JobView.JobStatus.QUEUED));
+    all.put("reply-view-RUNNING", reply(JobView.JobStatus.RUNNING));
+    all.put("reply-view-DONE", reply(JobView.JobStatus.DONE));
+    all.put("reply-view-CANCELLED", reply(JobView.JobStatus.CANCELLED));
     all.put(
         "reply-views",
-        new Reply(
+        new PeerResponse(
             true,
-            list(view("job-1", JobView.Status.QUEUED), view("job-2", JobView.Status.DONE)),
+            list(view("job-1", JobView.JobStatus.QUEUED), view("job-2", JobView.JobStatus.DONE)),
             list(),
             0));
-    all.put("reply-configuration-fresh", new Reply(true, list(), list(state(true)), 0));
-    all.put("reply-configuration-not-fresh", new Reply(true, list(), list(state(false)), 0));
+    all.put("reply-configuration-fresh", new PeerResponse(true, list(), list(state(true)), 0));
+    all.put("reply-configuration-not-fresh", new PeerResponse(true, list(), list(state(false)), 0));
     all.put(
         "reply-with-all",
-        new Reply(
+        new PeerResponse(
             false,
-            list(view("job-1", JobView.Status.RUNNING)),
+            list(view("job-1", JobView.JobStatus.RUNNING)),
             list(state(true), state(false)),
             7));
     return all;
@@ -98,16 +98,16 @@
     return all;
   }
 
-  private static Request question(Kind kind, long number) {
-    return new Request(kind, "c1", "subject", number, list());
+  private static PeerRequest question(PeerRequestKind kind, long number) {
+    return new PeerRequest(kind, "c1", "subject", number, list());
   }
 
-  private static Reply reply(JobView.Status status) {
-    return new Reply(true, list(view("job-1", status)), list(), 0);
+  private static PeerResponse reply(JobView.JobStatus status) {
+    return new PeerResponse(true, list(view("job-1", status)), list(), 0);
   }
 
-  private static Request resources(ResourceRequest... requests) {
-    return new Request(Kind.RESOURCES, "c1", "c2", 0, list(requests));
+  private static PeerRequest resources(ResourceRequest... requests) {
+    return new PeerRequest(PeerRequestKind.RESOURCES, "c1", "c2", 0, list(requests));
   }
 
   private static ResourceRequest machines(boolean spot, boolean starving, boolean mayEvict) {
@@ -155,10 +155,10 @@
         new JobId("job-9"),
         "plain",
         "green",
-        Shape.GANG,
+        JobShape.GANG,
         priority,
         5,
-        new Amounts(1.25, 2.25, 3.25),
+        new Resources(1.25, 2.25, 3.25),
         "img",
         6.25,
         List.of("g8", "plain"),
@@ -173,17 +173,17 @@
   }
 
   private static ResourceRequest ofJob(Priority priority) {
-    return ResourceRequest.machines(job(priority), 4, 1_700_000_000_789L, 1.75, true, false);
+    return ResourceRequest.forMachines(job(priority), 4, 1_700_000_000_789L, 1.75, true, false);
   }
 
   private static ResourceRequest sliceOfJob() {
-    Amounts lacking = new Amounts(5.75, 6.75, 7.75);
-    return ResourceRequest.slice(job(Priority.HIGH), lacking, 1_700_000_000_999L)
-        .from(new ControllerId("c2"), new Amounts(2.75, 3.75, 4.75));
+    Resources lacking = new Resources(5.75, 6.75, 7.75);
+    return ResourceRequest.forQuotaShare(job(Priority.HIGH), lacking, 1_700_000_000_999L)
+        .fromDonor(new ControllerId("c2"), new Resources(2.75, 3.75, 4.75));
   }
 
-  private static JobStatus view(String job, JobView.Status status) {
-    return new JobStatus(job, status.name(), 3, 13, "c2");
+  private static JobViewMessage view(String job, JobView.JobStatus status) {
+    return new JobViewMessage(job, status.name(), 3, 13, "c2");
   }
 
   private static ConfigurationState state(boolean fresh) {
@@ -192,13 +192,13 @@
 
   @Test
   void everyKindOfQuestionHasAnExample() {
-    Set<Kind> kinds = EnumSet.noneOf(Kind.class);
+    Set<PeerRequestKind> kinds = EnumSet.noneOf(PeerRequestKind.class);
     for (Record example : EXAMPLES.values()) {
-      if (example instanceof Request question) {
+      if (example instanceof PeerRequest question) {
         kinds.add(question.kind());
       }
     }
-    assertEquals(EnumSet.allOf(Kind.class), kinds);
+    assertEquals(EnumSet.allOf(PeerRequestKind.class), kinds);
   }
 
   @Test
--- a/src/test/java/io/violetrail/compatibility/Recording.java
+++ b/src/test/java/io/violetrail/compatibility/Recording.java
@@ -23,8 +23,8 @@
   private static String text(String resource) {
     try (InputStream stream = Recording.class.getResourceAsStream(resource)) {
       return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
-    } catch (IOException e) {
-      throw new IllegalStateException(e);
+    } catch (IOException exception) {
+      throw new IllegalStateException(exception);
     }
   }
 }
--- a/src/test/java/io/violetrail/config/SettingsTest.java
+++ b/src/test/java/io/violetrail/config/SettingsTest.java
@@ -9,12 +9,15 @@
 
 class SettingsTest {
   @Test
-  void whatCannotBeUsedIsSaidInOneLine() throws Exception {
+  void invalidSettingsAreReportedInOneLine() throws Exception {
     var missing =
-        assertThrows(Settings.Invalid.class, () -> Settings.load(Path.of("no-such-file.toml")));
+        assertThrows(
+            Settings.InvalidSettingsException.class,
+            () -> Settings.load(Path.of("no-such-file.toml")));
     assertTrue(missing.getMessage().contains("no-such-file.toml"));
     var empty = new TomlMapper().readTree("label = \"a\"");
-    var invalid = assertThrows(Settings.Invalid.class, () -> Settings.read(empty));
+    var invalid =
+        assertThrows(Settings.InvalidSettingsException.class, () -> Settings.parse(empty));
     assertTrue(invalid.getMessage().lines().count() == 1);
   }
 }
