--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -17,6 +17,7 @@
 import io.violetrail.tracing.JobTracer;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.HeartbeatMessages;
 import io.violetrail.wire.JobMessages;
 import io.violetrail.worker.HeartbeatHandler;
 import java.util.List;
@@ -107,7 +108,7 @@
     String path = queryIndex < 0 ? target : target.substring(0, queryIndex);
     boolean isPost = "POST".equals(method);
     boolean isGet = "GET".equals(method);
-    if (path.equals("/agent/beat")) {
+    if (path.equals(HeartbeatMessages.HEARTBEAT_PATH)) {
       requireMethod(
           isPost,
           respond,
@@ -207,7 +208,7 @@
         return;
       }
       spec = JobMessages.parseSubmission(map);
-      if (Cbor.encode(JobMessages.jobSpec(spec)).length
+      if (Cbor.encode(JobMessages.submissionMessage(spec)).length
           > settings.stateStoreLimits().maxValueBytes() / 2) {
         throw new MalformedMessageException("the job's description is too long");
       }
--- a/src/main/java/io/violetrail/calendar/CalendarExpression.java
+++ b/src/main/java/io/violetrail/calendar/CalendarExpression.java
@@ -56,8 +56,8 @@
   /**
    * Parses a calendar expression.
    *
-   * @throws MalformedRequestException if the text is too long, does not follow the grammar or can
-   *     never match
+   * @throws MalformedExpressionException if the text is too long, does not follow the grammar or
+   *     can never match
    */
   public static CalendarExpression parse(String text) throws MalformedExpressionException {
     if (text.length() > MAX_LENGTH) {
--- a/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
@@ -162,7 +162,7 @@
     }
     ObjectNode message = job.deepCopy().put("name_id", id.value()).put("due_s", deadlineSeconds);
     try {
-      JobSpec spec = JobMessages.jobSpec(message);
+      JobSpec spec = JobMessages.parseJobSpec(message);
       if (spec.shape() == JobShape.SERVICE) {
         throw new InvalidDefinitionException(422, "job.shape", "a daemon is never done");
       }
--- a/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -136,7 +136,7 @@
                           settings.apiAddress(),
                           "POST",
                           "/work",
-                          Cbor.encode(JobMessages.jobSpec(spec)),
+                          Cbor.encode(JobMessages.submissionMessage(spec)),
                           1),
                   "warm up a submission");
               Futures.logFailure(
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -54,11 +54,11 @@
 
   /** Fetches the machine types on offer; the future fails if the reply is an error or malformed. */
   public CompletableFuture<List<MachineType>> fetchMachineTypes() {
-    return callOrFail("GET", "/flavors", null)
+    return callOrFail("GET", CloudMessages.MACHINE_TYPES_PATH, null)
         .thenApply(
             response -> {
               try {
-                return CloudMessages.machineTypes(Cbor.parse(response.body()));
+                return CloudMessages.parseMachineTypes(Cbor.parse(response.body()));
               } catch (MalformedMessageException exception) {
                 throw new IllegalStateException(exception);
               }
@@ -73,7 +73,7 @@
       String requestName, String type, String zone, boolean spot, int count) {
     return send(
             "POST",
-            "/hosts",
+            CloudMessages.MACHINES_PATH,
             Cbor.encode(CloudMessages.rentalRequest(requestName, type, zone, spot, count)))
         .handle(
             (response, failure) -> {
@@ -107,7 +107,12 @@
   public CompletableFuture<MachinePage> listMachines(String after) {
     String afterParameter = after.isEmpty() ? "" : "&after=" + after;
     return callOrFail(
-            "GET", "/hosts?most=" + CloudMessages.MAX_MACHINES_PER_LIST + afterParameter, null)
+            "GET",
+            CloudMessages.MACHINES_PATH
+                + "?most="
+                + CloudMessages.MAX_MACHINES_PER_LIST
+                + afterParameter,
+            null)
         .thenApply(
             response -> {
               try {
@@ -140,7 +145,8 @@
    * determined yields {@code UNCERTAIN}.
    */
   public CompletableFuture<ReturnOutcome> returnMachines(Collection<MachineId> machines) {
-    return send("POST", "/hosts/return", Cbor.encode(CloudMessages.returnRequest(machines)))
+    return send(
+            "POST", CloudMessages.RETURN_PATH, Cbor.encode(CloudMessages.returnRequest(machines)))
         .handle(
             (response, failure) -> {
               if (failure != null) {
--- a/src/main/java/io/violetrail/config/Settings.java
+++ b/src/main/java/io/violetrail/config/Settings.java
@@ -47,11 +47,11 @@
   public record Team(
       String name, double guaranteedCpus, double guaranteedGpus, double maxCpus, double maxGpus) {}
 
-  /** An aim that the users state; {@code jobClass} may be null. */
+  /** A service-level objective that the users state; {@code jobClass} is null for all classes. */
   public record Objective(
       String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {}
 
-  /** What the workers go by. */
+  /** The intervals and timeouts that the workers go by, in seconds. */
   public record WorkerTiming(
       double heartbeatIntervalSeconds,
       double leaseSeconds,
@@ -76,6 +76,7 @@
   public static final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** A refusal with its reason, on one line. */
     public InvalidSettingsException(String reason) {
       super(reason);
     }
@@ -88,6 +89,7 @@
     return List.copyOf(all);
   }
 
+  /** The index of a controller, which versions name; -1 if it is not known. */
   public int indexOf(ControllerId id) {
     return controllers().indexOf(id);
   }
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -92,7 +92,9 @@
             .commit(
                 new Transaction()
                     .ifRevision(StateSchema.MACHINE_TYPES_KEY, 0)
-                    .put(StateSchema.MACHINE_TYPES_KEY, CloudMessages.machineTypes(fromCloud)))
+                    .put(
+                        StateSchema.MACHINE_TYPES_KEY,
+                        CloudMessages.machineTypesMessage(fromCloud)))
             .whenComplete((outcome, failure) -> storing = false),
         "store the machine types");
   }
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -65,7 +65,7 @@
     }
     loadedFrom = stored;
     try {
-      replaceAll(CloudMessages.machineTypes(stored));
+      replaceAll(CloudMessages.parseMachineTypes(stored));
     } catch (MalformedMessageException exception) {
       LOG.error("the stored machine types cannot be read: {}", exception.getMessage());
     }
--- a/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
+++ b/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
@@ -240,7 +240,7 @@
         buildMessage(object.kind(), object.spec(), annotations, object.namespace(), id, errors);
     try {
       if (errors.isEmpty()) {
-        return JobMessages.jobSpec(message);
+        return JobMessages.parseJobSpec(message);
       }
     } catch (Cbor.MalformedMessageException exception) {
       errors.add(new FieldError("", Cause.INVALID, exception.getMessage()));
--- a/src/main/java/io/violetrail/model/MachineType.java
+++ b/src/main/java/io/violetrail/model/MachineType.java
@@ -2,7 +2,12 @@
 
 import java.util.List;
 
-/** A type that the cloud rents. */
+/**
+ * A type of machine that the cloud rents out; prices are per hour.
+ *
+ * @param bootSeconds the usual time from the rental request until the worker reports
+ * @param zones where the type is offered
+ */
 public record MachineType(
     String name,
     Resources capacity,
@@ -12,6 +17,7 @@
     double spotPrice,
     double bootSeconds,
     List<String> zones) {
+  /** The hourly price of such a machine. */
   public double priceFor(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
--- a/src/main/java/io/violetrail/model/Version.java
+++ b/src/main/java/io/violetrail/model/Version.java
@@ -43,6 +43,7 @@
     return new Version(candidate > lowerBound ? candidate : candidate + INCREMENT);
   }
 
+  /** The index of the controller that owns the entity under this version. */
   public int ownerIndex() {
     return (int) Math.floorMod(value, (long) INCREMENT);
   }
--- a/src/main/java/io/violetrail/net/EventLoop.java
+++ b/src/main/java/io/violetrail/net/EventLoop.java
@@ -19,9 +19,11 @@
 
   /** A timer that can be called off. */
   interface Cancellable {
+    /** Keeps the task from running, unless it has begun. */
     void cancel();
   }
 
+  /** The steady clock, in seconds. */
   default double monotonicSeconds() {
     return monotonicNanos() / 1e9;
   }
--- a/src/main/java/io/violetrail/net/HttpClient.java
+++ b/src/main/java/io/violetrail/net/HttpClient.java
@@ -20,6 +20,7 @@
 
   /** An answer. */
   record ClientReply(int status, byte[] body) {
+    /** Whether the status is 200. */
     public boolean isOk() {
       return status == 200;
     }
--- a/src/main/java/io/violetrail/net/RateLimiter.java
+++ b/src/main/java/io/violetrail/net/RateLimiter.java
@@ -63,6 +63,7 @@
     permits += requested;
   }
 
+  /** What the bucket holds when it is full. */
   public double burst() {
     return burst;
   }
--- a/src/main/java/io/violetrail/net/RequestCoalescer.java
+++ b/src/main/java/io/violetrail/net/RequestCoalescer.java
@@ -17,6 +17,7 @@
   private final Set<K> inFlight = new HashSet<>();
   private final Map<K, CompletableFuture<V>> queuedAnswers = new HashMap<>();
 
+  /** Sends requests through the given function, one at a time for each key. */
   public RequestCoalescer(Function<K, CompletableFuture<V>> sendRequest) {
     this.sendRequest = sendRequest;
   }
--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -12,10 +12,13 @@
 
 /** CBOR bodies as Jackson trees, with the checks that every message needs. */
 public final class Cbor {
+  private static final int MAX_NESTING_DEPTH = 32;
+  private static final double MAX_AMOUNT = 1e12;
   private static final ObjectMapper MAPPER =
       new ObjectMapper(
           CBORFactory.builder()
-              .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(32).build())
+              .streamReadConstraints(
+                  StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
               .build());
 
   private Cbor() {}
@@ -24,15 +27,18 @@
   public static final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** A message with the reason for which it is refused, as it is told to its sender. */
     public MalformedMessageException(String reason) {
       super(reason, null, false, false);
     }
   }
 
+  /** An empty map. */
   public static ObjectNode newMap() {
     return MAPPER.createObjectNode();
   }
 
+  /** An empty list. */
   public static ArrayNode newList() {
     return MAPPER.createArrayNode();
   }
@@ -83,7 +89,7 @@
       throw new MalformedMessageException(field + " must be a number");
     }
     double value = node.asDouble();
-    if (!Double.isFinite(value) || value < 0 || value > 1e12) {
+    if (!Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
       throw new MalformedMessageException(field + " is out of range");
     }
     return value;
--- a/src/main/java/io/violetrail/wire/CloudMessages.java
+++ b/src/main/java/io/violetrail/wire/CloudMessages.java
@@ -12,8 +12,22 @@
 
 /** The cloud's messages. */
 public final class CloudMessages {
+  /** Where the machine types are asked for. */
+  public static final String MACHINE_TYPES_PATH = "/flavors";
+
+  /** Where machines are rented and listed. */
+  public static final String MACHINES_PATH = "/hosts";
+
+  /** Where machines are returned. */
+  public static final String RETURN_PATH = "/hosts/return";
+
+  /** The most machines that one rental request may ask for. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
+
+  /** The most machines that one request may return. */
   public static final int MAX_MACHINES_PER_RETURN = 100;
+
+  /** The most machines on one page of the listing. */
   public static final int MAX_MACHINES_PER_LIST = 500;
 
   private CloudMessages() {}
@@ -21,9 +35,10 @@
   /**
    * Decodes the provider's machine types.
    *
-   * @throws MalformedRequestException if the list or a required field is missing
+   * @throws MalformedMessageException if the list or a required field is missing
    */
-  public static List<MachineType> machineTypes(JsonNode message) throws MalformedMessageException {
+  public static List<MachineType> parseMachineTypes(JsonNode message)
+      throws MalformedMessageException {
     List<MachineType> machineTypes = new ArrayList<>();
     JsonNode list = Cbor.findPresent(message, "hosttypes");
     if (list == null) {
@@ -48,7 +63,7 @@
   }
 
   /** Encodes machine types in the provider's form. */
-  public static ObjectNode machineTypes(Collection<MachineType> types) {
+  public static ObjectNode machineTypesMessage(Collection<MachineType> types) {
     ObjectNode message = Cbor.newMap();
     var list = message.putArray("hosttypes");
     for (MachineType machineType : types) {
@@ -92,7 +107,7 @@
   /**
    * Decodes the ids in a listing of rented machines.
    *
-   * @throws MalformedRequestException if an entry has no id
+   * @throws MalformedMessageException if an entry has no id
    */
   public static List<MachineId> parseListedMachines(JsonNode message)
       throws MalformedMessageException {
@@ -103,6 +118,7 @@
     return machineIds;
   }
 
+  /** Whether a listing goes on after this page. */
   public static boolean isTruncated(JsonNode message) {
     return message.path("truncated").asBoolean(false);
   }
@@ -110,7 +126,7 @@
   /**
    * Decodes the ids of machines that a request has rented.
    *
-   * @throws MalformedRequestException if the list is missing
+   * @throws MalformedMessageException if the list is missing
    */
   public static List<MachineId> parseRentedMachines(JsonNode message)
       throws MalformedMessageException {
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -14,6 +14,15 @@
 
 /** The workers' messages. */
 public final class HeartbeatMessages {
+  /** Where a controller takes heartbeats. */
+  public static final String HEARTBEAT_PATH = "/agent/beat";
+
+  /** Where a worker takes direct commands. */
+  public static final String COMMANDS_PATH = "/orders";
+
+  /** Where a worker tells its status. */
+  public static final String STATUS_PATH = "/status";
+
   private HeartbeatMessages() {}
 
   /** A worker's report. {@code spotNoticeSeconds} is null without a spot notice. */
@@ -33,6 +42,7 @@
       return tasks.stream().anyMatch(p -> p.state() != TaskState.EXITED);
     }
 
+    /** Whether the worker sent this report after the one with the given numbers. */
     public boolean isNewerThan(long otherSession, long otherSequence) {
       return session > otherSession || (session == otherSession && sequence > otherSequence);
     }
@@ -44,22 +54,35 @@
 
   /** A task's state on its machine. */
   public enum TaskState {
+    /** Waits for its image. */
     FETCHING,
+    /** Waits for the other tasks of its gang's attempt. */
     WAITING_FOR_GANG,
+    /** Runs, or is being stopped with its gang. */
     RUNNING,
+    /** Was told to stop and saves its progress. */
     CHECKPOINTING,
+    /** Has ended; see its exit cause. */
     EXITED
   }
 
   /** Why a task ended. */
   public enum ExitCause {
+    /** Completed. */
     DONE,
+    /** Stopped by command. */
     STOPPED,
+    /** Another task of its gang is gone. */
     GANG_MEMBER_LOST,
+    /** Its gang was not complete in time. */
     GANG_INCOMPLETE,
+    /** Failed; mostly the machine is faulty. */
     ERROR,
+    /** The machine refused the start: not enough is free. */
     INSUFFICIENT_RESOURCES,
+    /** The machine refused the start: another attempt of the task is there. */
     BUSY,
+    /** The machine refused the start: the job is not known to it. */
     UNKNOWN
   }
 
@@ -67,8 +90,11 @@
   public record WorkerCommand(CommandType type, TaskId taskId, long attempt, double graceSeconds) {
     /** What a worker can be told. */
     public enum CommandType {
+      /** Start an attempt of a task; without effect if the worker has it already. */
       LAUNCH,
+      /** Stop an attempt, with time to save a checkpoint. */
       STOP,
+      /** Remove an exited attempt from the reports. */
       FORGET
     }
   }
@@ -114,7 +140,7 @@
   /**
    * Decodes a worker's heartbeat.
    *
-   * @throws MalformedRequestException if a required field is missing or has the wrong type
+   * @throws MalformedMessageException if a required field is missing or has the wrong type
    */
   public static WorkerReport parseReport(JsonNode message) throws MalformedMessageException {
     List<TaskReport> tasks = new ArrayList<>();
@@ -206,6 +232,15 @@
     return message;
   }
 
+  /**
+   * Commands sent straight to a worker. They renew no lease, and are carried out in that session of
+   * the worker only.
+   */
+  public static ObjectNode directCommands(
+      Version fencingToken, long session, List<WorkerCommand> commands) {
+    return commandReply(fencingToken, commands).put("tenure", session);
+  }
+
   /**
    * An answer that renews nothing: its token is lower than any that a worker has been given. Left
    * out, the token was read as 0 by some workers, and 0 had been given out.
--- a/src/main/java/io/violetrail/wire/JobMessages.java
+++ b/src/main/java/io/violetrail/wire/JobMessages.java
@@ -16,7 +16,15 @@
 
 /** The users' messages. */
 public final class JobMessages {
+  /** The path of a submission; a job's own path is below it. */
+  public static final String JOBS_PATH = "/work";
+
+  /** Ends the path of a cancellation. */
+  public static final String CANCEL_PATH_SUFFIX = "/abort";
+
+  /** The most tasks that a job may have. */
   public static final int MAX_TASKS = 100_000;
+
   private static final Map<String, JobShape> SHAPES =
       Map.of("batch", JobShape.ARRAY, "ensemble", JobShape.GANG, "daemon", JobShape.SERVICE);
   private static final Map<String, Priority> PRIORITIES =
@@ -30,20 +38,43 @@
           "low",
           Priority.LOW);
 
+  /** What is stored of a job beside its id, in this order: names would take most of the room. */
+  private static final List<String> STORED_FIELDS =
+      List.of(
+          "jobclass",
+          "crew",
+          "shape",
+          "urgency",
+          "pieces",
+          "cores",
+          "gpus",
+          "mem_gb",
+          "bundle",
+          "pull_gb",
+          "hosttypes",
+          "yard",
+          "one_zone",
+          "apart",
+          "loaners",
+          "guess_s",
+          "snapshot_s",
+          "flush_s",
+          "due_s");
+
   private JobMessages() {}
 
   /** A user's submission. What other interfaces describe may do without an image. */
   public static JobSpec parseSubmission(JsonNode message) throws MalformedMessageException {
     Cbor.readText(message, "bundle");
-    return jobSpec(message);
+    return parseJobSpec(message);
   }
 
   /**
    * Decodes a submitted job.
    *
-   * @throws MalformedRequestException if a required field is missing or a value is out of range
+   * @throws MalformedMessageException if a required field is missing or a value is out of range
    */
-  public static JobSpec jobSpec(JsonNode message) throws MalformedMessageException {
+  public static JobSpec parseJobSpec(JsonNode message) throws MalformedMessageException {
     String id = Cbor.readText(message, "name_id");
     if (!JobId.isWellFormed(id)) {
       throw new MalformedMessageException("name_id has the wrong form");
@@ -81,7 +112,7 @@
   }
 
   /** Encodes a job in the form in which it is submitted; fields at their default are left out. */
-  public static ObjectNode jobSpec(JobSpec spec) {
+  public static ObjectNode submissionMessage(JobSpec spec) {
     ObjectNode message = Cbor.newMap();
     message
         .put("name_id", spec.id().value())
@@ -116,32 +147,9 @@
     return message;
   }
 
-  /** What is stored of a job beside its id, in this order: names would take most of the room. */
-  private static final List<String> STORED_FIELDS =
-      List.of(
-          "jobclass",
-          "crew",
-          "shape",
-          "urgency",
-          "pieces",
-          "cores",
-          "gpus",
-          "mem_gb",
-          "bundle",
-          "pull_gb",
-          "hosttypes",
-          "yard",
-          "one_zone",
-          "apart",
-          "loaners",
-          "guess_s",
-          "snapshot_s",
-          "flush_s",
-          "due_s");
-
   /** Adds a job's description without its id to a list of values. */
   public static void appendSpec(JobSpec spec, ArrayNode values) {
-    ObjectNode message = jobSpec(spec);
+    ObjectNode message = submissionMessage(spec);
     STORED_FIELDS.forEach(field -> values.add(message.get(field)));
   }
 
@@ -152,7 +160,7 @@
     for (int i = 0; i < STORED_FIELDS.size(); i++) {
       message.set(STORED_FIELDS.get(i), values.path(fromIndex + i));
     }
-    return jobSpec(message);
+    return parseJobSpec(message);
   }
 
   /** Encodes a job's status and its counts of finished and running tasks. */
--- a/src/main/java/io/violetrail/wire/StateStoreMessages.java
+++ b/src/main/java/io/violetrail/wire/StateStoreMessages.java
@@ -16,7 +16,9 @@
 public final class StateStoreMessages {
   private StateStoreMessages() {}
 
-  /** A key with its value and the revision of its last change; absent: null value and stamp 0. */
+  /**
+   * A key with its value and the revision of its last change; absent: null value and revision 0.
+   */
   public record Entry(String key, JsonNode value, long modRevision) {}
 
   /** One change seen by a watch; a dropped key has a null value. */
@@ -75,24 +77,28 @@
       return this;
     }
 
-    /** The stamps that keys must have; 0: absent. */
+    /** The revisions that keys must have; 0: absent. */
     public Map<String, Long> expectedRevisions() {
       return Collections.unmodifiableMap(expectedRevisions);
     }
 
+    /** The keys that it puts or deletes. */
     public Set<String> writtenKeys() {
       return Collections.unmodifiableSet(writtenKeys);
     }
 
+    /** How many puts and deletions it holds. */
     public int writeCount() {
       return writes.size();
     }
 
+    /** The body of the request. */
     public byte[] encode() {
       return Cbor.encode(body);
     }
   }
 
+  /** Decodes a key with its value. */
   public static Entry parseEntry(JsonNode message) {
     return new Entry(
         message.path("key").asText(), message.get("v"), message.path("stamp").asLong());
@@ -113,6 +119,7 @@
         parsedEntries, Cbor.readCount(message, "epoch"), Cbor.readFlag(message, "truncated"));
   }
 
+  /** Decodes the revision of the whole store that a reply is as of. */
   public static long parseRevision(JsonNode message) {
     return message.path("epoch").asLong();
   }
@@ -137,11 +144,12 @@
     return changes;
   }
 
+  /** Asks for a lease that ends that long after its last renewal. */
   public static ObjectNode leaseRequest(long ttlMillis) {
     return Cbor.newMap().put("life_ms", ttlMillis);
   }
 
-  /** The name of a lease that was granted; any number may be one. */
+  /** Decodes the id of a lease that was granted; any number may be one. */
   public static long parseLeaseId(JsonNode message) throws MalformedMessageException {
     return Cbor.readCount(message, "hold");
   }
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -147,10 +147,11 @@
     }
     byte[] body =
         Cbor.encode(
-            HeartbeatMessages.commandReply(entity.fencingTokenFor(machine), commands)
-                .put("tenure", machine.lastSession()));
+            HeartbeatMessages.directCommands(
+                entity.fencingTokenFor(machine), machine.lastSession(), commands));
     Futures.logFailure(
-        http.callOnce(machine.endpoint(), "POST", "/orders", body, TIMEOUT_SECONDS)
+        http.callOnce(
+                machine.endpoint(), "POST", HeartbeatMessages.COMMANDS_PATH, body, TIMEOUT_SECONDS)
             .whenComplete((response, failure) -> onCompleted.run()),
         "send commands to a worker");
   }
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -11,6 +11,7 @@
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.peer.PeerClient;
+import io.violetrail.wire.HeartbeatMessages;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -200,7 +201,7 @@
     int[] answeredCount = {0};
     for (HostPort worker : workers) {
       Futures.logFailure(
-          http.callOnce(worker, "GET", "/status", null, PROBE_TIMEOUT_SECONDS)
+          http.callOnce(worker, "GET", HeartbeatMessages.STATUS_PATH, null, PROBE_TIMEOUT_SECONDS)
               .whenComplete(
                   (response, failure) -> {
                     answeredCount[0] += failure == null && response.isOk() ? 1 : 0;
--- a/src/test/java/io/violetrail/fakes/FakeCloud.java
+++ b/src/test/java/io/violetrail/fakes/FakeCloud.java
@@ -102,7 +102,7 @@
     }
     try {
       if (path.equals("/flavors")) {
-        respond.accept(HttpAnswer.of(200, CloudMessages.machineTypes(machineTypes)));
+        respond.accept(HttpAnswer.of(200, CloudMessages.machineTypesMessage(machineTypes)));
       } else if (path.startsWith("/hosts?")) {
         respond.accept(HttpAnswer.of(200, listMachines(path)));
       } else if (path.equals("/hosts")) {
