--- a/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
+++ b/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
@@ -32,14 +32,14 @@
  * clocks wander and leap. Transactions are refused, applied without an answer, or applied late. All
  * is drawn from one seed.
  */
-final class ScheduleYearSimulation {
+public final class ScheduleYearSimulation {
   private static final List<String> ZONES =
       List.of("Africa/Dar_es_Salaam", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe");
   private static final long CLOCK_ERROR_BOUND_MILLIS = 250;
 
-  final Random random;
-  final Instant beginsAt = Instant.parse("2027-01-01T00:00:00Z");
-  final Instant endsAt;
+  private final Random random;
+  private final Instant beginsAt = Instant.parse("2027-01-01T00:00:00Z");
+  private final Instant endsAt;
   private long nowMillis = beginsAt.toEpochMilli();
   private long nextEventSequence;
   private final PriorityQueue<TimedEvent> events = new PriorityQueue<>();
@@ -49,9 +49,12 @@
 
   final Map<String, Long> claims = new HashMap<>();
   private long revision;
-  int changeCount;
+  private int changeCount;
+  int reportCount;
+  int withdrawnCount;
+  private final List<Long> leadTimesMillis = new ArrayList<>();
 
-  final List<SimulatedSchedule> schedules = new ArrayList<>();
+  private final List<SimulatedSchedule> schedules = new ArrayList<>();
   private final Map<String, SimulatedJob> jobs = new HashMap<>();
   private final List<SimulatedOwner> owners = new ArrayList<>();
   private final long[] versions = new long[3];
@@ -75,7 +78,7 @@
   }
 
   /** One schedule with what its checker knows of it. */
-  static final class SimulatedSchedule {
+  private static final class SimulatedSchedule {
     String name;
     String uid;
     ReferenceSchedule reference;
@@ -97,7 +100,8 @@
     final List<long[]> spans = new ArrayList<>();
   }
 
-  ScheduleYearSimulation(long seed, int schedules, int days) {
+  /** Draws the schedules and failures of so many days from the seed; {@link #run} plays them. */
+  public ScheduleYearSimulation(long seed, int schedules, int days) {
     this.random = new Random(seed);
     this.endsAt = beginsAt.plus(Duration.ofDays(days));
     for (int i = 0; i < schedules; i++) {
@@ -446,7 +450,7 @@
   }
 
   /** Plays the year, and long enough after it for the last due times to be settled. */
-  ScheduleYearSimulation run() {
+  public ScheduleYearSimulation run() {
     long endMillis = endsAt.toEpochMilli() + hoursToMillis(12);
     while (nowMillis < endMillis) {
       long nextMillis = Math.min(endMillis, nowMillis + 60_000);
@@ -474,7 +478,7 @@
   }
 
   /** What is wrong with the year, by java.time alone. */
-  List<String> findProblems() {
+  public List<String> findProblems() {
     List<String> problems = new ArrayList<>();
     Set<String> expectedRuns = new HashSet<>();
     for (SimulatedSchedule schedule : schedules) {
@@ -550,10 +554,6 @@
     return countByDueTime;
   }
 
-  int reportCount;
-  int withdrawnCount;
-  final List<Long> leadTimesMillis = new ArrayList<>();
-
   /** A run that missed its deadline was reported before the meeting, if anybody was there. */
   private void checkReport(
       SimulatedSchedule schedule, long dueMillis, JsonNode report, List<String> problems) {
@@ -604,36 +604,36 @@
     }
   }
 
-  /** Arguments: seed, schedules, days. A large year is a command, not a test. */
-  public static void main(String[] args) {
-    long startedAtNanos = System.nanoTime();
-    ScheduleYearSimulation year =
-        new ScheduleYearSimulation(
-                Long.parseLong(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]))
-            .run();
-    List<String> problems = year.findProblems();
-    year.leadTimesMillis.sort(null);
-    long blocks = year.rows.keySet().stream().filter(k -> k.startsWith("cal/h/")).count();
-    long bytes =
-        year.rows.entrySet().stream()
+  /** What a year came to, for the program that plays large ones. */
+  public record Summary(
+      int runs,
+      int reports,
+      int withdrawnReports,
+      int rowChanges,
+      long historyBlocks,
+      long historyBytes,
+      List<Long> leadTimesMillis) {
+
+    /** Bytes of history per run, as if all blocks were full. */
+    public double historyBytesPerRun() {
+      return historyBytes / (double) Math.max(1, historyBlocks * ScheduleTrigger.RUNS_PER_BLOCK);
+    }
+  }
+
+  /** Returns the counts of the year as played so far; lead times are in ascending order. */
+  public Summary summarize() {
+    List<ObjectNode> blocks =
+        rows.entrySet().stream()
             .filter(entry -> entry.getKey().startsWith("cal/h/"))
-            .mapToLong(entry -> Cbor.encode(entry.getValue().value()).length)
-            .sum();
-    System.out.printf(
-        "%d runs, %d wrong, %d reports (%d withdrawn), %.2f changes a run, %d blocks, %.0f bytes a"
-            + " run in them, lead time of reports s: least %d, median %d; played in %.0f s%n",
-        year.claims.size(),
-        problems.size(),
-        year.reportCount,
-        year.withdrawnCount,
-        year.changeCount / (double) year.claims.size(),
-        blocks,
-        bytes / (double) Math.max(1, blocks * ScheduleTrigger.RUNS_PER_BLOCK),
-        year.leadTimesMillis.isEmpty() ? 0 : year.leadTimesMillis.get(0) / 1000,
-        year.leadTimesMillis.isEmpty()
-            ? 0
-            : year.leadTimesMillis.get(year.leadTimesMillis.size() / 2) / 1000,
-        (System.nanoTime() - startedAtNanos) / 1e9);
-    problems.stream().limit(20).forEach(System.out::println);
+            .map(entry -> entry.getValue().value())
+            .toList();
+    return new Summary(
+        claims.size(),
+        reportCount,
+        withdrawnCount,
+        changeCount,
+        blocks.size(),
+        blocks.stream().mapToLong(block -> Cbor.encode(block).length).sum(),
+        leadTimesMillis.stream().sorted().toList());
   }
 }
--- a/src/test/java/io/violetrail/stories/BudgetLendingTest.java
+++ b/src/test/java/io/violetrail/simulation/BudgetLendingTest.java
@@ -1,4 +1,4 @@
-package io.violetrail.stories;
+package io.violetrail.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/io/violetrail/simulation/ApiClient.java
+++ b/src/test/java/io/violetrail/simulation/digest/ApiClient.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 /** Somebody who uses one of the optional APIs during a simulated day. */
 interface ApiClient {
--- a/src/test/java/io/violetrail/simulation/ConfigurationClient.java
+++ b/src/test/java/io/violetrail/simulation/digest/ConfigurationClient.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/test/java/io/violetrail/simulation/Flavour.java
+++ b/src/test/java/io/violetrail/simulation/digest/Flavour.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings.Team;
--- a/src/test/java/io/violetrail/simulation/InjectedFault.java
+++ b/src/test/java/io/violetrail/simulation/digest/InjectedFault.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 import com.google.errorprone.annotations.Immutable;
 import io.violetrail.fakes.ClusterSimulation;
--- a/src/test/java/io/violetrail/simulation/KubernetesClient.java
+++ b/src/test/java/io/violetrail/simulation/digest/KubernetesClient.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 import io.violetrail.fakes.ClusterSimulation;
 import io.violetrail.fakes.KubernetesTestClient;
--- a/src/test/java/io/violetrail/simulation/SimulatedDay.java
+++ b/src/test/java/io/violetrail/simulation/digest/SimulatedDay.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 import io.violetrail.config.Settings.Team;
 import io.violetrail.fakes.ClusterSimulation;
--- a/src/test/java/io/violetrail/simulation/SimulationDigest.java
+++ b/src/test/java/io/violetrail/simulation/digest/SimulationDigest.java
@@ -1,4 +1,4 @@
-package io.violetrail.simulation;
+package io.violetrail.simulation.digest;
 
 import java.util.EnumSet;
 import java.util.Set;
@@ -9,7 +9,7 @@
  *
  * <pre>
  * mvn -q -DskipTests package
- * java -cp target/test-classes:target/violetrail.jar io.violetrail.simulation.SimulationDigest
+ * java -cp target/test-classes:target/violetrail.jar io.violetrail.simulation.digest.SimulationDigest
  * </pre>
  *
  * <p>Arguments: the first and the last seed, if not all are to be played. Standard output has the
--- a/src/test/java/io/violetrail/fakes/ControllerCostBenchmark.java
+++ b/src/test/java/io/violetrail/tools/ControllerCostBenchmark.java
@@ -1,6 +1,8 @@
-package io.violetrail.fakes;
+package io.violetrail.tools;
 
 import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.fakes.ClusterSimulation;
+import io.violetrail.fakes.SimulatedUser;
 import io.violetrail.wire.Cbor;
 
 /**
--- a/src/test/java/io/violetrail/fakes/KubernetesEquivalenceCheck.java
+++ b/src/test/java/io/violetrail/tools/KubernetesEquivalenceCheck.java
@@ -1,7 +1,8 @@
-package io.violetrail.fakes;
+package io.violetrail.tools;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.fakes.SimulatedUser;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.io.IOException;
--- a/src/test/java/io/violetrail/fakes/KubernetesLoadGenerator.java
+++ b/src/test/java/io/violetrail/tools/KubernetesLoadGenerator.java
@@ -1,4 +1,4 @@
-package io.violetrail.fakes;
+package io.violetrail.tools;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/io/violetrail/fakes/StandaloneFakes.java
+++ b/src/test/java/io/violetrail/tools/StandaloneFakes.java
@@ -1,6 +1,9 @@
-package io.violetrail.fakes;
+package io.violetrail.tools;
 
 import io.violetrail.config.Settings.HostPort;
+import io.violetrail.fakes.ClusterSimulation;
+import io.violetrail.fakes.RealTimeSimulation;
+import io.violetrail.fakes.SettingsFileWriter;
 import io.violetrail.net.UndertowHttpClient;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/io/violetrail/scale/ConfigurationLoad.java
+++ b/src/test/java/io/violetrail/tools/scale/ConfigurationLoad.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings.Objective;
--- a/src/test/java/io/violetrail/scale/CostScalingBenchmark.java
+++ b/src/test/java/io/violetrail/tools/scale/CostScalingBenchmark.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.google.common.collect.ImmutableList;
--- a/src/test/java/io/violetrail/scale/FreePorts.java
+++ b/src/test/java/io/violetrail/tools/scale/FreePorts.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/io/violetrail/scale/HostZones.java
+++ b/src/test/java/io/violetrail/tools/scale/HostZones.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 import io.violetrail.fakes.ClusterSimulation;
 
--- a/src/test/java/io/violetrail/scale/LoadShape.java
+++ b/src/test/java/io/violetrail/tools/scale/LoadShape.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 /**
  * The size of a deployment and of the load on it.
--- a/src/test/java/io/violetrail/scale/QuietLogging.java
+++ b/src/test/java/io/violetrail/tools/scale/QuietLogging.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 /** Keeps the libraries' start-up lines out of a tool's output. */
 final class QuietLogging {
--- a/src/test/java/io/violetrail/scale/ScaleRunTest.java
+++ b/src/test/java/io/violetrail/tools/scale/ScaleRunTest.java
@@ -1,4 +1,4 @@
-package io.violetrail.scale;
+package io.violetrail.tools.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
