--- a/src/test/java/io/violetrail/configuration/ConfigurationTest.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationTest.java
@@ -14,6 +14,7 @@
 import io.violetrail.fakes.SimulatedUser;
 import io.violetrail.net.HttpClient;
 import io.violetrail.ownership.StateSchema;
+import io.violetrail.simulation.SimulationTestBase;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.util.ArrayList;
@@ -22,19 +23,20 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.IntStream;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The configuration changes while controllers, the network and the state service fail. */
-class ConfigurationTest {
-  private ClusterSimulation simulation;
-  private SimulatedUser user;
+class ConfigurationTest extends SimulationTestBase {
   private ConfigurationInvariantChecker checker;
 
+  ConfigurationTest() {
+    super(1);
+  }
+
   private void startWithLimit(long seed, double limit) {
-    simulation = new ClusterSimulation(3, seed);
+    resetSimulation(seed);
     simulation.options =
         new Options(
             null,
@@ -46,18 +48,10 @@
             true);
     simulation.teams.put("red", new Team("red", 0, 0, limit, Double.POSITIVE_INFINITY));
     simulation.cloud.taskDurationSeconds = 8;
-    user = new SimulatedUser(simulation);
     checker = new ConfigurationInvariantChecker(simulation);
     simulation.startAllControllers();
   }
 
-  @AfterEach
-  void assertNoViolations() {
-    if (simulation != null) {
-      assertEquals(List.of(), simulation.violations);
-    }
-  }
-
   private static ObjectNode teamNode(String name, double limit) {
     return Cbor.newMap().put("name", name).put("cpus_max", limit);
   }
--- a/src/test/java/io/violetrail/kubernetes/KubernetesFormatsTest.java
+++ b/src/test/java/io/violetrail/kubernetes/RolloutTest.java
@@ -1,81 +1,18 @@
 package io.violetrail.kubernetes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.kubernetes.RolloutPlanner.Plan;
 import io.violetrail.kubernetes.RolloutPlanner.Replica;
-import io.violetrail.wire.Cbor;
-import io.violetrail.wire.kubernetes.KubernetesJson;
-import io.violetrail.wire.kubernetes.LabelSelector;
-import io.violetrail.wire.kubernetes.Quantity;
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Texts that are read strictly, the table of fields, and rollouts step by step. */
-class KubernetesFormatsTest {
-  @Test
-  void quantitiesAndDurationsAreParsedStrictly() {
-    assertEquals("0.500", Quantity.parseAmount("500m").orElseThrow().toPlainString());
-    assertEquals(0, Quantity.parseAmount("1.5Gi").orElseThrow().intValueExact() - 1610612736);
-    assertEquals("2000", Quantity.parseAmount("2e3").orElseThrow().toPlainString());
-    assertEquals(5400.0, Quantity.parseDurationSeconds("1.5h").orElseThrow());
-    for (String malformed :
-        List.of("", " 1", "1 ", "-1", "+1", "1.", ".5", "1Kb", "0x10", "1,5", "١")) {
-      assertTrue(Quantity.parseAmount(malformed).isEmpty(), malformed);
-      assertTrue(
-          Quantity.parseDurationSeconds(malformed + "s").isEmpty() || malformed.isEmpty(),
-          malformed);
-    }
-    assertTrue(Quantity.parseDurationSeconds("90").isEmpty(), "a duration names its unit");
-  }
-
-  @Test
-  void labelSelectorsAreParsedStrictly() throws Exception {
-    ObjectNode labels = Cbor.newMap().put("app", "scan").put("tier", "a");
-    for (String matching :
-        List.of("", "app=scan", "app==scan,tier in (a, b)", "x!=y", "tier,!x", "x notin (a)")) {
-      assertTrue(LabelSelector.parse(matching).matches(labels), matching);
-    }
-    for (String nonMatching :
-        List.of("app=", "app!=scan", "!tier", "tier notin (a,b)", "x in (a)")) {
-      assertTrue(!LabelSelector.parse(nonMatching).matches(labels), nonMatching);
-    }
-    for (String malformed :
-        List.of("=", "a=b,", "a in b", "a in (b", "a=b c", "-a", "a=b;c=d", "a=b,,c")) {
-      assertThrows(
-          KubernetesJson.MalformedRequestException.class,
-          () -> LabelSelector.parse(malformed),
-          malformed);
-    }
-  }
-
-  @Test
-  void documentedFieldTableMatchesTheSchema() throws IOException {
-    String page = Files.readString(Path.of("docs/kubernetes.md"));
-    StringBuilder table = new StringBuilder();
-    for (ObjectKind kind : ObjectKind.values()) {
-      for (ManifestSchema.Field field : new ManifestSchema().listFields(kind)) {
-        table.append(
-            "| %s | `%s` | %s | %s |%n"
-                .formatted(
-                    kind.publishedName(),
-                    field.path(),
-                    field.supported() ? "taken" : "refused",
-                    field.meaning()));
-      }
-    }
-    assertTrue(page.contains(table), "the table is to be:\n" + table);
-  }
-
+/** Rollouts step by step. */
+class RolloutTest {
   /** Whatever runs, stops or is lost on the way, both bounds hold at each step. */
   @Test
   void rolloutKeepsItsBoundsWhileReplicasFail() {
--- a/src/test/java/io/violetrail/simulation/BudgetLendingTest.java
+++ b/src/test/java/io/violetrail/simulation/BudgetLendingTest.java
@@ -11,13 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /** A controller with more to write than its part of the budget is lent what its peers have left. */
-class BudgetLendingTest {
+class BudgetLendingTest extends SimulationTestBase {
   private static final int BURST_SIZE = 12;
   private static final double WRITES_PER_SECOND = 12;
 
-  private final ClusterSimulation simulation = new ClusterSimulation(5, 3);
   private int acceptedCount;
 
+  BudgetLendingTest() {
+    super(5, 3);
+  }
+
   private void startWithWriteLimit() {
     simulation.stateLimits = new StateStoreLimits(200, WRITES_PER_SECOND, 8192, 24);
     simulation.stateService.enforcesLimits = true;
@@ -68,33 +71,31 @@
    */
   @Test
   void jobOutcomesAreWrittenWhileSubmissionsExhaustTheBudget() {
-    ClusterSimulation sevenControllers = new ClusterSimulation(7, 5);
-    sevenControllers.stateLimits = new StateStoreLimits(400, 30, 8192, 24);
-    sevenControllers.stateService.enforcesLimits = true;
-    sevenControllers.cloud.taskDurationSeconds = 1;
-    sevenControllers.cloud.capacity = 40;
-    sevenControllers.startAllControllers();
+    resetSimulation(7, 5);
+    simulation.stateLimits = new StateStoreLimits(400, 30, 8192, 24);
+    simulation.stateService.enforcesLimits = true;
+    simulation.cloud.taskDurationSeconds = 1;
+    simulation.cloud.capacity = 40;
+    simulation.startAllControllers();
     for (int i = 0; i < 40; i++) {
-      sevenControllers.cloud.addRunningMachine("plain", "a");
+      simulation.cloud.addRunningMachine("plain", "a");
     }
-    sevenControllers.runFor(30);
-    SimulatedUser user = new SimulatedUser(sevenControllers);
+    simulation.runFor(30);
     for (int i = 0; i < 40; i++) {
       assertEquals(
           201,
           user.submit(
               ClusterSimulation.controllerName(i % 7),
               SimulatedUser.jobRequest("job-9" + (1000 + i), 1)));
-      sevenControllers.runFor(0.1);
+      simulation.runFor(0.1);
     }
     for (int i = 0; i < 600; i++) {
       byte[] job = Cbor.encode(SimulatedUser.jobRequest("job-" + i, 1));
       String controller = ClusterSimulation.controllerName(i % 7);
-      sevenControllers.runAfter(
-          0.05 * i,
-          () -> sevenControllers.callController("user", controller, "POST", "/work", job));
+      simulation.runAfter(
+          0.05 * i, () -> simulation.callController("user", controller, "POST", "/work", job));
     }
-    sevenControllers.runFor(20);
+    simulation.runFor(20);
     int reportedDone = 0;
     for (int i = 0; i < 40; i++) {
       reportedDone +=
@@ -104,7 +105,7 @@
               : 0;
     }
     assertTrue(reportedDone >= 38, reportedDone + " of 40 are told");
-    assertEquals(List.of(), sevenControllers.violations);
+    assertEquals(List.of(), simulation.violations);
   }
 
   @Test
--- a/src/test/java/io/violetrail/simulation/FleetFailoverTest.java
+++ b/src/test/java/io/violetrail/simulation/FleetFailoverTest.java
@@ -11,18 +11,14 @@
 import io.violetrail.wire.Cbor;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** A thousand machines, and one controller that is left to carry them. */
-class FleetFailoverTest {
+class FleetFailoverTest extends SimulationTestBase {
   private static final int MACHINE_COUNT = 1_000;
-  private final ClusterSimulation simulation = new ClusterSimulation(3, 11);
-  private final SimulatedUser user = new SimulatedUser(simulation);
 
-  @AfterEach
-  void assertNoViolations() {
-    assertEquals(List.of(), simulation.violations);
+  FleetFailoverTest() {
+    super(11);
   }
 
   private List<String> submitBatches(int jobCount, int taskCount) {
--- a/src/test/java/io/violetrail/simulation/JobSubmissionTest.java
+++ b/src/test/java/io/violetrail/simulation/JobSubmissionTest.java
@@ -5,16 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.violetrail.fakes.ClusterSimulation;
 import io.violetrail.fakes.SimulatedUser;
 import io.violetrail.wire.Cbor;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class JobSubmissionTest {
-  private final ClusterSimulation simulation = new ClusterSimulation(3, 1).startAllControllers();
-  private final SimulatedUser user = new SimulatedUser(simulation);
+/** Submissions, repeated and concurrent ones, and what each controller says of them. */
+class JobSubmissionTest extends SimulationTestBase {
+  JobSubmissionTest() {
+    super(1);
+    simulation.startAllControllers();
+  }
 
   @Test
   void concurrentSubmissionsAtTwoControllersStoreOneJob() {
--- a/src/test/java/io/violetrail/simulation/KeepAliveGraceTest.java
+++ b/src/test/java/io/violetrail/simulation/KeepAliveGraceTest.java
@@ -21,9 +21,10 @@
  * longer than {@code cancel_s}, while workers go on reporting. The tasks must be gone in time all
  * the same, however long or short {@code cancel_s} is beside the workers' lease.
  */
-class KeepAliveGraceTest {
-  private ClusterSimulation simulation;
-  private SimulatedUser user;
+class KeepAliveGraceTest extends SimulationTestBase {
+  KeepAliveGraceTest() {
+    super(7);
+  }
 
   static Stream<WorkerTiming> deployments() {
     return Stream.of(
@@ -35,8 +36,6 @@
   }
 
   private FakeWorker startWithRunningJob(WorkerTiming workers) {
-    simulation = new ClusterSimulation(3, 7);
-    user = new SimulatedUser(simulation);
     simulation.workerSettings = workers;
     simulation.cloud.taskDurationSeconds = 500;
     simulation.startAllControllers();
@@ -49,12 +48,8 @@
 
   /** Through whom the cancellation goes; the entity has moved there. */
   private String cancelThroughSuccessor() {
-    simulation.runUntil(
-        simulation.workerSettings.leaseSeconds(),
-        () -> simulation.stateService.findValue("c/entity/c0").get("version").asLong() % 10 != 0);
-    String name =
-        ClusterSimulation.controllerName(
-            (int) (simulation.stateService.findValue("c/entity/c0").get("version").asLong() % 10));
+    simulation.runUntil(simulation.workerSettings.leaseSeconds(), () -> ownerIndexOf("c0") != 0);
+    String name = ClusterSimulation.controllerName(ownerIndexOf("c0"));
     simulation.runUntil(
         10, () -> simulation.controllers.get(name).membership().ownedEntities().size() == 2);
     simulation.runUntil(10, () -> "cancelled".equals(user.cancel(name, "job-1")));
@@ -72,9 +67,10 @@
   }
 
   @AfterEach
-  void assertNoViolations() {
+  @Override
+  protected void assertNoViolations() {
     simulation.runFor(30);
-    assertEquals(List.of(), simulation.violations);
+    super.assertNoViolations();
   }
 
   @ParameterizedTest
--- a/src/test/java/io/violetrail/simulation/KubernetesApiTest.java
+++ b/src/test/java/io/violetrail/simulation/KubernetesApiTest.java
@@ -22,19 +22,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Jobs and Deployments of the Kubernetes API, through failures of what keeps them. */
-class KubernetesApiTest {
+class KubernetesApiTest extends SimulationTestBase {
   private static final String JOBS = "/apis/batch/v1/namespaces/red/jobs";
   private static final String DEPLOYMENTS = "/apis/apps/v1/namespaces/red/deployments";
-  private final ClusterSimulation simulation = new ClusterSimulation(3, 5);
   private final KubernetesTestClient client = new KubernetesTestClient(simulation);
 
-  @AfterEach
-  void assertNoViolations() {
-    assertEquals(List.of(), simulation.violations);
+  KubernetesApiTest() {
+    super(5);
   }
 
   private ClusterSimulation startWithKubernetes() {
--- a/src/test/java/io/violetrail/simulation/LargeFleetLoadTest.java
+++ b/src/test/java/io/violetrail/simulation/LargeFleetLoadTest.java
@@ -14,17 +14,13 @@
 import io.violetrail.wire.Cbor;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** What bit when deployments grew to hundreds of machines on the same small controllers. */
-class LargeFleetLoadTest {
-  private final ClusterSimulation simulation = new ClusterSimulation(3, 7);
-  private final SimulatedUser user = new SimulatedUser(simulation);
+class LargeFleetLoadTest extends SimulationTestBase {
 
-  @AfterEach
-  void assertNoViolations() {
-    assertEquals(List.of(), simulation.violations);
+  LargeFleetLoadTest() {
+    super(7);
   }
 
   private void submitWithoutWaiting(int number, ObjectNode job) {
--- a/src/test/java/io/violetrail/simulation/ScheduleTest.java
+++ b/src/test/java/io/violetrail/simulation/ScheduleTest.java
@@ -11,19 +11,14 @@
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Schedules on whole controllers: fired once, through takeovers, and reported in time. */
-class ScheduleTest {
-  private final ClusterSimulation simulation = new ClusterSimulation(3, 21);
-  private final SimulatedUser user = new SimulatedUser(simulation);
+class ScheduleTest extends SimulationTestBase {
 
-  @AfterEach
-  void assertNoViolations() {
-    assertEquals(List.of(), simulation.violations);
+  ScheduleTest() {
+    super(21);
   }
 
   private ClusterSimulation startWithSchedules() {
--- /dev/null
+++ b/src/test/java/io/violetrail/simulation/SilentMachineTest.java
@@ -0,0 +1,66 @@
+package io.violetrail.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.violetrail.fakes.FakeWorker;
+import io.violetrail.fakes.SimulatedUser;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Tasks of machines that are not heard of are restarted on evidence only. */
+class SilentMachineTest extends SimulationTestBase {
+  SilentMachineTest() {
+    super(2);
+  }
+
+  @Test
+  void taskOfASilentMachineRestartsOnlyAfterItsLeaseExpired() {
+    simulation.startAllControllers();
+    user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
+    FakeWorker worker = awaitRunning("job-1/0");
+    worker.durationSecondsByTask.put("job-1/0", 100.0);
+    final double partitionedAtSeconds = simulation.nowSeconds();
+    simulation.networkFaults.partitionHost(worker.id);
+    simulation.runFor(9);
+    assertEquals(List.of(worker), simulation.cloud.workersRunning("job-1/0"));
+    simulation.runUntil(
+        60,
+        () ->
+            simulation.cloud.workersRunning("job-1/0").stream().anyMatch(other -> other != worker));
+    assertTrue(
+        simulation.nowSeconds() - partitionedAtSeconds > simulation.workerSettings.leaseSeconds());
+  }
+
+  @Test
+  void reportDelayedPastItsLeaseIsIgnored() {
+    // Seen on a simulated day: the late report named a task that had long been started elsewhere.
+    simulation.startAllControllers();
+    user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
+    FakeWorker worker = awaitRunning("job-1/0");
+    simulation.networkFaults.holdMessages(m -> m.startsWith(worker.id + " "));
+    simulation.runFor(14);
+    simulation.runUntil(
+        40,
+        () ->
+            simulation.cloud.workersRunning("job-1/0").stream().anyMatch(other -> other != worker));
+    assertTrue(simulation.networkFaults.heldMessageCount() > 0);
+    simulation.networkFaults.releaseHeldMessages();
+    simulation.runUntil(80, () -> user.pollStatus("c0", "job-1").equals("done"));
+  }
+
+  @Test
+  void failoverRestartsASilentMachinesTaskOnlyOnEvidence() {
+    simulation.startAllControllers();
+    user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
+    FakeWorker worker = awaitRunning("job-1/0");
+    simulation.networkFaults.partitionHost(worker.id);
+    simulation.cloud.unavailable = true;
+    simulation.killController("c0");
+    simulation.runFor(8);
+    assertEquals(List.of(worker), simulation.cloud.workersRunning("job-1/0"));
+    simulation.cloud.unavailable = false;
+    simulation.networkFaults.healHost(worker.id);
+    simulation.runUntil(90, () -> user.pollStatus("c1", "job-1").equals("done"));
+  }
+}
--- a/src/test/java/io/violetrail/simulation/SimulationTestBase.java
+++ b/src/test/java/io/violetrail/simulation/SimulationTestBase.java
@@ -10,22 +10,36 @@
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 
-/** What stories of three controllers have in common. At the end of each no rule is broken. */
-abstract class SimulationTestBase {
+/**
+ * A simulated cluster of its own for each test. At the end of each the invariants of {@link
+ * ClusterSimulation#violations} hold.
+ */
+public abstract class SimulationTestBase {
+  private static final int CONTROLLER_COUNT = 3;
+
   protected ClusterSimulation simulation;
   protected SimulatedUser user;
 
-  SimulationTestBase(long seed) {
-    resetSimulation(seed);
+  protected SimulationTestBase(long seed) {
+    this(CONTROLLER_COUNT, seed);
+  }
+
+  protected SimulationTestBase(int controllerCount, long seed) {
+    resetSimulation(controllerCount, seed);
   }
 
+  /** Goes on with a new cluster of three controllers, none of them started. */
   protected final void resetSimulation(long seed) {
-    simulation = new ClusterSimulation(3, seed);
+    resetSimulation(CONTROLLER_COUNT, seed);
+  }
+
+  protected final void resetSimulation(int controllerCount, long seed) {
+    simulation = new ClusterSimulation(controllerCount, seed);
     user = new SimulatedUser(simulation);
   }
 
   @AfterEach
-  void assertNoViolations() {
+  protected void assertNoViolations() {
     assertEquals(List.of(), simulation.violations);
   }
 
@@ -34,9 +48,22 @@
     return simulation.cloud.workersRunning(task).get(0);
   }
 
+  protected long versionOf(String entity) {
+    return simulation.stateService.findValue("c/entity/" + entity).get("version").asLong();
+  }
+
+  /** The number of the controller that owns the entity, which its version ends with. */
   protected int ownerIndexOf(String entity) {
-    return (int)
-        (simulation.stateService.findValue("c/entity/" + entity).get("version").asLong() % 10);
+    return (int) (versionOf(entity) % 10);
+  }
+
+  /** How many tasks the workers that are still there have started. */
+  protected int launchCount() {
+    return simulation.cloud.workers.values().stream().mapToInt(worker -> worker.launchCount).sum();
+  }
+
+  protected int rentedMachineCount() {
+    return simulation.cloud.machinesByRequest.values().stream().mapToInt(List::size).sum();
   }
 
   /** So many jobs of so many tasks, each taken in by one controller after the other. */
--- /dev/null
+++ b/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
@@ -0,0 +1,64 @@
+package io.violetrail.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.violetrail.fakes.FakeWorker;
+import io.violetrail.fakes.SimulatedUser;
+import io.violetrail.model.MachineId;
+import org.junit.jupiter.api.Test;
+
+/** Heartbeats of workers: answered early when there is work, ignored when the machine is gone. */
+class WorkerReportingTest extends SimulationTestBase {
+  WorkerReportingTest() {
+    super(11);
+  }
+
+  @Test
+  void idleWorkersGetWorkBeforeTheirNextReport() {
+    // A gang waited for the slowest of its machines' next reports.
+    simulation.cloud.capacity = 0;
+    simulation.startAllControllers();
+    for (int i = 0; i < 3; i++) {
+      simulation.cloud.addRunningMachine("plain", "a");
+    }
+    simulation.runFor(8);
+    user.submit(
+        "c0", SimulatedUser.jobRequest("job-1", 3).put("shape", "ensemble").put("cores", 8.0));
+    user.submit(
+        "c1", SimulatedUser.jobRequest("job-2", 3).put("shape", "ensemble").put("cores", 8.0));
+    user.submit(
+        "c2", SimulatedUser.jobRequest("job-3", 3).put("shape", "ensemble").put("cores", 8.0));
+    simulation.runFor(2.2);
+    assertEquals(3, launchCount(), "one of them has its three machines together");
+  }
+
+  @Test
+  void longPolledReportIsAnsweredWithinTheLease() {
+    simulation.cloud.capacity = 0;
+    simulation.startAllControllers();
+    FakeWorker worker = simulation.cloud.addRunningMachine("plain", "a");
+    simulation.runFor(60);
+    assertEquals(0, worker.expiredLeaseCount(), "its lease never ended");
+  }
+
+  @Test
+  void lateReportOfAReturnedMachineCreatesNoRecord() {
+    // Recorded: twenty machines that were no more were taken into an entity, and fell silent again.
+    simulation.startAllControllers();
+    user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
+    simulation.runUntil(20, () -> launchCount() == 1);
+    simulation.runFor(1);
+    FakeWorker worker = simulation.cloud.workersRunning("job-1/0").get(0);
+    simulation.networkFaults.holdMessages(m -> m.startsWith(worker.id + " "));
+    simulation.runUntil(60, () -> !simulation.cloud.workers.containsKey(worker.id));
+    simulation.runFor(1);
+    simulation.networkFaults.releaseHeldMessages();
+    simulation.runFor(2);
+    for (int i = 0; i < 3; i++) {
+      assertTrue(
+          simulation.controllers.get("c" + i).directory().findMachineRow(new MachineId(worker.id))
+              == null);
+    }
+  }
+}
