--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -5,6 +5,8 @@
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
 import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.errors.RequestFailedException;
+import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.WarmCapacity;
 import io.violetrail.model.ControllerId;
@@ -24,7 +26,6 @@
 import io.violetrail.scheduling.ServiceLevelObjectives;
 import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.tracing.JobTracer;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Entry;
@@ -267,7 +268,7 @@
             .whenComplete(
                 (stored, failure) -> {
                   if (failure != null) {
-                    result.completeExceptionally(StateUnavailableException.from(failure));
+                    result.completeExceptionally(RequestFailedException.from(failure));
                   } else if (stored.newlyStored()) {
                     entityByJob.put(spec.id(), entity.id());
                     // Also while the entity is being handed over: if that comes to nothing it stays
@@ -438,8 +439,7 @@
                       if (failure == null && view != null) {
                         cancelled.complete(view);
                       } else {
-                        cancelled.completeExceptionally(
-                            new StateUnavailableException("not stored", 0));
+                        cancelled.completeExceptionally(RequestUndecidedException.notStored());
                       }
                     }));
     return cancelled;
--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -7,6 +7,8 @@
 import io.violetrail.api.OpenJobIndex.OpenJobEntry;
 import io.violetrail.api.OpenJobIndex.OpenJobSegment;
 import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.errors.EntityMovedException;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
@@ -18,7 +20,6 @@
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.StateSchema;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobMessages;
 import io.violetrail.wire.StateStoreMessages.Entry;
@@ -207,7 +208,7 @@
                     draft.includedWrites.forEach(
                         e ->
                             e.completion.completeExceptionally(
-                                StateUnavailableException.from(failure)));
+                                RequestFailedException.from(failure)));
                     scheduleWrite(BATCHING_DELAY_SECONDS);
                   } else if (outcome.applied()) {
                     draft.handleApplied(outcome.revision());
@@ -371,9 +372,7 @@
     List<JobWrite> failedWrites = List.copyOf(queuedWrites);
     queuedWrites.clear();
     failedWrites.forEach(
-        e ->
-            e.completion.completeExceptionally(
-                new StateUnavailableException("the entity has moved", 409)));
+        e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
   }
 
   /**
@@ -383,9 +382,7 @@
   private void handleRefused(TransactionDraft draft, TransactionOutcome outcome) {
     if (outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
       draft.includedWrites.forEach(
-          e ->
-              e.completion.completeExceptionally(
-                  new StateUnavailableException("the entity has moved", 409)));
+          e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
       failQueuedWrites();
       membership.verifyOwnership();
       return;
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -1,6 +1,7 @@
 package io.violetrail.api;
 
 import io.violetrail.config.Settings;
+import io.violetrail.errors.PeerUnavailableException;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
@@ -340,7 +341,7 @@
         CompletableFuture.allOf(peerViews.toArray(CompletableFuture[]::new))
             .whenComplete(
                 (nothing, failure) ->
-                    first.completeExceptionally(new IllegalStateException("no peer knows"))),
+                    first.completeExceptionally(PeerUnavailableException.noneKnows(id))),
         "wait for all peers' answers");
     return first;
   }
@@ -354,7 +355,7 @@
   private CompletableFuture<JobView> viewFromOwner(JobId id, ControllerId entity) {
     ControllerId owner = findPeerOwning(entity);
     if (owner == null) {
-      return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
+      return CompletableFuture.failedFuture(PeerUnavailableException.noLiveOwner(entity));
     }
     return peerJobViews.view(owner, id);
   }
--- a/src/main/java/io/violetrail/calendar/CalendarExpression.java
+++ b/src/main/java/io/violetrail/calendar/CalendarExpression.java
@@ -2,6 +2,7 @@
 
 import io.violetrail.calendar.grammar.CalendarLexer;
 import io.violetrail.calendar.grammar.CalendarParser;
+import io.violetrail.errors.MalformedDataException;
 import java.time.Instant;
 import java.time.LocalDate;
 import java.time.LocalDateTime;
@@ -42,11 +43,11 @@
   }
 
   /** A text that is no expression, with line, column and what was expected there. */
-  public static final class MalformedExpressionException extends Exception {
+  public static final class MalformedExpressionException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
     MalformedExpressionException(String reason) {
-      super(reason, null, false, false);
+      super(reason);
     }
   }
 
--- a/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
+++ b/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.errors.MalformedDataException;
 import io.violetrail.wire.Cbor;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -27,11 +28,11 @@
   private RunHistoryCodec() {}
 
   /** A block that cannot be read. */
-  static final class CorruptBlockException extends Exception {
+  static final class CorruptBlockException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
     CorruptBlockException(String reason) {
-      super(reason, null, false, false);
+      super(reason);
     }
   }
 
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -7,6 +7,7 @@
 import io.violetrail.calendar.ScheduleDefinition.InvalidDefinitionException;
 import io.violetrail.calendar.ScheduleRow.Run;
 import io.violetrail.config.Settings;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobId;
 import io.violetrail.net.EventLoop;
@@ -15,7 +16,6 @@
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.state.Tombstones;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Transaction;
@@ -239,7 +239,7 @@
             .whenComplete(
                 (entry, failure) -> {
                   if (failure != null) {
-                    boolean busy = StateUnavailableException.from(failure).status() == 429;
+                    boolean busy = RequestFailedException.from(failure).isRateLimited();
                     responder.accept(
                         errorAnswer(busy ? 429 : 503, "the state service cannot be asked now"));
                   } else if (entry.value() == null) {
--- a/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.errors.MalformedDataException;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
@@ -58,12 +59,12 @@
   }
 
   /** A definition that is not taken: 400 if it is malformed, 422 if it can mean nothing useful. */
-  public static final class InvalidDefinitionException extends Exception {
+  public static final class InvalidDefinitionException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
     private final int httpStatus;
 
     InvalidDefinitionException(int httpStatus, String field, String reason) {
-      super(field + ": " + reason, null, false, false);
+      super(field + ": " + reason);
       this.httpStatus = httpStatus;
     }
 
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -2,6 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings;
+import io.violetrail.errors.Receiver;
+import io.violetrail.errors.RequestRejectedException;
+import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
 import io.violetrail.net.EventLoop;
@@ -60,7 +63,7 @@
               try {
                 return CloudMessages.machineTypes(Cbor.parse(response.body()));
               } catch (MalformedMessageException exception) {
-                throw new IllegalStateException(exception);
+                throw RequestUndecidedException.unclearAnswer(Receiver.CLOUD);
               }
             });
   }
@@ -120,7 +123,7 @@
                     lastListed,
                     CloudMessages.isTruncated(message) && !machines.isEmpty());
               } catch (MalformedMessageException exception) {
-                throw new IllegalStateException(exception);
+                throw RequestUndecidedException.unclearAnswer(Receiver.CLOUD);
               }
             });
   }
@@ -179,7 +182,7 @@
         .thenApply(
             response -> {
               if (!response.isOk()) {
-                throw new IllegalStateException("the cloud answered " + response.status());
+                throw RequestRejectedException.answered(Receiver.CLOUD, response.status());
               }
               return response;
             });
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -7,10 +7,10 @@
 import io.violetrail.configuration.ConfigurationChange.Result;
 import io.violetrail.configuration.ConfigurationFormat.ValidationResult;
 import io.violetrail.configuration.ConfigurationHead.Revision;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
 import io.violetrail.net.RequestHandler;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.util.HashSet;
@@ -169,7 +169,7 @@
                 (revisions, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        errorAnswer(503, StateUnavailableException.from(failure).getMessage()));
+                        errorAnswer(503, RequestFailedException.from(failure).getMessage()));
                     return;
                   }
                   ObjectNode json = Cbor.newMap();
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -5,12 +5,12 @@
 import io.violetrail.config.Settings.Objective;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.ConfigurationParts.Assembled;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
 import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.LeaseTiming;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import io.violetrail.wire.StateStoreMessages.RowChange;
 import java.util.ArrayList;
@@ -198,7 +198,7 @@
                   } else {
                     LOG.debug(
                         "configuration not confirmed: {}",
-                        StateUnavailableException.from(failure).getMessage());
+                        RequestFailedException.from(failure).getMessage());
                   }
                   if (readAgain) {
                     readAgain = false;
--- a/src/main/java/io/violetrail/configuration/ConfigurationParts.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationParts.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.errors.InconsistentRowsException;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.HashMap;
@@ -82,7 +82,7 @@
     for (var read : reads.entrySet()) {
       JsonNode part = read.getValue().join();
       if (part == null) {
-        throw new StateUnavailableException("a part of the configuration is missing", 0);
+        throw InconsistentRowsException.configurationPartMissing();
       }
       parts.put(read.getKey(), part);
       part.path("teams").forEach(teams::add);
@@ -90,7 +90,7 @@
     }
     ClusterConfiguration content = ClusterConfiguration.fromTree(tree);
     if (!content.digest().equals(revision.digest())) {
-      throw new StateUnavailableException("the stored configuration is not what its head says", 0);
+      throw InconsistentRowsException.configurationDigestDiffers();
     }
     return new Assembled(content, parts);
   }
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -4,6 +4,7 @@
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.Configuration;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.Resources;
@@ -17,7 +18,6 @@
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import io.violetrail.wire.StateStoreMessages.RowChange;
 import io.violetrail.wire.StateStoreMessages.Transaction;
@@ -521,7 +521,7 @@
             .whenComplete(
                 (entry, failure) -> {
                   if (failure != null) {
-                    StateUnavailableException cause = StateUnavailableException.from(failure);
+                    RequestFailedException cause = RequestFailedException.from(failure);
                     LOG.debug(
                         "slices of team {} not read: {}", move.team.name(), cause.getMessage());
                     loop.schedule(
--- a/src/main/java/io/violetrail/kubernetes/ObjectStore.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectStore.java
@@ -6,6 +6,7 @@
 import io.violetrail.api.JobAdmission;
 import io.violetrail.api.JobAdmission.Verdict;
 import io.violetrail.config.Settings;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
@@ -14,7 +15,6 @@
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.state.Tombstones;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Transaction;
@@ -218,8 +218,7 @@
   }
 
   private static KubernetesStatus failureStatus(Throwable failure) {
-    StateUnavailableException unavailable = StateUnavailableException.from(failure);
-    return unavailable.status() == 429
+    return RequestFailedException.from(failure).isRateLimited()
         ? KubernetesStatus.tooManyRequests("too many requests at once")
         : KubernetesStatus.unavailable("the state service does not answer");
   }
--- a/src/main/java/io/violetrail/kubernetes/PodLister.java
+++ b/src/main/java/io/violetrail/kubernetes/PodLister.java
@@ -4,6 +4,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
+import io.violetrail.errors.PeerUnavailableException;
+import io.violetrail.errors.Receiver;
+import io.violetrail.errors.RequestRejectedException;
+import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.kubernetes.KubernetesObject.NativeJob;
 import io.violetrail.model.ControllerId;
 import io.violetrail.net.Futures;
@@ -125,7 +129,7 @@
     ControllerId owner = clusterView.findLatestOwner(entity);
     var peer = owner == null ? null : settings.peers().get(owner);
     if (peer == null || !clusterView.isAlive(owner)) {
-      return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
+      return CompletableFuture.failedFuture(PeerUnavailableException.noLiveOwner(entity));
     }
     String path =
         "/violetrail/pods?entity="
@@ -141,7 +145,7 @@
             reply -> {
               try {
                 if (!reply.isOk()) {
-                  throw new IllegalStateException("the owner answered " + reply.status());
+                  throw RequestRejectedException.answered(Receiver.TASK_OWNER, reply.status());
                 }
                 List<ObjectNode> pods = new ArrayList<>();
                 KubernetesJson.parse(reply.body())
@@ -151,7 +155,7 @@
                     p -> !options.labelSelector().matches(p.path("metadata").get("labels")));
                 return pods;
               } catch (KubernetesJson.MalformedRequestException exception) {
-                throw new IllegalStateException(exception);
+                throw RequestUndecidedException.unclearAnswer(Receiver.TASK_OWNER);
               }
             });
   }
--- a/src/main/java/io/violetrail/ownership/MachineRecords.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecords.java
@@ -1,6 +1,7 @@
 package io.violetrail.ownership;
 
 import io.violetrail.config.Settings;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.model.MachineId;
 import io.violetrail.net.CoalescingTimer;
 import io.violetrail.net.EventLoop;
@@ -79,11 +80,11 @@
   }
 
   /** The row has another owner, or the write was not made: nothing may rest on it. */
-  public static final class RecordChangeRefusedException extends RuntimeException {
+  public static final class RecordChangeRefusedException extends RequestFailedException {
     private static final long serialVersionUID = 1L;
 
     RecordChangeRefusedException(String message) {
-      super(message, null, false, false);
+      super(message);
     }
   }
 
--- a/src/main/java/io/violetrail/peer/JobQueryBatcher.java
+++ b/src/main/java/io/violetrail/peer/JobQueryBatcher.java
@@ -1,10 +1,12 @@
 package io.violetrail.peer;
 
+import io.violetrail.errors.OverBudgetException;
+import io.violetrail.errors.OverBudgetException.Limit;
+import io.violetrail.errors.UnknownJobException;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.net.Futures;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -53,8 +55,7 @@
       return waiting;
     }
     if (queue.waitingQueries.size() >= MAX_WAITING_JOBS) {
-      return CompletableFuture.failedFuture(
-          new StateUnavailableException("too many questions", 429));
+      return CompletableFuture.failedFuture(new OverBudgetException(Limit.WAITING_JOB_QUERIES));
     }
     CompletableFuture<JobView> future = new CompletableFuture<>();
     queue.waitingQueries.put(jobId, future);
@@ -88,9 +89,7 @@
                           future.complete(view);
                         } else {
                           future.completeExceptionally(
-                              failure != null
-                                  ? failure
-                                  : new StateUnavailableException("the owner does not know", 404));
+                              failure != null ? failure : new UnknownJobException(owner, jobId));
                         }
                       });
                 }),
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -4,6 +4,11 @@
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.configuration.ConfigurationState;
+import io.violetrail.errors.PeerUnavailableException;
+import io.violetrail.errors.Receiver;
+import io.violetrail.errors.RequestRejectedException;
+import io.violetrail.errors.RequestUndecidedException;
+import io.violetrail.errors.UnknownJobException;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
@@ -16,7 +21,6 @@
 import io.violetrail.peer.PeerMessages.PeerRequest;
 import io.violetrail.peer.PeerMessages.PeerRequestKind;
 import io.violetrail.peer.PeerMessages.PeerResponse;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -71,7 +75,7 @@
         .thenApply(
             reply -> {
               if (!reply.known() || reply.views().isEmpty()) {
-                throw new StateUnavailableException("the owner does not know", 404);
+                throw new UnknownJobException(owner, id);
               }
               return reply.views().get(0).toView();
             });
@@ -160,7 +164,7 @@
       ControllerId peer, PeerRequest request, double timeoutSeconds) {
     HostPort address = settings.peers().get(peer);
     if (address == null) {
-      return CompletableFuture.failedFuture(new StateUnavailableException("no such peer", 404));
+      return CompletableFuture.failedFuture(PeerUnavailableException.notConfigured(peer));
     }
     return http.call(address, "POST", PATH, codec.encode(request), timeoutSeconds)
         .thenApply(this::decode);
@@ -168,12 +172,12 @@
 
   private PeerResponse decode(HttpClient.ClientReply reply) {
     if (!reply.isOk()) {
-      throw new StateUnavailableException("the peer answered " + reply.status(), reply.status());
+      throw RequestRejectedException.answered(Receiver.PEER, reply.status());
     }
     try {
       return codec.decode(reply.body(), PeerResponse.class);
     } catch (KryoException exception) {
-      throw new StateUnavailableException("the peer's answer is unclear", 0);
+      throw RequestUndecidedException.unclearAnswer(Receiver.PEER);
     }
   }
 }
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -1,10 +1,11 @@
 package io.violetrail.state;
 
+import io.violetrail.errors.NothingToWriteException;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.net.CoalescingTimer;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
 import io.violetrail.net.RateLimiter;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.StateStoreMessages.Transaction;
 import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.util.ArrayDeque;
@@ -237,8 +238,7 @@
         }
         if (!pending.draftIfNeeded()) {
           queue.remove();
-          pending.outcome.completeExceptionally(
-              new StateUnavailableException("nothing to write", 400));
+          pending.outcome.completeExceptionally(new NothingToWriteException());
         } else if (request.tryAdd(pending, maxWritesPerRequest)) {
           queue.remove();
           batch.add(pending);
@@ -307,7 +307,7 @@
                   requestsInFlight--;
                   if (failure == null) {
                     completeBatch(batch, outcome);
-                  } else if (StateUnavailableException.from(failure).status() != 400) {
+                  } else if (!RequestFailedException.from(failure).isRefusedAsMalformed()) {
                     loop.schedule(RETRY_SECONDS, () -> requeue(batch));
                   } else if (batch.size() == 1) {
                     batch.get(0).outcome.completeExceptionally(failure);
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -2,6 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings;
+import io.violetrail.errors.NothingToWriteException;
+import io.violetrail.errors.OverBudgetException;
+import io.violetrail.errors.Receiver;
+import io.violetrail.errors.RequestRejectedException;
+import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
 import io.violetrail.net.HttpClient;
@@ -95,37 +100,6 @@
         loop.monotonicSeconds());
   }
 
-  /** The service said no, or said nothing. */
-  public static final class StateUnavailableException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
-    private final int status;
-
-    public StateUnavailableException(String message, int status) {
-      super(message, null, false, false);
-      this.status = status;
-    }
-
-    /** The cause of a failed future, whatever it is wrapped in. */
-    public static StateUnavailableException from(Throwable failure) {
-      Throwable cause =
-          failure instanceof java.util.concurrent.CompletionException
-              ? failure.getCause()
-              : failure;
-      return cause instanceof StateUnavailableException unavailable
-          ? unavailable
-          : new StateUnavailableException(String.valueOf(cause), 0);
-    }
-
-    /** Certainly not carried out, now or later. */
-    public boolean isDefinitelyNotApplied() {
-      return status != 0;
-    }
-
-    public int status() {
-      return status;
-    }
-  }
-
   /** A whole listing with the revision it is as of. */
   public record Listing(List<Entry> entries, long revision) {}
 
@@ -220,7 +194,7 @@
         .thenApply(
             reply -> {
               if (!reply.isOk()) {
-                throw new StateUnavailableException("list", reply.status());
+                throw RequestRejectedException.listingAnswered(reply.status());
               }
               return parse(reply, StateStoreMessages::parsePage);
             });
@@ -247,7 +221,7 @@
 
   /**
    * Like {@link #commit}, but drawn up by {@code drafter} only when it is about to be sent. Fails
-   * with status 400 if the draft is null.
+   * with {@link NothingToWriteException} if the draft is null.
    */
   public CompletableFuture<TransactionOutcome> commitDeferred(Supplier<Transaction> drafter) {
     return groupCommit.addDeferred(drafter, GroupCommit.Lane.MACHINES);
@@ -341,8 +315,7 @@
                 return StateStoreMessages.parseOutcome(false, parseBody(reply));
               }
               if (!reply.isOk()) {
-                throw new StateUnavailableException(
-                    "txn answered " + reply.status(), reply.status());
+                throw RequestRejectedException.transactionAnswered(reply.status());
               }
               return StateStoreMessages.parseOutcome(true, parseBody(reply));
             });
@@ -415,15 +388,14 @@
                 (reply, failure) -> {
                   if (failure != null) {
                     result.completeExceptionally(
-                        new StateUnavailableException("state service: " + failure.getMessage(), 0));
+                        RequestUndecidedException.noAnswer(Receiver.STATE_STORE, failure));
                   } else if (reply.status() == 200
                       || reply.status() == 404
                       || reply.status() == 409) {
                     result.complete(reply);
                   } else {
                     result.completeExceptionally(
-                        new StateUnavailableException(
-                            "state service answered " + reply.status(), reply.status()));
+                        RequestRejectedException.answered(Receiver.STATE_STORE, reply.status()));
                   }
                 }),
         "call the state service");
@@ -432,7 +404,7 @@
 
   private <T> CompletableFuture<T> rejectOverBudget() {
     return CompletableFuture.failedFuture(
-        new StateUnavailableException("the budget is used up", 429));
+        new OverBudgetException(OverBudgetException.Limit.STATE_STORE_BUDGET));
   }
 
   /** Reads a part of an answer. */
@@ -448,7 +420,7 @@
     try {
       return reader.read(Cbor.parse(reply.body()));
     } catch (MalformedMessageException malformed) {
-      throw new StateUnavailableException("the state service's answer is unclear", 0);
+      throw RequestUndecidedException.unclearAnswer(Receiver.STATE_STORE);
     }
   }
 }
--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import io.violetrail.errors.MalformedDataException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,11 +22,11 @@
   private Cbor() {}
 
   /** A message that breaks the protocol. */
-  public static final class MalformedMessageException extends Exception {
+  public static final class MalformedMessageException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
     public MalformedMessageException(String reason) {
-      super(reason, null, false, false);
+      super(reason);
     }
   }
 
--- a/src/main/java/io/violetrail/wire/kubernetes/KubernetesJson.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/KubernetesJson.java
@@ -10,6 +10,7 @@
 import com.fasterxml.jackson.databind.cfg.JsonNodeFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.errors.MalformedDataException;
 import java.io.IOException;
 
 /** JSON as the Kubernetes API reads it strictly: one object, no key twice, bounded depth. */
@@ -40,7 +41,7 @@
   }
 
   /** A text that is not one strict JSON object. */
-  public static final class MalformedRequestException extends Exception {
+  public static final class MalformedRequestException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
     /** The path of what is wrong, empty if it is the whole. */
@@ -53,7 +54,7 @@
     }
 
     MalformedRequestException(String path, FieldError.Cause errorCause, String reason) {
-      super(reason, null, false, false);
+      super(reason);
       this.path = path;
       this.errorCause = errorCause;
     }
--- /dev/null
+++ b/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
@@ -0,0 +1,71 @@
+package io.violetrail.errors;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.violetrail.model.ControllerId;
+import java.util.List;
+import java.util.concurrent.CompletionException;
+import org.junit.jupiter.api.Test;
+
+/** What is decided by the kind of a failure, and the messages that users get. */
+final class RequestFailedExceptionTest {
+  @Test
+  void theCauseOfAFailedFutureIsUnwrapped() {
+    RequestFailedException moved = new EntityMovedException(new ControllerId("c1"));
+    assertSame(moved, RequestFailedException.from(moved));
+    assertSame(moved, RequestFailedException.from(new CompletionException(moved)));
+  }
+
+  @Test
+  void anyOtherFailureLeavesTheRequestUndecided() {
+    RequestFailedException failure =
+        RequestFailedException.from(new CompletionException(new IllegalArgumentException("x")));
+    assertInstanceOf(RequestUndecidedException.class, failure);
+    assertEquals("java.lang.IllegalArgumentException: x", failure.getMessage());
+    assertFalse(failure.isRateLimited());
+    assertFalse(failure.isRefusedAsMalformed());
+  }
+
+  @Test
+  void onlyLimitsCountAsRateLimited() {
+    for (OverBudgetException.Limit limit : OverBudgetException.Limit.values()) {
+      assertTrue(new OverBudgetException(limit).isRateLimited());
+    }
+    assertTrue(RequestRejectedException.answered(Receiver.STATE_STORE, 429).isRateLimited());
+    for (int status : List.of(400, 404, 409, 500, 503)) {
+      assertFalse(RequestRejectedException.answered(Receiver.STATE_STORE, status).isRateLimited());
+    }
+    assertFalse(RequestUndecidedException.notStored().isRateLimited());
+  }
+
+  @Test
+  void onlyStatus400IsRefusedAsMalformed() {
+    assertTrue(RequestRejectedException.answered(Receiver.STATE_STORE, 400).isRefusedAsMalformed());
+    for (int status : List.of(404, 409, 413, 429, 500, 503)) {
+      assertFalse(RequestRejectedException.transactionAnswered(status).isRefusedAsMalformed());
+    }
+  }
+
+  @Test
+  void messagesThatUsersGetStayAsTheyWere() {
+    assertEquals(
+        "state service answered 503",
+        RequestRejectedException.answered(Receiver.STATE_STORE, 503).getMessage());
+    assertEquals(
+        "txn answered 404", RequestRejectedException.transactionAnswered(404).getMessage());
+    assertEquals(
+        "state service: no route",
+        RequestUndecidedException.noAnswer(Receiver.STATE_STORE, new Exception("no route"))
+            .getMessage());
+    assertEquals(
+        "the state service's answer is unclear",
+        RequestUndecidedException.unclearAnswer(Receiver.STATE_STORE).getMessage());
+    assertEquals(
+        "the budget is used up",
+        new OverBudgetException(OverBudgetException.Limit.STATE_STORE_BUDGET).getMessage());
+  }
+}
