--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import io.violetrail.errors.MalformedDataException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,12 +25,12 @@
   private Cbor() {}
 
   /** A message that breaks the protocol. */
-  public static final class MalformedMessageException extends Exception {
+  public static final class MalformedMessageException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
     /** A message with the reason for which it is refused, as it is told to its sender. */
     public MalformedMessageException(String reason) {
-      super(reason, null, false, false);
+      super(reason);
     }
   }
 
