--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -379,7 +379,7 @@
         .handle(
             (stored, failure) -> {
               if (failure != null) {
-                membership.verifyOwnership();
+                membership.relist();
                 if (entity.phase() != OwnedEntity.Phase.LOST) {
                   // Refused for a reason that may pass: nobody else would ever store this end.
                   loop.schedule(
--- a/src/main/java/io/violetrail/api/JobProgressStore.java
+++ b/src/main/java/io/violetrail/api/JobProgressStore.java
@@ -162,7 +162,7 @@
                         (p, doneTasks) ->
                             doneTasks.stream().forEach(i -> p.job().markStored(p.fromIndex() + i)));
                   } else if (outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
-                    membership.verifyOwnership();
+                    membership.relist();
                   } else {
                     rereadRow(row, key);
                   }
--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -387,7 +387,7 @@
               e.completion.completeExceptionally(
                   new StateUnavailableException("the entity has moved", 409)));
       failQueuedWrites();
-      membership.verifyOwnership();
+      membership.relist();
       return;
     }
     List<OpenJobSegment> conflictingOpenSegments =
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -149,7 +149,7 @@
                   if (failure == null) {
                     rewritten(machine, stored);
                   } else {
-                    membership.verifyOwnership();
+                    membership.relist();
                   }
                 }),
         "rewrite a machine's record");
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
@@ -121,7 +121,7 @@
                                   .contains(StateSchema.entityKey(entity.id())));
                   if (!stored) {
                     requestsByName.remove(request.name);
-                    membership.verifyOwnership();
+                    membership.relist();
                   } else {
                     sendRequest(request);
                   }
--- a/src/main/java/io/violetrail/ownership/MachineRecords.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecords.java
@@ -1,6 +1,6 @@
 package io.violetrail.ownership;
 
-import io.violetrail.config.Settings;
+import io.violetrail.config.Settings.StateStoreLimits;
 import io.violetrail.model.MachineId;
 import io.violetrail.net.CoalescingTimer;
 import io.violetrail.net.EventLoop;
@@ -46,8 +46,8 @@
 
   private final StateStore store;
   private final ClusterView clusterView;
-  private final Membership membership;
-  private final Settings settings;
+  private final ClusterRowsFollower rowsFollower;
+  private final StateStoreLimits limits;
   private final OwnedEntity ownedEntity;
   private final int machinesPerBlock;
   private List<RecordChange> pendingChanges = new ArrayList<>();
@@ -92,22 +92,17 @@
       EventLoop loop,
       StateStore store,
       ClusterView clusterView,
-      Membership membership,
-      Settings settings,
+      ClusterRowsFollower rowsFollower,
+      StateStoreLimits limits,
       OwnedEntity entity) {
     this.writeDebouncer = new CoalescingTimer(loop, this::writePendingChanges);
     this.store = store;
     this.clusterView = clusterView;
-    this.membership = membership;
-    this.settings = settings;
+    this.rowsFollower = rowsFollower;
+    this.limits = limits;
     this.ownedEntity = entity;
     this.machinesPerBlock =
-        (int)
-            Math.max(
-                1,
-                settings.stateStoreLimits().maxValueBytes()
-                    * BLOCK_FILL_FRACTION
-                    / MAX_MACHINE_CHARS);
+        (int) Math.max(1, limits.maxValueBytes() * BLOCK_FILL_FRACTION / MAX_MACHINE_CHARS);
   }
 
   /** Records a machine unless another entity has it; completes with its row once stored. */
@@ -249,9 +244,9 @@
     boolean tryInclude(RecordChange change) {
       int writeCount = changedBlocks.size() + transferredRows.size();
       if (changedBlocks.size() >= MAX_BLOCKS_PER_TRANSACTION
-          || writeCount + 3 > settings.stateStoreLimits().maxTransactionOperations()
+          || writeCount + 3 > limits.maxTransactionOperations()
           || transaction.expectedRevisions().size() + MAX_BLOCKS_PER_TRANSACTION + 2
-              > 4 * settings.stateStoreLimits().maxTransactionOperations()) {
+              > 4 * limits.maxTransactionOperations()) {
         return false;
       }
       MachineId id = change.row.id();
@@ -423,7 +418,7 @@
         failedKeys.stream().anyMatch(key -> key.startsWith(StateSchema.MACHINE_PREFIX));
     if (entityMoved || ownBlockChanged || singleRowChanged || outcome == null) {
       writeInProgress = true;
-      membership.relistThen(
+      rowsFollower.relistThen(
           () -> {
             writeInProgress = false;
             completeAppliedTransfers();
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -169,7 +169,7 @@
   }
 
   /** Connects it with the records of its machines, once. */
-  void setRegister(MachineRecords records) {
+  void setMachineRecords(MachineRecords records) {
     machineRecords = records;
   }
 
