--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -384,7 +384,7 @@
       draft.includedWrites.forEach(
           e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
       failQueuedWrites();
-      membership.verifyOwnership();
+      membership.relist();
       return;
     }
     List<OpenJobSegment> conflictingOpenSegments =
