--- /dev/null
+++ b/src/main/java/io/violetrail/api/LocalCancellation.java
@@ -0,0 +1,45 @@
+package io.violetrail.api;
+
+import io.violetrail.model.JobId;
+import io.violetrail.model.JobView;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * Cancels jobs of the entities owned here, for users and for peers. Called on the event loop's
+ * thread.
+ */
+public final class LocalCancellation {
+  private final Membership membership;
+  private final JobLifecycle jobLifecycle;
+  private final JobStateLookup jobStates;
+
+  /** Cancels in the entities of the given membership. */
+  public LocalCancellation(
+      Membership membership, JobLifecycle jobLifecycle, JobStateLookup jobStates) {
+    this.membership = membership;
+    this.jobLifecycle = jobLifecycle;
+    this.jobStates = jobStates;
+  }
+
+  /**
+   * Cancels the job if this controller may decide that.
+   *
+   * @return the job's final state once it is stored, which is the end that it has if it has ended
+   *     before; fails if that could not be stored. Empty if the job is not known to have ended, and
+   *     is not open here under a valid lease.
+   */
+  public Optional<CompletableFuture<JobView>> tryCancel(JobId id) {
+    JobView finalView = jobLifecycle.findTerminalView(id);
+    if (finalView != null) {
+      return Optional.of(CompletableFuture.completedFuture(finalView));
+    }
+    OwnedEntity entity = jobStates.entityOfOpenJob(id);
+    if (entity == null || !membership.isLeaseValid()) {
+      return Optional.empty();
+    }
+    return Optional.of(jobLifecycle.cancel(entity, entity.jobs().get(id)));
+  }
+}
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -1,9 +1,15 @@
 package io.violetrail.controller;
 
 import io.violetrail.api.JobAdmission;
+import io.violetrail.api.JobCancellation;
 import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.JobQuery;
 import io.violetrail.api.JobStateLookup;
+import io.violetrail.api.JobStateResolver;
+import io.violetrail.api.JobSubmission;
+import io.violetrail.api.LocalCancellation;
 import io.violetrail.api.Metrics;
+import io.violetrail.api.PeerOwners;
 import io.violetrail.api.Readiness;
 import io.violetrail.api.UserApi;
 import io.violetrail.calendar.ScheduleApi;
@@ -308,17 +314,25 @@
 
     // What is served.
     JobStateLookup jobStates = new JobStateLookup(membership, jobLifecycle);
+    final LocalCancellation localCancellation =
+        new LocalCancellation(membership, jobLifecycle, jobStates);
+    PeerOwners peerOwners = new PeerOwners(settings.self(), clusterView);
+    JobQuery jobQuery =
+        new JobQuery(
+            new JobStateResolver(
+                settings.peers().keySet(),
+                clusterView,
+                peerOwners,
+                new PeerJobViews(peerClient, jobLifecycle),
+                jobLifecycle,
+                jobStates));
     api =
         new UserApi(
             loop,
-            settings,
-            clusterView,
-            membership,
-            peerClient,
-            new PeerJobViews(peerClient, jobLifecycle),
-            jobLifecycle,
-            jobStates,
-            jobAdmission,
+            new JobSubmission(
+                settings.stateStoreLimits().maxValueBytes(), jobLifecycle, jobAdmission, jobQuery),
+            jobQuery,
+            new JobCancellation(localCancellation, jobLifecycle, peerOwners, peerClient),
             heartbeatHandler,
             new Readiness(membership, machineTypes, configuration),
             jobTracer,
@@ -329,6 +343,7 @@
             configuration,
             jobLifecycle,
             jobStates,
+            localCancellation,
             workerReachability,
             transferRequests,
             scaleOutRequests,
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -4,6 +4,7 @@
 import com.google.common.base.Splitter;
 import io.violetrail.api.JobLifecycle;
 import io.violetrail.api.JobStateLookup;
+import io.violetrail.api.LocalCancellation;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.configuration.ConfigurationState;
 import io.violetrail.fleet.ScaleOutRequests;
@@ -22,6 +23,8 @@
 import io.violetrail.peer.PeerMessages.PeerResponse;
 import io.violetrail.worker.WorkerReachability;
 import java.util.ArrayList;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -34,6 +37,7 @@
   private final Configuration configuration;
   private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
+  private final LocalCancellation localCancellation;
   private final WorkerReachability workerReachability;
   private final TransferRequests transferRequests;
   private final ScaleOutRequests scaleOutRequests;
@@ -46,6 +50,7 @@
       Configuration configuration,
       JobLifecycle jobLifecycle,
       JobStateLookup jobStates,
+      LocalCancellation localCancellation,
       WorkerReachability workerReachability,
       TransferRequests transferRequests,
       ScaleOutRequests scaleOutRequests,
@@ -55,6 +60,7 @@
     this.configuration = configuration;
     this.jobLifecycle = jobLifecycle;
     this.jobStates = jobStates;
+    this.localCancellation = localCancellation;
     this.workerReachability = workerReachability;
     this.transferRequests = transferRequests;
     this.scaleOutRequests = scaleOutRequests;
@@ -145,21 +151,19 @@
     return new PeerResponse(true, known);
   }
 
-  private void cancel(JobId id, Consumer<PeerResponse> done) {
-    JobView ended = jobLifecycle.findTerminalView(id);
-    OwnedEntity entity = jobStates.entityOfOpenJob(id);
-    if (ended != null) {
-      done.accept(PeerResponse.of(ended));
-    } else if (entity == null || !membership.isLeaseValid()) {
-      done.accept(PeerResponse.UNKNOWN);
-    } else {
-      Futures.logFailure(
-          jobLifecycle
-              .cancel(entity, entity.jobs().get(id))
-              .whenComplete(
-                  (view, failure) ->
-                      done.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
-          "cancel a job for a peer");
+  private void cancel(JobId id, Consumer<PeerResponse> respond) {
+    Optional<CompletableFuture<JobView>> cancellation = localCancellation.tryCancel(id);
+    if (cancellation.isEmpty()) {
+      respond.accept(PeerResponse.UNKNOWN);
+      return;
     }
+    Futures.logFailure(
+        cancellation
+            .get()
+            .whenComplete(
+                (view, failure) ->
+                    respond.accept(
+                        failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
+        "cancel a job for a peer");
   }
 }
--- a/src/main/java/io/violetrail/tracing/JobTracer.java
+++ b/src/main/java/io/violetrail/tracing/JobTracer.java
@@ -4,9 +4,12 @@
 import io.violetrail.model.JobView.JobStatus;
 import io.violetrail.model.MachineId;
 
-/** What is noted of a job on its way from the request to its end, at one controller. */
+/**
+ * Records a job's way from the request to its end, at one controller. Called on the event loop's
+ * thread; nothing recorded survives a restart.
+ */
 public interface JobTracer {
-  /** Notes nothing. */
+  /** Records nothing. */
   JobTracer NO_OP =
       new JobTracer() {
         @Override
@@ -23,7 +26,12 @@
 
         @Override
         public String finishedSpansAsJsonLines() {
-          return null;
+          return "";
+        }
+
+        @Override
+        public boolean isEnabled() {
+          return false;
         }
       };
 
@@ -39,6 +47,11 @@
   /** Its end is stored. */
   void jobEnded(JobId id, JobStatus status);
 
-  /** The newest spans that are over, a JSON object a line; null if none are noted at all. */
+  /** The newest finished spans, one JSON object a line; empty if there are none. */
   String finishedSpansAsJsonLines();
+
+  /** Whether anything is recorded at all. */
+  default boolean isEnabled() {
+    return true;
+  }
 }
