--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -64,11 +64,14 @@
 import io.violetrail.worker.HeartbeatHandler;
 import io.violetrail.worker.LastHeartbeats;
 import io.violetrail.worker.LeaseRenewal;
+import io.violetrail.worker.LongPollReplies;
 import io.violetrail.worker.LongPolls;
 import io.violetrail.worker.MachineAdoption;
 import io.violetrail.worker.OwnedMachineHeartbeat;
+import io.violetrail.worker.PartitionHandover;
 import io.violetrail.worker.ReportReconciler;
 import io.violetrail.worker.TaskStopper;
+import io.violetrail.worker.WorkerProbe;
 import io.violetrail.worker.WorkerReachability;
 import io.violetrail.worker.WorkerRouter;
 import java.util.ArrayList;
@@ -276,21 +279,28 @@
 
     // Workers' heartbeats.
     workerReachability =
-        new WorkerReachability(settings, loop, random, clusterView, membership, peerClient, http);
+        new WorkerReachability(
+            loop,
+            random,
+            membership,
+            new WorkerProbe(http),
+            new PartitionHandover(settings.peers().keySet(), clusterView, membership, peerClient),
+            heartbeatSeconds);
     LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobLifecycle, evidence);
     CommandWriter commandWriter = new CommandWriter(configuration, jobTracer, evidence);
     ReportReconciler reconciler =
         new ReportReconciler(jobLifecycle, runtimeEstimates, new TaskFailureHandler(loop));
+    WorkerRouter workerRouter =
+        new WorkerRouter(settings, loop, leaseTiming, clusterView, membership);
     HeartbeatHandler heartbeatHandler =
         new HeartbeatHandler(
-            loop,
             clusterView,
             membership,
             entityMachines,
             workerReachability,
             longPolls,
             new LastHeartbeats(loop, evidence, heartbeatSeconds),
-            new WorkerRouter(settings, loop, leaseTiming, clusterView, membership),
+            workerRouter,
             new MachineAdoption(loop, clusterView, membership, machineTypes),
             new OwnedMachineHeartbeat(
                 loop,
@@ -304,7 +314,8 @@
                 leaseRenewal,
                 commandWriter),
             leaseRenewal,
-            commandWriter);
+            new LongPollReplies(
+                loop, clusterView, membership, workerRouter, leaseRenewal, commandWriter));
 
     // What is served.
     JobStateLookup jobStates = new JobStateLookup(membership, jobLifecycle);
--- a/src/main/java/io/violetrail/evidence/TerminationEvidence.java
+++ b/src/main/java/io/violetrail/evidence/TerminationEvidence.java
@@ -1,22 +1,35 @@
 package io.violetrail.evidence;
 
-/** Why a task is known not to be on a machine any more, so that it may start elsewhere. */
+/**
+ * The evidence that a task is not on a machine any more. Nothing else lets a placement be removed,
+ * and only then may the task start elsewhere: without it, two attempts of one task could run at the
+ * same time.
+ */
 public enum TerminationEvidence {
-  /** The decision was withdrawn before any worker was told. */
+  /** The placement is withdrawn before any worker was sent its launch. */
   NEVER_SENT,
 
-  /** Its worker reports that it has ended. */
+  /** The task's worker reports that it has exited (from {@code ReportReconciliation}). */
   REPORTED_ENDED,
 
-  /** A report that is newer than the answer with its launch does not show it. */
+  /**
+   * A report that is newer than the reply with the task's launch does not show it (from {@code
+   * ReportReconciliation}).
+   */
   REPORT_WITHOUT_IT,
 
-  /** Its worker is in a later session than the one in which it was launched. */
+  /**
+   * Its worker is in a later session than the one in which the task was launched (from {@code
+   * ReportReconciliation}).
+   */
   LATER_SESSION,
 
-  /** The lease of its worker is over, counted from the last answer that could have renewed it. */
+  /**
+   * The lease of its worker has expired, counted from the last reply that could have renewed it
+   * (from {@code MachineLivenessMonitor}).
+   */
   LEASE_OVER,
 
-  /** The cloud has confirmed that it took the machine back. */
+  /** The cloud has confirmed the machine's return (from {@code EntityMachines}). */
   RETURNED
 }
--- a/src/main/java/io/violetrail/scheduling/TaskPlacement.java
+++ b/src/main/java/io/violetrail/scheduling/TaskPlacement.java
@@ -4,34 +4,48 @@
 import io.violetrail.model.TaskId;
 import io.violetrail.wire.HeartbeatMessages.TaskState;
 
-/** A task's place on a machine, from the decision until there is evidence that it is gone. */
+/**
+ * One attempt of a task on a machine, from the scheduling decision until there is evidence that the
+ * task is gone.
+ *
+ * <p>Until its launch is sent it is revocable and can be dropped without a trace; from then on only
+ * {@link io.violetrail.evidence.TerminationEvidence} removes it. Used on the event loop's thread.
+ * Not stored: after a failover the reports of workers show what was placed.
+ */
 public final class TaskPlacement {
+  private static final double NO_STOP = -1;
+
   private final Job job;
   private final int taskIndex;
   private final Machine machine;
   private final long attempt;
 
-  /** The report in whose answer the launch was sent; null before that. */
+  /** The report in whose reply the launch was sent; null before that. */
   private ReportId launchReport;
 
   /** As last reported; null before the first report that shows it. */
   private TaskState reportedState;
 
-  /** Grace of the halt it is to get; negative: none. */
-  private double stopGraceSeconds = -1;
+  /** The grace period of the requested stop; {@link #NO_STOP} if none is requested. */
+  private double stopGraceSeconds = NO_STOP;
 
   private final double placedAtSeconds;
 
-  /** When it was first seen running; 0 before. */
+  /** When it was first reported as running; 0 before. */
   private double runningSinceSeconds;
 
-  /** Whether the entity counts it as used; kept by the entity alone. */
+  /** Whether the entity counts its resources as used; kept by the entity alone. */
   private boolean countedAsUsed;
 
-  /** Identifies a report of a worker. */
+  /** Identifies a report of a machine's worker. */
   public record ReportId(long session, long sequence) {}
 
-  /** A decision made now; nothing is told to the worker yet. */
+  /**
+   * A decision made now; nothing is sent to the worker yet.
+   *
+   * @param attempt tells this start of the task from all others
+   * @param placedAtSeconds now, in seconds of the monotonic clock
+   */
   public TaskPlacement(
       Job job, int taskIndex, Machine machine, long attempt, double placedAtSeconds) {
     this.job = job;
@@ -41,7 +55,7 @@
     this.placedAtSeconds = placedAtSeconds;
   }
 
-  /** The job that the task is of. */
+  /** The job that the task belongs to. */
   public Job job() {
     return job;
   }
@@ -61,17 +75,17 @@
     return attempt;
   }
 
-  /** The report in whose answer the launch was sent; null before that. */
+  /** The report in whose reply the launch was sent; null before that. */
   public ReportId launchReport() {
     return launchReport;
   }
 
-  /** The launch leaves in the answer to the machine's newest report. */
+  /** The launch is sent in the reply to the machine's newest report. */
   public void launched() {
     launchReport = new ReportId(machine.lastSession(), machine.lastSequence());
   }
 
-  /** A report has shown a task that this owner did not launch itself. */
+  /** A report shows a task that another owner, or this one before a restart, has launched. */
   public void foundByReport() {
     launchReport = new ReportId(0, 0);
   }
@@ -81,32 +95,51 @@
     return reportedState;
   }
 
-  /** A report has shown the task in that state; true if it runs since this report. */
-  public boolean reported(TaskState newState, double now) {
+  /**
+   * A report shows the task in that state.
+   *
+   * @return whether this is the first report that shows it running, after another state
+   */
+  public boolean reported(TaskState newState, double nowSeconds) {
     boolean starts = reportedState != newState && newState == TaskState.RUNNING;
     if (starts) {
-      runningSinceSeconds = now;
+      runningSinceSeconds = nowSeconds;
     }
     reportedState = newState;
     return starts;
   }
 
-  /** Seconds of grace of the halt that it is to get; negative: it is to get none. */
+  /** Whether it is to stop. */
+  public boolean isStopRequested() {
+    return stopGraceSeconds >= 0;
+  }
+
+  /** The grace period of the requested stop, in seconds; negative if none is requested. */
   public double stopGraceSeconds() {
     return stopGraceSeconds;
   }
 
-  /** When it was decided, in seconds of the steady clock. */
+  /** When it was decided, in seconds of the monotonic clock. */
   public double placedAtSeconds() {
     return placedAtSeconds;
   }
 
-  /** When it was first seen running, in seconds of the steady clock; 0 before. */
+  /** When it was first reported as running, in seconds of the monotonic clock; 0 before. */
   public double runningSinceSeconds() {
     return runningSinceSeconds;
   }
 
-  /** Whether the entity counts it as used. */
+  /** Whether it was ever reported as running. */
+  public boolean hasRun() {
+    return runningSinceSeconds > 0;
+  }
+
+  /** How long ago it was first reported as running; call it only if {@link #hasRun}. */
+  public double ranSeconds(double nowSeconds) {
+    return nowSeconds - runningSinceSeconds;
+  }
+
+  /** Whether the entity counts its resources as used. */
   public boolean countedAsUsed() {
     return countedAsUsed;
   }
@@ -116,24 +149,29 @@
     countedAsUsed = nowCounted;
   }
 
-  /** The task's name. */
+  /** The identifier of the task, the same for all attempts. */
   public TaskId taskId() {
     return new TaskId(job.spec().id(), taskIndex);
   }
 
-  /** Only decided, not told to the worker: it can be dropped without a trace. */
+  /**
+   * Whether it is only decided and was never sent to a worker: it can be dropped without a trace.
+   */
   public boolean isRevocable() {
     return launchReport == null && reportedState == null;
   }
 
-  /** Whether it takes part in its job's progress, or saves it. */
+  /** Whether it runs or saves a checkpoint, as last reported. */
   public boolean isRunning() {
     return reportedState == TaskState.RUNNING || reportedState == TaskState.CHECKPOINTING;
   }
 
-  /** Asks for a halt; a shorter grace wins. */
+  /**
+   * Requests a stop; of several grace periods the shortest applies.
+   *
+   * @param graceSeconds 0 for a stop at once
+   */
   public void requestStop(double graceSeconds) {
-    stopGraceSeconds =
-        stopGraceSeconds < 0 ? graceSeconds : Math.min(stopGraceSeconds, graceSeconds);
+    stopGraceSeconds = isStopRequested() ? Math.min(stopGraceSeconds, graceSeconds) : graceSeconds;
   }
 }
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -8,16 +8,20 @@
 import io.violetrail.tracing.JobTracer;
 import io.violetrail.wire.HeartbeatMessages.TaskState;
 import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
-import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the commands that the answer to a heartbeat carries.
+ * Writes the launch and stop commands that the reply to a heartbeat carries, from what is placed on
+ * the machine.
  *
- * <p>Launches travel in answers only. A worker has one report in flight and drops late answers, so
- * its next report always shows whether a launch was taken: nothing is launched late.
+ * <p>Launches travel in these replies only. A worker has one report in flight and drops late
+ * replies, so its next report always shows whether a launch arrived: no task is launched late, when
+ * it may already run elsewhere.
+ *
+ * <p>Called on the event loop's thread. It has no state; which report carried a launch is kept in
+ * the {@link TaskPlacement} and is lost with the process.
  */
 public final class CommandWriter {
   private static final Logger LOG = LoggerFactory.getLogger(CommandWriter.class);
@@ -26,27 +30,27 @@
   private final JobTracer jobTracer;
   private final EvidenceLog evidence;
 
-  /** Notes launches in the traces and in the evidence log. */
+  /** Records launches in the traces, and starts of tasks that ran before in the evidence log. */
   public CommandWriter(Configuration configuration, JobTracer jobTracer, EvidenceLog evidence) {
     this.configuration = configuration;
     this.jobTracer = jobTracer;
     this.evidence = evidence;
   }
 
-  /** Adds launches and halts for what is placed on the machine. */
+  /**
+   * Adds launches for placements that no worker was sent yet, and stops for those that are to stop.
+   *
+   * @param commands gets at most {@link LeaseRenewal#MAX_COMMANDS} commands by launches; stops are
+   *     always added
+   */
   void addCommands(Machine machine, List<WorkerCommand> commands) {
     for (TaskPlacement placement : machine.placements().values()) {
       if (placement.isRevocable()) {
         if (mayLaunch(machine, commands)) {
           launch(machine, placement, commands);
         }
-      } else if (shouldHalt(placement)) {
-        commands.add(
-            new WorkerCommand(
-                CommandType.STOP,
-                placement.taskId(),
-                placement.attempt(),
-                placement.stopGraceSeconds()));
+      } else if (shouldStop(placement)) {
+        commands.add(WorkerCommands.stop(placement));
       }
     }
   }
@@ -58,19 +62,21 @@
   }
 
   private void launch(Machine machine, TaskPlacement placement, List<WorkerCommand> commands) {
-    commands.add(new WorkerCommand(CommandType.LAUNCH, placement.taskId(), placement.attempt(), 0));
+    commands.add(WorkerCommands.launch(placement));
     placement.launched();
     LOG.debug(
-        "task {} try {} launched on {}", placement.taskId(), placement.attempt(), machine.id());
+        "task {} attempt {} launched on {}", placement.taskId(), placement.attempt(), machine.id());
     jobTracer.taskLaunched(placement.job().spec().id(), machine.id());
-    TaskDeparture from = placement.job().removeLastDeparture(placement.taskIndex());
-    if (from != null) {
-      evidence.recordStartElsewhere(placement.taskId(), placement.attempt(), machine.id(), from);
+    TaskDeparture departure = placement.job().removeLastDeparture(placement.taskIndex());
+    if (departure != null) {
+      evidence.recordStartElsewhere(
+          placement.taskId(), placement.attempt(), machine.id(), departure);
     }
   }
 
-  private static boolean shouldHalt(TaskPlacement placement) {
-    return placement.stopGraceSeconds() >= 0
+  /** A task that is saving its checkpoint is left to it, unless it is to stop at once. */
+  private static boolean shouldStop(TaskPlacement placement) {
+    return placement.isStopRequested()
         && (placement.reportedState() != TaskState.CHECKPOINTING
             || placement.stopGraceSeconds() == 0);
   }
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -2,7 +2,6 @@
 
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.Machine;
-import io.violetrail.net.EventLoop;
 import io.violetrail.net.RequestHandler.HttpAnswer;
 import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
@@ -12,18 +11,20 @@
 import io.violetrail.wire.Cbor.MalformedMessageException;
 import io.violetrail.wire.HeartbeatMessages;
 import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
-import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * Receives the workers' heartbeats and decides who answers them: this controller as the owner of
- * the machine's entity, another controller, or nobody yet.
+ * Receives the workers' heartbeats and decides who replies: this controller as the owner of the
+ * machine's entity ({@link OwnedMachineHeartbeat}, {@link LeaseRenewal}), another controller
+ * ({@link WorkerRouter}), or this one after it has adopted the machine ({@link MachineAdoption}).
+ *
+ * <p>Called on the event loop's thread; has no state of its own.
  */
 public final class HeartbeatHandler {
-  private final EventLoop loop;
   private final ClusterView clusterView;
   private final Membership membership;
   private final EntityMachines machines;
@@ -34,11 +35,10 @@
   private final MachineAdoption adoption;
   private final OwnedMachineHeartbeat ownedMachine;
   private final LeaseRenewal leaseRenewal;
-  private final CommandWriter commandWriter;
+  private final LongPollReplies longPollReplies;
 
-  /** Routes heartbeats between the given parts. */
+  /** Routes heartbeats between the given collaborators. */
   public HeartbeatHandler(
-      EventLoop loop,
       ClusterView clusterView,
       Membership membership,
       EntityMachines machines,
@@ -49,8 +49,7 @@
       MachineAdoption adoption,
       OwnedMachineHeartbeat ownedMachine,
       LeaseRenewal leaseRenewal,
-      CommandWriter commandWriter) {
-    this.loop = loop;
+      LongPollReplies longPollReplies) {
     this.clusterView = clusterView;
     this.membership = membership;
     this.machines = machines;
@@ -61,10 +60,15 @@
     this.adoption = adoption;
     this.ownedMachine = ownedMachine;
     this.leaseRenewal = leaseRenewal;
-    this.commandWriter = commandWriter;
+    this.longPollReplies = longPollReplies;
   }
 
-  /** Takes the body of a heartbeat; the answer is given at once or when its long poll ends. */
+  /**
+   * Processes a heartbeat.
+   *
+   * @param body the request's body as it came; malformed ones are answered with status 400
+   * @param replyConsumer gets the answer once, at once or when the heartbeat's long poll ends
+   */
   public void handle(byte[] body, Consumer<HttpAnswer> replyConsumer) {
     WorkerReport report;
     try {
@@ -73,15 +77,15 @@
       replyConsumer.accept(HttpAnswer.error(400, exception.getMessage()));
       return;
     }
-    LastHeartbeats.LastHeartbeat lastHeartbeat = lastHeartbeats.acceptIfNewer(report);
-    if (lastHeartbeat == null) {
+    Optional<LastHeartbeat> lastHeartbeat = lastHeartbeats.acceptIfNewer(report);
+    if (lastHeartbeat.isEmpty()) {
       replyConsumer.accept(HeartbeatReply.withoutRenewal(report).answer());
       return;
     }
     handle(
         report,
         reply -> {
-          lastHeartbeats.recordReply(report.machineId(), lastHeartbeat, reply);
+          lastHeartbeats.recordReply(report.machineId(), lastHeartbeat.get(), reply);
           replyConsumer.accept(reply.answer());
         });
   }
@@ -90,8 +94,9 @@
     workerReachability.recordHeartbeat(report);
     longPolls.endSuperseded(report.machineId());
     if (machines.wasReturned(report.machineId())) {
-      // Taken back for certain, though its record still stands: a report that was held back brought
-      // the machine into use again, with tasks that had been started elsewhere since.
+      // The cloud has confirmed its return, though its record still stands: a report that was
+      // delayed in the network must not bring the machine into use again, with tasks that have been
+      // started elsewhere since.
       replyConsumer.accept(HeartbeatReply.redirected(null));
       return;
     }
@@ -122,68 +127,24 @@
   }
 
   private void handleOwned(
-      OwnedEntity entity, MachineRow row, WorkerReport report, Consumer<HeartbeatReply> done) {
+      OwnedEntity entity,
+      MachineRow row,
+      WorkerReport report,
+      Consumer<HeartbeatReply> replyConsumer) {
     Machine machine = entity.isActive() ? machines.findOrAdd(entity, row) : null;
     if (machine == null) {
-      done.accept(leaseRenewal.renew(entity, entity.fencingToken(row), report, List.of()));
+      replyConsumer.accept(leaseRenewal.renew(entity, entity.fencingToken(row), report, List.of()));
       return;
     }
     List<WorkerCommand> commands = new ArrayList<>();
     HeartbeatReply reply = ownedMachine.process(entity, machine, report, commands);
-    if (mayWaitForWork(entity, machine, report, commands)) {
+    if (longPollReplies.mayDelay(entity, machine, report, commands)) {
       longPolls.park(
-          machine.id(), done, () -> done.accept(answerParked(machine, report, commands)));
+          machine.id(),
+          replyConsumer,
+          () -> replyConsumer.accept(longPollReplies.write(machine, report, commands)));
     } else {
-      done.accept(reply);
-    }
-  }
-
-  /**
-   * Whether the worker has nothing to run and nothing to learn but what it may forget, or room was
-   * made there for a job that waits for other machines: then the answer waits for what is to start.
-   */
-  private boolean mayWaitForWork(
-      OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
-    return entity.isActive()
-        && membership.isLeaseValid()
-        && machine.isSchedulable()
-        && (machine.isEmpty() || hasReservedRoom(machine))
-        && isNewestReport(machine, report)
-        && report.fencingToken().equals(entity.fencingTokenFor(machine))
-        && commands.size() < LeaseRenewal.MAX_COMMANDS
-        && commands.stream().allMatch(command -> command.type() == CommandType.FORGET);
-  }
-
-  private boolean hasReservedRoom(Machine machine) {
-    return machine.reservedForJob() != null
-        && loop.monotonicSeconds() <= machine.reservedUntilSeconds()
-        && machine.reservedForJob().unplacedCount() > 0
-        && machine.freeCapacity().countFitting(machine.reservedForJob().spec().taskResources()) > 0;
-  }
-
-  private static boolean isNewestReport(Machine machine, WorkerReport report) {
-    return machine.lastSession() == report.session() && machine.lastSequence() == report.sequence();
-  }
-
-  /** The answer to a report that was kept open, with what there is to do by now. */
-  private HeartbeatReply answerParked(
-      Machine machine, WorkerReport report, List<WorkerCommand> parkedCommands) {
-    MachineRow row = clusterView.findMachineRow(machine.id());
-    OwnedEntity entity = row == null ? null : membership.findOwnedEntity(row.entity());
-    if (row != null && (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING)) {
-      return router.route(row, entity, report);
-    }
-    if (entity == null
-        || entity.machines().get(machine.id()) != machine
-        || !membership.mayKeepWorkersAlive()) {
-      return HeartbeatReply.refused("the machine has passed on");
-    }
-    // The worker counts its lease from the report's sending; this is later, so on the safe side.
-    machine.reportAnswered(loop.monotonicSeconds());
-    List<WorkerCommand> commands = new ArrayList<>(parkedCommands);
-    if (isNewestReport(machine, report) && membership.isLeaseValid() && entity.isActive()) {
-      commandWriter.addCommands(machine, commands);
+      replyConsumer.accept(reply);
     }
-    return leaseRenewal.renew(entity, entity.fencingTokenFor(machine), report, commands);
   }
 }
--- a/src/main/java/io/violetrail/worker/HeartbeatReply.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatReply.java
@@ -9,8 +9,10 @@
 import java.util.List;
 
 /**
- * An answer to a worker's report. Only {@link #leaseRenewed} can renew the worker's lease, and it
- * cannot be made without a token.
+ * A reply to a worker's heartbeat. Only {@link #leaseRenewed} renews the worker's lease, and it
+ * cannot be made without a fencing token.
+ *
+ * @param token the fencing token that the reply carries; {@link Version#NONE} if it renews nothing
  */
 record HeartbeatReply(HeartbeatReplyKind kind, Version token, HttpAnswer answer) {
   /** Renews the lease and carries commands. */
@@ -22,9 +24,10 @@
   }
 
   /**
-   * Lets a worker stay here while its lease runs on. The answer carries a token lower than the
-   * worker's. There is none for a worker that has seen no token: with tasks, which only programs
-   * that gave out version 0 can have started there, it is refused and tries the next controller.
+   * Keeps a worker reporting here while its lease runs on. The reply carries a token lower than the
+   * worker's, which renews nothing. No token is lower than that of a worker that has seen none: if
+   * it has tasks, which only releases that issued version 0 can have started there, it is refused
+   * and tries the next controller.
    */
   static HeartbeatReply withoutRenewal(WorkerReport report) {
     return report.fencingToken().equals(Version.NONE) && report.holdsTasks()
@@ -35,7 +38,11 @@
             HttpAnswer.of(200, HeartbeatMessages.nonRenewingReply()));
   }
 
-  /** Sends a worker to a controller, or to whichever it tries next if {@code owner} is null. */
+  /**
+   * Sends a worker to another controller.
+   *
+   * @param owner the controller's name; null if the worker is to try the next one that it knows
+   */
   static HeartbeatReply redirected(String owner) {
     return new HeartbeatReply(
         HeartbeatReplyKind.SENT_ELSEWHERE,
@@ -43,6 +50,7 @@
         HttpAnswer.of(421, HeartbeatMessages.redirectReply(owner)));
   }
 
+  /** Gives no answer for now: the worker tries the next controller. */
   static HeartbeatReply refused(String reason) {
     return new HeartbeatReply(
         HeartbeatReplyKind.REFUSED, Version.NONE, HttpAnswer.unavailable(reason));
--- a/src/main/java/io/violetrail/worker/LastHeartbeats.java
+++ b/src/main/java/io/violetrail/worker/LastHeartbeats.java
@@ -3,37 +3,31 @@
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
 import io.violetrail.evidence.EvidenceLog;
-import io.violetrail.evidence.HeartbeatReplyKind;
 import io.violetrail.model.MachineId;
-import io.violetrail.model.Version;
 import io.violetrail.net.EventLoop;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
+import java.util.Optional;
 
 /**
- * The newest report of each worker that was heard here, of whichever entity, and how it was
- * answered last.
+ * The newest report of each worker that has arrived here, of whichever entity, and how it was last
+ * replied to.
  *
- * <p>The network may bring a copy of an older report at any later time; nothing follows from that,
- * not even that its worker is there: a copy took the place of a report whose answer was kept open,
- * and marked machines as heard that had been silent for long.
+ * <p>The network may deliver a copy of an older report at any later time. Nothing follows from such
+ * a copy, not even that its worker is alive: it must neither replace a report whose reply is
+ * delayed in a long poll nor mark a silent machine as heard.
+ *
+ * <p>Called by {@link HeartbeatHandler} on the event loop's thread. Lost with the process: the
+ * first report of each worker is accepted then, whatever its age; {@link OwnedMachineHeartbeat}
+ * judges that by sessions and tokens.
  */
 public final class LastHeartbeats {
-  /** Twice as many as the machines of a large deployment; one that is forgotten is heard anew. */
+  /** Twice as many as the machines of a large deployment; a forgotten worker counts as new. */
   private static final int MAX_WORKERS = 8_000;
 
-  /** Without a report for so many intervals the worker was elsewhere meanwhile. */
+  /** Without a report for so many intervals the worker reported elsewhere meanwhile. */
   private static final double ABSENCE_INTERVALS = 3;
 
-  /** One worker, as far as this controller has heard it. */
-  static final class LastHeartbeat {
-    private long session;
-    private long sequence;
-    private Version tokenSeen = Version.NONE;
-    private HeartbeatReplyKind replyKind;
-    private Version replyToken = Version.NONE;
-    private double sameReplySinceSeconds;
-    private double lastRepliedAtSeconds;
-  }
+  private static final double ABSENCE_SLACK_SECONDS = 1;
 
   private final EventLoop loop;
   private final EvidenceLog evidence;
@@ -42,56 +36,41 @@
       CacheBuilder.newBuilder().maximumSize(MAX_WORKERS).build();
 
   /** Counts and logs replies in the evidence log. */
-  public LastHeartbeats(EventLoop loop, EvidenceLog evidence, double reportIntervalSeconds) {
+  public LastHeartbeats(EventLoop loop, EvidenceLog evidence, double heartbeatIntervalSeconds) {
     this.loop = loop;
     this.evidence = evidence;
-    this.absenceSeconds = ABSENCE_INTERVALS * reportIntervalSeconds + 1;
+    this.absenceSeconds = ABSENCE_INTERVALS * heartbeatIntervalSeconds + ABSENCE_SLACK_SECONDS;
   }
 
-  /** The worker's contact if this report is newer than all before it; null if it is not. */
-  LastHeartbeat acceptIfNewer(WorkerReport report) {
+  /** Records the report if it is newer than all before it of its worker; empty if it is not. */
+  Optional<LastHeartbeat> acceptIfNewer(WorkerReport report) {
     LastHeartbeat lastHeartbeat = heartbeatByWorker.getIfPresent(report.machineId());
     if (lastHeartbeat == null) {
-      lastHeartbeat = new LastHeartbeat();
+      lastHeartbeat = new LastHeartbeat(report);
       heartbeatByWorker.put(report.machineId(), lastHeartbeat);
-    } else if (!report.isNewerThan(lastHeartbeat.session, lastHeartbeat.sequence)) {
-      return null;
+      return Optional.of(lastHeartbeat);
+    }
+    if (!lastHeartbeat.isOlderThan(report)) {
+      return Optional.empty();
     }
-    lastHeartbeat.session = report.session();
-    lastHeartbeat.sequence = report.sequence();
-    lastHeartbeat.tokenSeen = report.fencingToken();
-    return lastHeartbeat;
+    lastHeartbeat.accept(report);
+    return Optional.of(lastHeartbeat);
   }
 
-  /** Counts a reply, and logs it where the worker was answered otherwise before. */
+  /** Counts a reply, and logs it if the worker was replied to otherwise before. */
   void recordReply(MachineId workerId, LastHeartbeat lastHeartbeat, HeartbeatReply reply) {
     evidence.countReply(reply.kind());
     double nowSeconds = loop.monotonicSeconds();
-    boolean isSameReply =
-        lastHeartbeat.replyKind == reply.kind() && lastHeartbeat.replyToken.equals(reply.token());
-    if (!isSameReply || nowSeconds - lastHeartbeat.lastRepliedAtSeconds > absenceSeconds) {
+    if (!lastHeartbeat.isSameReply(reply, nowSeconds, absenceSeconds)) {
       evidence.logReplyChange(
           workerId,
-          lastHeartbeat.session,
-          lastHeartbeat.tokenSeen,
+          lastHeartbeat.session(),
+          lastHeartbeat.tokenSeen(),
           reply.kind(),
           reply.token(),
-          describePreviousReply(lastHeartbeat, nowSeconds));
-      lastHeartbeat.replyKind = reply.kind();
-      lastHeartbeat.replyToken = reply.token();
-      lastHeartbeat.sameReplySinceSeconds = nowSeconds;
+          lastHeartbeat.describeLastReply(nowSeconds));
+      lastHeartbeat.changeReply(reply, nowSeconds);
     }
-    lastHeartbeat.lastRepliedAtSeconds = nowSeconds;
-  }
-
-  private static String describePreviousReply(LastHeartbeat lastHeartbeat, double nowSeconds) {
-    return lastHeartbeat.replyKind == null
-        ? "none"
-        : "%s,token:%s,for_s:%.1f,last_s_ago:%.1f"
-            .formatted(
-                lastHeartbeat.replyKind,
-                lastHeartbeat.replyToken,
-                lastHeartbeat.lastRepliedAtSeconds - lastHeartbeat.sameReplySinceSeconds,
-                nowSeconds - lastHeartbeat.lastRepliedAtSeconds);
+    lastHeartbeat.repliedAt(nowSeconds);
   }
 }
--- /dev/null
+++ b/src/main/java/io/violetrail/worker/LongPollReplies.java
@@ -0,0 +1,101 @@
+package io.violetrail.worker;
+
+import io.violetrail.fleet.Machine;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.ClusterView;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.ownership.StateSchema.MachineRow;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
+import io.violetrail.wire.HeartbeatMessages.WorkerReport;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Decides whether the reply to a heartbeat is delayed in a long poll until there is work for the
+ * machine, and writes the delayed reply from what is known by then.
+ *
+ * <p>Called by {@link HeartbeatHandler} on the event loop's thread; has no state. The open
+ * heartbeats themselves are in {@link LongPolls}.
+ */
+public final class LongPollReplies {
+  private final EventLoop loop;
+  private final ClusterView clusterView;
+  private final Membership membership;
+  private final WorkerRouter router;
+  private final LeaseRenewal leaseRenewal;
+  private final CommandWriter commandWriter;
+
+  /** Writes delayed replies through the given collaborators. */
+  public LongPollReplies(
+      EventLoop loop,
+      ClusterView clusterView,
+      Membership membership,
+      WorkerRouter router,
+      LeaseRenewal leaseRenewal,
+      CommandWriter commandWriter) {
+    this.loop = loop;
+    this.clusterView = clusterView;
+    this.membership = membership;
+    this.router = router;
+    this.leaseRenewal = leaseRenewal;
+    this.commandWriter = commandWriter;
+  }
+
+  /**
+   * Whether the reply waits for work: the worker has nothing to run, or room is reserved there for
+   * a job that waits for other machines as well, and the reply would say nothing that is urgent.
+   *
+   * @param commands what the reply would carry if it were sent now
+   */
+  boolean mayDelay(
+      OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
+    return entity.isActive()
+        && membership.isLeaseValid()
+        && machine.isSchedulable()
+        && (machine.isEmpty() || hasReservedRoom(machine))
+        && isNewestReport(machine, report)
+        && report.fencingToken().equals(entity.fencingTokenFor(machine))
+        && commands.size() < LeaseRenewal.MAX_COMMANDS
+        && commands.stream().allMatch(command -> command.type() == CommandType.FORGET);
+  }
+
+  private boolean hasReservedRoom(Machine machine) {
+    return machine.reservedForJob() != null
+        && loop.monotonicSeconds() <= machine.reservedUntilSeconds()
+        && machine.reservedForJob().unplacedCount() > 0
+        && machine.freeCapacity().countFitting(machine.reservedForJob().spec().taskResources()) > 0;
+  }
+
+  private static boolean isNewestReport(Machine machine, WorkerReport report) {
+    return machine.lastSession() == report.session() && machine.lastSequence() == report.sequence();
+  }
+
+  /**
+   * The delayed reply to a report. The machine may have been handed over, and the entity with it,
+   * since the report arrived.
+   *
+   * @param delayedCommands what the reply would have carried without the delay
+   */
+  HeartbeatReply write(Machine machine, WorkerReport report, List<WorkerCommand> delayedCommands) {
+    MachineRow row = clusterView.findMachineRow(machine.id());
+    OwnedEntity entity = row == null ? null : membership.findOwnedEntity(row.entity());
+    if (row != null && (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING)) {
+      return router.route(row, entity, report);
+    }
+    if (entity == null
+        || entity.machines().get(machine.id()) != machine
+        || !membership.mayKeepWorkersAlive()) {
+      return HeartbeatReply.refused("the machine has passed on");
+    }
+    // The worker counts its lease from the sending of its report; the reply's time is later, so the
+    // lease is taken for expired too late rather than too early.
+    machine.reportAnswered(loop.monotonicSeconds());
+    List<WorkerCommand> commands = new ArrayList<>(delayedCommands);
+    if (isNewestReport(machine, report) && membership.isLeaseValid() && entity.isActive()) {
+      commandWriter.addCommands(machine, commands);
+    }
+    return leaseRenewal.renew(entity, entity.fencingTokenFor(machine), report, commands);
+  }
+}
--- a/src/main/java/io/violetrail/worker/LongPolls.java
+++ b/src/main/java/io/violetrail/worker/LongPolls.java
@@ -7,61 +7,66 @@
 import java.util.function.Consumer;
 
 /**
- * Heartbeats of idle workers that wait for something to do. A launch may travel only in the answer
- * to a heartbeat, and an idle worker sends one an interval: a gang waited for the slowest of its
- * machines. So the answer to a worker that has nothing is kept open for most of the interval, and
- * given the moment that there is something to start, or that the machine passes on.
+ * Long polls: heartbeats of idle workers whose replies are delayed until there is work.
+ *
+ * <p>A launch may travel only in the reply to a heartbeat, and a worker sends one in each interval.
+ * Without long polls a gang would wait for the heartbeat of the slowest of its machines. So the
+ * reply to an idle worker is delayed for most of the interval, and sent the moment that there is a
+ * task to launch, or that the machine is handed over.
+ *
+ * <p>Called on the event loop's thread. Lost with the process, as are the connections.
  */
 public final class LongPolls {
-  /** Part of the interval; the rest is left for the next heartbeat to come in time. */
-  private static final double INTERVAL_PART = 0.8;
+  /** Share of the interval; the rest is left for the next heartbeat to arrive in time. */
+  private static final double MAX_INTERVAL_SHARE = 0.8;
 
-  /** Well below the 4 s that a worker waits for an answer. */
+  /** Well below the 4 s that a worker waits for a reply. */
   private static final double MAX_WAIT_SECONDS = 2;
 
-  /** A heartbeat whose answer is kept open. */
-  private record Parked(
-      Consumer<HeartbeatReply> done, Runnable answer, EventLoop.Cancellable timer) {}
+  /** A heartbeat whose reply is delayed. */
+  private record OpenHeartbeat(
+      Consumer<HeartbeatReply> replyConsumer, Runnable onWork, EventLoop.Cancellable timer) {}
 
   private final EventLoop loop;
   private final double waitSeconds;
-  private final Map<MachineId, Parked> parked = new HashMap<>();
+  private final Map<MachineId, OpenHeartbeat> openHeartbeats = new HashMap<>();
 
-  /** Keeps answers open for a part of the workers' heartbeat interval. */
-  public LongPolls(EventLoop loop, double heartbeatSeconds) {
+  /** Delays replies for a share of the workers' heartbeat interval. */
+  public LongPolls(EventLoop loop, double heartbeatIntervalSeconds) {
     this.loop = loop;
-    this.waitSeconds = Math.min(MAX_WAIT_SECONDS, INTERVAL_PART * heartbeatSeconds);
+    this.waitSeconds = Math.min(MAX_WAIT_SECONDS, MAX_INTERVAL_SHARE * heartbeatIntervalSeconds);
   }
 
   /**
-   * Keeps an answer open.
+   * Delays the reply to a heartbeat.
    *
-   * @param replyConsumer takes the reply if the worker gives this heartbeat up
-   * @param onTimeout run when there is something to tell the worker, or the time is over
+   * @param replyConsumer gets a refusal if a newer heartbeat of the machine takes its place
+   * @param onWork otherwise run once, to send the reply: when {@link #answer} is called, or when
+   *     the time is over
    */
-  void park(MachineId machine, Consumer<HeartbeatReply> replyConsumer, Runnable onTimeout) {
+  void park(MachineId machine, Consumer<HeartbeatReply> replyConsumer, Runnable onWork) {
     EventLoop.Cancellable timer = loop.schedule(waitSeconds, () -> answer(machine));
-    parked.put(machine, new Parked(replyConsumer, onTimeout, timer));
+    openHeartbeats.put(machine, new OpenHeartbeat(replyConsumer, onWork, timer));
   }
 
-  /** Answers the open heartbeat of a machine now; nothing happens if there is none. */
+  /** Sends the delayed reply to a machine now; nothing happens if there is none. */
   public void answer(MachineId machine) {
-    Parked open = remove(machine);
+    OpenHeartbeat open = remove(machine);
     if (open != null) {
-      open.answer().run();
+      open.onWork().run();
     }
   }
 
-  /** A newer heartbeat of the machine is here: its worker has given the open one up. */
+  /** A newer heartbeat of the machine has arrived: its worker no longer waits for the open one. */
   void endSuperseded(MachineId machine) {
-    Parked open = remove(machine);
+    OpenHeartbeat open = remove(machine);
     if (open != null) {
-      open.done().accept(HeartbeatReply.refused("a newer report is here"));
+      open.replyConsumer().accept(HeartbeatReply.refused("a newer report is here"));
     }
   }
 
-  private Parked remove(MachineId machine) {
-    Parked open = parked.remove(machine);
+  private OpenHeartbeat remove(MachineId machine) {
+    OpenHeartbeat open = openHeartbeats.remove(machine);
     if (open != null) {
       open.timer().cancel();
     }
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -18,17 +18,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes machines that report and that no entity has recorded into this controller's own entity, by
- * a conditional write.
+ * Adopts machines that report and that no entity has a record of into this controller's home
+ * entity, by a conditional write: if two controllers try at once, one of them fails.
+ *
+ * <p>Called by {@link HeartbeatHandler} on the event loop's thread. The machine's record survives a
+ * crash once it is stored; when a worker was first heard does not, which delays its adoption.
  */
 public final class MachineAdoption {
   private static final Logger LOG = LoggerFactory.getLogger(MachineAdoption.class);
 
-  /** A rental's answer and its record take this long when the services are slow. */
-  private static final double RECORDED_SECONDS = 2.5;
+  /** The answer to a scale-out request and the machine's record take so long with slow services. */
+  private static final double SCALE_OUT_RECORDED_SECONDS = 2.5;
 
-  /** Before that, workers without a record are those that were there before the controllers. */
-  private static final double SETTLED_SECONDS = 10;
+  /**
+   * Workers without a record are, so soon after the start, those that ran before the controllers.
+   */
+  private static final double STARTUP_SECONDS = 10;
 
   private static final int MAX_REMEMBERED = 2_000;
 
@@ -42,7 +47,7 @@
   private final Cache<MachineId, Double> firstSeenAtSeconds =
       CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build();
 
-  /** Adopts into the entity that the membership says is this controller's own. */
+  /** Adopts into the entity that {@code membership} names as this controller's home entity. */
   public MachineAdoption(
       EventLoop loop, ClusterView clusterView, Membership membership, MachineTypes machineTypes) {
     this.loop = loop;
@@ -55,74 +60,85 @@
   /**
    * Adopts the machine of the report if this controller may.
    *
-   * @param adopted gets the entity and the machine's row once it is stored
-   * @param done gets the answer to the worker in every other case
+   * @param onAdopted gets the entity and the machine's row once it is stored
+   * @param replyConsumer gets the reply to the worker in every other case
    */
   void adopt(
       WorkerReport report,
-      BiConsumer<OwnedEntity, MachineRow> adopted,
-      Consumer<HeartbeatReply> done) {
-    OwnedEntity ownEntity = membership.findHomeEntity();
-    if (ownEntity == null
-        || !ownEntity.isActive()
-        || !membership.isLeaseValid()
-        || clusterView.wasTerminated(report.machineId())
-        || machineTypes.find(report.machineType()) == null) {
-      done.accept(HeartbeatReply.redirected(null));
+      BiConsumer<OwnedEntity, MachineRow> onAdopted,
+      Consumer<HeartbeatReply> replyConsumer) {
+    OwnedEntity homeEntity = membership.findHomeEntity();
+    if (homeEntity == null || !mayAdopt(homeEntity, report)) {
+      replyConsumer.accept(HeartbeatReply.redirected(null));
       return;
     }
     if (mayBeRecordedSoon(report)) {
-      done.accept(HeartbeatReply.withoutRenewal(report));
+      replyConsumer.accept(HeartbeatReply.withoutRenewal(report));
       return;
     }
-    MachineRow row = newRow(ownEntity, report);
+    store(homeEntity, newRow(homeEntity, report), onAdopted, replyConsumer);
+  }
+
+  private boolean mayAdopt(OwnedEntity homeEntity, WorkerReport report) {
+    return homeEntity.isActive()
+        && membership.isLeaseValid()
+        && !clusterView.wasTerminated(report.machineId())
+        && machineTypes.find(report.machineType()) != null;
+  }
+
+  private static void store(
+      OwnedEntity homeEntity,
+      MachineRow row,
+      BiConsumer<OwnedEntity, MachineRow> onAdopted,
+      Consumer<HeartbeatReply> replyConsumer) {
     Futures.logFailure(
-        ownEntity
+        homeEntity
             .machineRecords()
             .add(row)
             .whenComplete(
                 (stored, failure) -> {
                   if (failure != null) {
-                    done.accept(HeartbeatReply.redirected(null));
+                    replyConsumer.accept(HeartbeatReply.redirected(null));
                     return;
                   }
                   LOG.info(
                       "machine {} adopted by entity {} version {}",
                       row.id(),
-                      ownEntity.id(),
+                      homeEntity.id(),
                       row.term());
-                  adopted.accept(ownEntity, stored);
+                  onAdopted.accept(homeEntity, stored);
                 }),
         "record an adopted machine");
   }
 
-  private MachineRow newRow(OwnedEntity ownEntity, WorkerReport report) {
-    // Strictly above what its worker has seen: a report held back for minutes then shows its age.
+  private MachineRow newRow(OwnedEntity homeEntity, WorkerReport report) {
+    // Strictly above the token that its worker has seen, so that a report that was delayed in the
+    // network for minutes shows its age.
     Version seen =
-        report.fencingToken().compareTo(ownEntity.row().version()) > 0
+        report.fencingToken().compareTo(homeEntity.row().version()) > 0
             ? report.fencingToken()
-            : ownEntity.row().version();
+            : homeEntity.row().version();
     return new MachineRow(
         report.machineId(),
-        ownEntity.id(),
+        homeEntity.id(),
         report.machineType(),
         report.zone(),
         report.spot(),
         true,
-        seen.nextOwnedBy(ownEntity.row().version().ownerIndex()),
+        seen.nextOwnedBy(homeEntity.row().version().ownerIndex()),
         loop.wallMillis());
   }
 
   /**
-   * Whether the worker may be of a rental request whose answer or record is still under way: some
-   * are up within a second or two. Adopted at once by whoever heard it first, it was missing where
-   * it had been rented, and another was rented in its place.
+   * Whether the worker may be of a scale-out request whose answer or record is still in flight:
+   * some machines are up within a second or two. If whoever hears it first adopted it at once, it
+   * would be missing in the entity that requested it, which would request another in its place.
    */
   private boolean mayBeRecordedSoon(WorkerReport report) {
     double now = loop.monotonicSeconds();
     if (report.session() > 1
         || !report.tasks().isEmpty()
-        || now - startedAtSeconds < SETTLED_SECONDS) {
+        || now - startedAtSeconds < STARTUP_SECONDS) {
       return false;
     }
     Double first = firstSeenAtSeconds.getIfPresent(report.machineId());
@@ -130,6 +146,6 @@
       firstSeenAtSeconds.put(report.machineId(), (Double) now);
       return true;
     }
-    return now - first < RECORDED_SECONDS;
+    return now - first < SCALE_OUT_RECORDED_SECONDS;
   }
 }
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -17,8 +17,10 @@
 import java.util.List;
 
 /**
- * Processes the heartbeat of a machine whose entity is owned here: what follows for the machine,
- * and the answer with its commands.
+ * Processes the heartbeat of a machine whose entity is owned here: brings the machine's state in
+ * line with the report, fills room that has become free, and writes the reply with its commands.
+ *
+ * <p>Called by {@link HeartbeatHandler} on the event loop's thread; has no state of its own.
  */
 public final class OwnedMachineHeartbeat {
   private final EventLoop loop;
@@ -32,7 +34,7 @@
   private final LeaseRenewal leaseRenewal;
   private final CommandWriter commandWriter;
 
-  /** Processes heartbeats through the given parts. */
+  /** Processes heartbeats through the given collaborators. */
   public OwnedMachineHeartbeat(
       EventLoop loop,
       LeaseTiming leaseTiming,
@@ -57,9 +59,13 @@
   }
 
   /**
-   * Takes a report and answers it.
+   * Processes a report and writes the reply.
    *
-   * @param commands gets the commands that the answer carries
+   * <p>Reports may arrive late and out of order. Only one that is newer than all before it, of a
+   * session that may still run, and of a worker that has seen a token of this ownership is taken
+   * for the machine's present state.
+   *
+   * @param commands gets the commands that the reply carries
    */
   HeartbeatReply process(
       OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
@@ -76,7 +82,7 @@
       machines.markUp(entity, machine);
     }
     if (isOutdatedSession(machine, report)) {
-      return leaseRenewal.haltExpiredSession(entity, token, report);
+      return leaseRenewal.stopExpiredSession(entity, token, report);
     }
     if (report.fencingToken().compareTo(machine.acquiredVersion()) < 0) {
       return answerReportOfEarlierTerm(entity, machine, token, report);
@@ -84,25 +90,31 @@
     return answerCurrentReport(entity, machine, token, report, commands);
   }
 
-  // A report may have been held back in the network for minutes. It is as old as it may be, unless
-  // its worker has seen our term, or its session has begun after a lease that is surely over.
+  /**
+   * Whether the report is of a session whose lease was taken for expired. A report may have been
+   * delayed in the network for minutes; one of a later session was sent after that lease expired.
+   */
   private static boolean isOutdatedSession(Machine machine, WorkerReport report) {
     return report.session() < machine.firstValidSession();
   }
 
+  /**
+   * The worker has not seen a token of this ownership yet, so its report may be from before the
+   * handover or failover and says nothing certain about tasks.
+   */
   private HeartbeatReply answerReportOfEarlierTerm(
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
     double now = loop.monotonicSeconds();
     if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(now)) {
       machine.mayHoldTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
     }
-    List<WorkerCommand> first = new ArrayList<>();
+    List<WorkerCommand> firstLaunches = new ArrayList<>();
     if (machine.tasksKnown() && machine.lastSession() == 0 && mayCommand(entity)) {
-      // Passed over empty: it can be given its first tasks before it has seen its new term.
+      // Handed over empty: it may get its first tasks before it has seen a token of this owner.
       machine.newestReport(report.session(), report.sequence());
-      commandWriter.addCommands(machine, first);
+      commandWriter.addCommands(machine, firstLaunches);
     }
-    return leaseRenewal.renew(entity, token, report, first);
+    return leaseRenewal.renew(entity, token, report, firstLaunches);
   }
 
   private HeartbeatReply answerCurrentReport(
@@ -112,7 +124,7 @@
       WorkerReport report,
       List<WorkerCommand> commands) {
     final int tasksBefore = machine.placements().size();
-    final boolean wasOpen = machine.isSchedulable();
+    final boolean wasSchedulable = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
     machine.newestReport(report.session(), report.sequence());
     machine.reportTaken(report.spotNoticeSeconds());
@@ -121,12 +133,12 @@
     }
     drainer.drain(machine);
     if (machine.placements().size() < tasksBefore) {
-      // What has ended makes room that this very answer can fill; the next one is a report away.
-      // Only this machine is looked at: a pass over all of them for each ended task left a small
-      // processor nothing for the reports of hundreds of machines.
+      // This reply can fill the room of ended tasks; the next reply is an interval away. Only this
+      // machine is examined: a pass over all machines for each ended task would leave a small
+      // processor no time for the heartbeats of hundreds of machines.
       taskScheduler.fillMachine(entity, machine);
       schedulingLoop.requestPass();
-    } else if (!wasOpen && machine.isSchedulable()) {
+    } else if (!wasSchedulable && machine.isSchedulable()) {
       schedulingLoop.requestPass();
     }
     commandWriter.addCommands(machine, commands);
--- /dev/null
+++ b/src/main/java/io/violetrail/worker/ReportReconciliation.java
@@ -0,0 +1,211 @@
+package io.violetrail.worker;
+
+import io.violetrail.api.JobLifecycle;
+import io.violetrail.evidence.TerminationEvidence;
+import io.violetrail.fleet.Machine;
+import io.violetrail.model.JobShape;
+import io.violetrail.model.Resources;
+import io.violetrail.model.TaskId;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.scheduling.FailureAttribution;
+import io.violetrail.scheduling.Job;
+import io.violetrail.scheduling.RuntimeEstimates;
+import io.violetrail.scheduling.TaskFailureHandler;
+import io.violetrail.scheduling.TaskPlacement;
+import io.violetrail.wire.HeartbeatMessages.ExitCause;
+import io.violetrail.wire.HeartbeatMessages.TaskReport;
+import io.violetrail.wire.HeartbeatMessages.TaskState;
+import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
+import io.violetrail.wire.HeartbeatMessages.WorkerReport;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The reconciliation of a machine with one report of its worker. Made for that report by {@link
+ * ReportReconciler}, on the event loop's thread.
+ */
+final class ReportReconciliation {
+  private static final Logger LOG = LoggerFactory.getLogger(ReportReconciliation.class);
+
+  private final JobLifecycle jobLifecycle;
+  private final RuntimeEstimates runtimeEstimates;
+  private final TaskFailureHandler failureHandler;
+  private final OwnedEntity entity;
+  private final Machine machine;
+  private final double nowSeconds;
+  private final List<WorkerCommand> commands;
+
+  /** Tasks of open jobs that the report shows and that have not exited. */
+  private final Set<TaskId> reportedTasks = new HashSet<>();
+
+  /** Other tasks that the report shows, with the resources that they take until they are gone. */
+  private final Map<TaskId, Resources> unknownTasks = new HashMap<>();
+
+  ReportReconciliation(
+      JobLifecycle jobLifecycle,
+      RuntimeEstimates runtimeEstimates,
+      TaskFailureHandler failureHandler,
+      OwnedEntity entity,
+      Machine machine,
+      double nowSeconds,
+      List<WorkerCommand> commands) {
+    this.jobLifecycle = jobLifecycle;
+    this.runtimeEstimates = runtimeEstimates;
+    this.failureHandler = failureHandler;
+    this.entity = entity;
+    this.machine = machine;
+    this.nowSeconds = nowSeconds;
+    this.commands = commands;
+  }
+
+  void run(WorkerReport report) {
+    for (TaskReport taskReport : report.tasks()) {
+      reconcileTask(taskReport);
+    }
+    machine.replaceUnknownTasks(unknownTasks);
+    removeUnreportedPlacements(
+        machine.tasksKnown() && report.session() > machine.lastSession()
+            ? TerminationEvidence.LATER_SESSION
+            : TerminationEvidence.REPORT_WITHOUT_IT);
+  }
+
+  private void reconcileTask(TaskReport taskReport) {
+    Job job = entity.jobs().get(taskReport.taskId().jobId());
+    if (job == null || taskReport.taskId().index() >= job.spec().taskCount()) {
+      reconcileUnknownTask(taskReport);
+    } else if (taskReport.state() == TaskState.EXITED) {
+      reconcileExitedTask(job, taskReport);
+    } else {
+      reportedTasks.add(taskReport.taskId());
+      reconcileRunningTask(job, taskReport);
+    }
+  }
+
+  /**
+   * A launch that was sent in the reply to an earlier report and whose task is not in this one
+   * never arrived, or the task is gone.
+   */
+  private void removeUnreportedPlacements(TerminationEvidence evidence) {
+    for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
+      if (!placement.isRevocable()
+          && !reportedTasks.contains(placement.taskId())
+          && machine.findPlacement(placement.taskId()) == placement) {
+        LOG.debug(
+            "task {} attempt {} is no longer on {}",
+            placement.taskId(),
+            placement.attempt(),
+            machine.id());
+        entity.removePlacement(placement, nowSeconds, evidence);
+      }
+    }
+  }
+
+  private void reconcileRunningTask(Job job, TaskReport taskReport) {
+    TaskPlacement placement = findReportedAttempt(taskReport);
+    if (placement == null) {
+      if (isOnAnotherMachine(job, taskReport.taskId())) {
+        unknownTasks.put(taskReport.taskId(), job.spec().taskResources());
+        commands.add(WorkerCommands.stopAtOnce(taskReport));
+        return;
+      }
+      placement = addReportedPlacement(job, taskReport);
+    }
+    if (placement.reported(taskReport.state(), nowSeconds)) {
+      machine.imageSeen(job.spec().image());
+    }
+    if (placement.reportedState() == TaskState.RUNNING && placement.hasRun()) {
+      FailureAttribution.recordRunning(job, placement.ranSeconds(nowSeconds));
+    }
+    if (job.phase() != Job.Phase.OPEN || job.isDone(placement.taskIndex())) {
+      placement.requestStop(0);
+    }
+  }
+
+  /** The placement of the very attempt; one of another attempt is removed if never sent. */
+  private TaskPlacement findReportedAttempt(TaskReport taskReport) {
+    TaskPlacement placement = machine.findPlacement(taskReport.taskId());
+    if (placement == null || placement.attempt() == taskReport.attempt()) {
+      return placement;
+    }
+    if (placement.isRevocable()) {
+      entity.removePlacement(placement, nowSeconds, TerminationEvidence.NEVER_SENT);
+    }
+    return null;
+  }
+
+  /** Whether another machine's worker may run the task; a placement that was never sent yields. */
+  private boolean isOnAnotherMachine(Job job, TaskId taskId) {
+    TaskPlacement otherPlacement = job.findPlacement(taskId.index());
+    if (otherPlacement == null || otherPlacement.machine() == machine) {
+      return false;
+    }
+    if (otherPlacement.isRevocable()) {
+      entity.removePlacement(otherPlacement, nowSeconds, TerminationEvidence.NEVER_SENT);
+      return false;
+    }
+    LOG.error("task {} is on {} and on {}", taskId, machine.id(), otherPlacement.machine().id());
+    return true;
+  }
+
+  private TaskPlacement addReportedPlacement(Job job, TaskReport taskReport) {
+    TaskPlacement placement =
+        new TaskPlacement(
+            job, taskReport.taskId().index(), machine, taskReport.attempt(), nowSeconds);
+    placement.foundByReport();
+    entity.addPlacement(placement);
+    return placement;
+  }
+
+  private void reconcileExitedTask(Job job, TaskReport taskReport) {
+    int index = taskReport.taskId().index();
+    boolean succeeded = taskReport.exitCause() == ExitCause.DONE;
+    TaskPlacement placement = machine.findPlacement(taskReport.taskId());
+    // A replica is never done: one that exits is started again.
+    if (succeeded && job.spec().shape() != JobShape.SERVICE && !job.isDone(index)) {
+      job.markDone(index);
+      FailureAttribution.recordSuccess(machine, job);
+      machine.imageSeen(job.spec().image());
+    }
+    if (placement != null
+        && placement.attempt() == taskReport.attempt()
+        && !placement.isRevocable()) {
+      removeExitedPlacement(job, placement, taskReport.exitCause());
+    }
+    if (job.isDone(index)) {
+      jobLifecycle.handleProgress(entity, job);
+      if (succeeded && !job.isStored(index) && job.phase() != Job.Phase.FINISHED) {
+        // The worker keeps reporting it until its end is stored: a crash loses nothing.
+        return;
+      }
+    }
+    commands.add(WorkerCommands.forget(taskReport));
+  }
+
+  private void removeExitedPlacement(Job job, TaskPlacement placement, ExitCause exitCause) {
+    if (exitCause == ExitCause.DONE && placement.hasRun() && !placement.isStopRequested()) {
+      runtimeEstimates.recordRuntime(job.spec(), placement.ranSeconds(nowSeconds));
+    }
+    entity.removePlacement(placement, nowSeconds, TerminationEvidence.REPORTED_ENDED);
+    if (exitCause != ExitCause.DONE) {
+      failureHandler.taskFailed(machine, placement, exitCause);
+    }
+  }
+
+  /** A task of a job that is finished or cancelled, or that this owner has not loaded. */
+  private void reconcileUnknownTask(TaskReport taskReport) {
+    JobLifecycle.KnownJob knownJob = jobLifecycle.findKnownJob(entity, taskReport.taskId().jobId());
+    if (taskReport.state() != TaskState.EXITED) {
+      // The stop of a finished or cancelled job's task goes with whatever renews the lease.
+      unknownTasks.put(
+          taskReport.taskId(),
+          knownJob == null ? machine.type().capacity() : knownJob.taskResources());
+    } else if (knownJob != null) {
+      commands.add(WorkerCommands.forget(taskReport));
+    }
+  }
+}
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -10,7 +10,6 @@
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.HeartbeatMessages;
 import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
-import io.violetrail.wire.HeartbeatMessages.WorkerCommand.CommandType;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -19,34 +18,39 @@
 import java.util.Set;
 
 /**
- * Tells workers at once to stop tasks whose room a more urgent job waits for, or whose job was
- * cancelled; the answer to their next report, which says so too, may be seconds away.
+ * Sends stop commands to workers at once, for tasks whose room a more urgent job waits for or whose
+ * job was cancelled; the reply to their next heartbeat, which carries them too, may be seconds
+ * away.
  *
- * <p>Nothing is concluded from the answers. Such a command may overtake a launch that is on its way
- * in the answer to a report, and be executed minutes late; but it names the attempt, which was to
+ * <p>Nothing is concluded from the answers. Such a command may overtake a launch that is in flight
+ * in the reply to a heartbeat, and be executed minutes late; but it names the attempt, which was to
  * end anyway, so a late one stops nothing else. Launches never travel this way.
+ *
+ * <p>Called on the event loop's thread. Nothing survives a crash: the next owner stops the tasks of
+ * cancelled jobs with the replies to heartbeats.
  */
 public final class TaskStopper {
   private static final double TIMEOUT_SECONDS = 2;
 
-  /** Commands under way; beyond that the answers to reports must do. */
+  /** Beyond so many requests in flight the replies to heartbeats must do. */
   private static final int MAX_CALLS_IN_FLIGHT = 64;
 
-  private final EventLoop loop;
-  private final Membership membership;
-  private final HttpClient http;
-
-  /** Commands under way to machines that are silent, most of which are gone. */
+  /** Requests in flight to machines that are silent, most of which are gone. */
   private static final int MAX_CALLS_TO_UNRESPONSIVE = 16;
 
   private static final double RESEND_INTERVAL_SECONDS = 1;
 
-  /** Cancelled tasks that are remembered for repeats; the others' leases must do. */
+  /** Cancelled tasks remembered for resends; beyond that the expiry of leases must do. */
   private static final int MAX_UNCONFIRMED_CANCELLATIONS = 4_000;
 
+  private final EventLoop loop;
+  private final Membership membership;
+  private final HttpClient http;
+
+  /** What is to stop, collected until the end of this turn of the event loop. */
   private final Map<Machine, List<TaskPlacement>> pendingStops = new LinkedHashMap<>();
 
-  /** Cancelled tasks of which it is not known yet that they are gone. */
+  /** Cancelled tasks that are not known to be gone yet, the next to be resent first. */
   private final Set<TaskPlacement> unconfirmedCancellations = new LinkedHashSet<>();
 
   private int callsInFlight;
@@ -59,15 +63,16 @@
     this.http = http;
   }
 
+  /** Starts the periodic resending of unconfirmed cancellations. */
   public void start() {
     loop.scheduleWithFixedDelay(RESEND_INTERVAL_SECONDS, this::resendUnconfirmed);
   }
 
   /**
-   * A cancelled job's placement is to be halted. Until its machine is known to be rid of it this is
-   * repeated where no reports come: a worker may reach no controller and still be reached. Told
-   * with the next report alone, tasks whose image was being fetched began after their user had been
-   * told that the job was cancelled.
+   * Stops a cancelled job's placement. Until its machine is known to be rid of it, this is repeated
+   * while no heartbeats arrive: a worker that reaches no controller may still be reached. Without
+   * that, a task whose image is being fetched could start after its user has been told that the job
+   * is cancelled.
    */
   public void stopUntilGone(TaskPlacement placement) {
     enqueueStop(placement);
@@ -76,31 +81,13 @@
     }
   }
 
-  private void resendUnconfirmed() {
-    unconfirmedCancellations.removeIf(p -> p.machine().findPlacement(p.taskId()) != p);
-    Map<Machine, List<TaskPlacement>> unresponsive = new LinkedHashMap<>();
-    for (TaskPlacement placement : unconfirmedCancellations) {
-      if (placement.machine().unresponsive()
-          && (unresponsive.containsKey(placement.machine())
-              || unresponsive.size() < MAX_CALLS_TO_UNRESPONSIVE)) {
-        unresponsive.computeIfAbsent(placement.machine(), m -> new ArrayList<>()).add(placement);
-      }
-    }
-    unresponsive.forEach(
-        (machine, placements) -> {
-          // To the end of the line, so that all have their turn.
-          placements.forEach(unconfirmedCancellations::remove);
-          unconfirmedCancellations.addAll(placements);
-          if (callsInFlightToUnresponsive < MAX_CALLS_TO_UNRESPONSIVE) {
-            callsInFlightToUnresponsive++;
-            sendStops(machine, placements, () -> callsInFlightToUnresponsive--);
-          }
-        });
-  }
-
-  /** A placement is to be halted; what is halted in the same moment goes together. */
+  /**
+   * Sends the stop that was requested for a placement; the stops of one turn of the event loop go
+   * to each machine together. Nothing is sent for a placement that its worker was never sent, or
+   * that is not to stop.
+   */
   public void enqueueStop(TaskPlacement placement) {
-    if (placement.isRevocable() || placement.stopGraceSeconds() < 0) {
+    if (placement.isRevocable() || !placement.isStopRequested()) {
       return;
     }
     if (pendingStops.isEmpty()) {
@@ -121,37 +108,66 @@
         });
   }
 
-  /** {@code onCompleted} is run in any case. */
-  private void sendStops(Machine machine, List<TaskPlacement> placements, Runnable onCompleted) {
-    OwnedEntity entity = membership.findOwnedEntity(machine.row().entity());
-    boolean isOwnedHere =
-        entity != null && entity.isActive() && entity.machines().get(machine.id()) == machine;
-    List<WorkerCommand> commands = new ArrayList<>();
-    for (TaskPlacement placement : placements) {
-      if (machine.findPlacement(placement.taskId()) == placement) {
-        commands.add(
-            new WorkerCommand(
-                CommandType.STOP,
-                placement.taskId(),
-                placement.attempt(),
-                placement.stopGraceSeconds()));
+  private void resendUnconfirmed() {
+    unconfirmedCancellations.removeIf(placement -> !isOnItsMachine(placement));
+    groupByUnresponsiveMachine()
+        .forEach(
+            (machine, placements) -> {
+              // To the end of the set, so that all have their turn.
+              placements.forEach(unconfirmedCancellations::remove);
+              unconfirmedCancellations.addAll(placements);
+              if (callsInFlightToUnresponsive < MAX_CALLS_TO_UNRESPONSIVE) {
+                callsInFlightToUnresponsive++;
+                sendStops(machine, placements, () -> callsInFlightToUnresponsive--);
+              }
+            });
+  }
+
+  /** The unconfirmed cancellations on the first few of the machines that are silent. */
+  private Map<Machine, List<TaskPlacement>> groupByUnresponsiveMachine() {
+    Map<Machine, List<TaskPlacement>> unresponsive = new LinkedHashMap<>();
+    for (TaskPlacement placement : unconfirmedCancellations) {
+      if (placement.machine().unresponsive()
+          && (unresponsive.containsKey(placement.machine())
+              || unresponsive.size() < MAX_CALLS_TO_UNRESPONSIVE)) {
+        unresponsive.computeIfAbsent(placement.machine(), m -> new ArrayList<>()).add(placement);
       }
     }
-    if (!isOwnedHere
-        || !membership.isLeaseValid()
-        || machine.endpoint() == null
-        || machine.lastSession() == 0
-        || commands.isEmpty()) {
+    return unresponsive;
+  }
+
+  /**
+   * Sends the stops that still apply, if any.
+   *
+   * @param onCompleted run in any case, also if nothing is sent
+   */
+  private void sendStops(Machine machine, List<TaskPlacement> placements, Runnable onCompleted) {
+    OwnedEntity entity = membership.findOwnedEntity(machine.row().entity());
+    List<WorkerCommand> commands =
+        placements.stream().filter(TaskStopper::isOnItsMachine).map(WorkerCommands::stop).toList();
+    if (entity == null || commands.isEmpty() || !mayCommand(entity, machine)) {
       onCompleted.run();
       return;
     }
     byte[] body =
         Cbor.encode(
-            HeartbeatMessages.commandReply(entity.fencingTokenFor(machine), commands)
-                .put("tenure", machine.lastSession()));
+            HeartbeatMessages.directCommands(
+                entity.fencingTokenFor(machine), machine.lastSession(), commands));
     Futures.logFailure(
         http.callOnce(machine.endpoint(), "POST", "/orders", body, TIMEOUT_SECONDS)
             .whenComplete((response, failure) -> onCompleted.run()),
         "send commands to a worker");
   }
+
+  private boolean mayCommand(OwnedEntity entity, Machine machine) {
+    return entity.isActive()
+        && entity.machines().get(machine.id()) == machine
+        && membership.isLeaseValid()
+        && machine.endpoint() != null
+        && machine.lastSession() != 0;
+  }
+
+  private static boolean isOnItsMachine(TaskPlacement placement) {
+    return placement.machine().findPlacement(placement.taskId()) == placement;
+  }
 }
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -1,88 +1,103 @@
 package io.violetrail.worker;
 
-import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.fleet.Machine;
-import io.violetrail.model.ControllerId;
 import io.violetrail.net.EventLoop;
-import io.violetrail.net.Futures;
-import io.violetrail.net.HttpClient;
-import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.peer.PeerClient;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
-import java.util.function.IntConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller hears its workers. One that is cut off from them alone still renews its
- * lease, so its entity looks well while all its machines starve: their leases end, and all tasks
- * with them. A deaf controller hands its entities to a peer that hears workers, and asks for its
- * own back only once workers answer it again, which it tries all the while.
+ * Whether workers' heartbeats reach this controller. A controller that is partitioned from its
+ * workers alone still renews its own lease, so its entity looks healthy to its peers while the
+ * leases of all its workers expire, and their tasks with them. It therefore hands its entities to a
+ * peer that receives heartbeats, and {@link #receivesHeartbeats} keeps it from getting its own one
+ * back before a worker has answered it again.
+ *
+ * <p>Runs on the event loop's thread. Nothing survives a restart: a new process begins as {@link
+ * State#REACHABLE}.
  */
 public final class WorkerReachability {
+  /** Invariant: {@link #SUSPECTED} only while a probe of this controller's own workers runs. */
+  private enum State {
+    /** Heartbeats arrive, or have not been missing for long enough. */
+    REACHABLE,
+    /** No heartbeat for the threshold; some of the own workers are being probed. */
+    SUSPECTED,
+    /** No heartbeat and no answer to the probe: entities are handed over, workers probed. */
+    PARTITIONED
+  }
+
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
   private static final double TICK_SECONDS = 0.5;
 
-  /** Workers report within a quarter more than their interval. */
+  /** Workers send a heartbeat within a quarter more than their interval. */
   private static final double JITTER_FACTOR = 1.25;
 
-  /** On top of that, for the network and a processor that is short. */
+  /** On top of that, for delays in the network and on a busy processor. */
   private static final double SLACK_SECONDS = 1;
 
-  private static final double PROBE_TIMEOUT_SECONDS = 1;
-
-  /** So many workers that do not answer either make it certain enough; fewer prove nothing. */
+  /**
+   * How many own workers one probe asks, sampled at random. If none of so many answers, after the
+   * silence of all, the partition is certain enough.
+   */
   private static final int MAX_PROBES = 3;
 
+  /**
+   * With fewer own workers nothing is probed or concluded: a single silent worker may have failed
+   * itself.
+   */
   private static final int MIN_WORKERS = 2;
 
-  /** Workers remembered for later tries; some may be gone by then. */
+  /** Workers remembered for probes during a partition; some may be terminated by then. */
   private static final int MAX_REMEMBERED_WORKERS = 24;
 
-  /** After so long without any answer the entity is asked back all the same, each time later. */
+  /**
+   * The partition is assumed to be over after this time without any answer, since all remembered
+   * workers may be terminated. Doubles with each partition that ends this way, up to the maximum.
+   */
   private static final double INITIAL_GIVE_UP_SECONDS = 60;
 
   private static final double MAX_GIVE_UP_SECONDS = 600;
 
-  private final Settings settings;
   private final EventLoop loop;
   private final Random random;
-  private final ClusterView clusterView;
   private final Membership membership;
-  private final PeerClient peerClient;
-  private final HttpClient http;
+  private final WorkerProbe probe;
+  private final PartitionHandover handover;
+  private final double silenceThresholdSeconds;
   private final List<HostPort> rememberedWorkers = new ArrayList<>();
+  private State state = State.REACHABLE;
   private double lastHeartbeatAtSeconds;
   private double lastTickAtSeconds;
-  private boolean partitionedFromWorkers;
   private double partitionedSinceSeconds;
   private double giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
-  private boolean probeInFlight;
-  private boolean handOverInFlight;
 
-  /** Probes workers over the given HTTP client. */
+  /**
+   * Creates a monitor that does nothing before {@link #start}.
+   *
+   * @param random samples the workers that are probed
+   * @param heartbeatIntervalSeconds the interval at which workers send heartbeats
+   */
   public WorkerReachability(
-      Settings settings,
       EventLoop loop,
       Random random,
-      ClusterView clusterView,
       Membership membership,
-      PeerClient peerClient,
-      HttpClient http) {
-    this.settings = settings;
+      WorkerProbe probe,
+      PartitionHandover handover,
+      double heartbeatIntervalSeconds) {
     this.loop = loop;
     this.random = random;
-    this.clusterView = clusterView;
     this.membership = membership;
-    this.peerClient = peerClient;
-    this.http = http;
+    this.probe = probe;
+    this.handover = handover;
+    this.silenceThresholdSeconds = JITTER_FACTOR * heartbeatIntervalSeconds + SLACK_SECONDS;
   }
 
   /** Starts the periodic check of whether workers' heartbeats still arrive. */
@@ -92,69 +107,69 @@
     loop.scheduleWithFixedDelay(TICK_SECONDS, this::checkReachability);
   }
 
-  /** Whether this controller is cut off from its workers. */
+  /** Whether this controller is partitioned from its workers. */
   public boolean isPartitionedFromWorkers() {
-    return partitionedFromWorkers;
+    return state == State.PARTITIONED;
   }
 
-  /** Whether any worker has been heard of late: a peer that is deaf asks for that. */
+  /**
+   * Whether any worker's heartbeat has arrived lately. A peer that is partitioned from its workers
+   * asks for this before it hands its entities over.
+   */
   public boolean receivesHeartbeats() {
-    return !partitionedFromWorkers
-        && loop.monotonicSeconds() - lastHeartbeatAtSeconds < 2 * silenceThresholdSeconds();
+    return state != State.PARTITIONED
+        && loop.monotonicSeconds() - lastHeartbeatAtSeconds < 2 * silenceThresholdSeconds;
   }
 
-  private double silenceThresholdSeconds() {
-    return JITTER_FACTOR * settings.workerTiming().heartbeatIntervalSeconds() + SLACK_SECONDS;
-  }
-
-  /** A worker has reported, to whichever entity it belongs. */
+  /** A worker's heartbeat has arrived, of whichever entity. */
   void recordHeartbeat(WorkerReport report) {
     lastHeartbeatAtSeconds = loop.monotonicSeconds();
-    if (partitionedFromWorkers) {
-      endPartition("a worker reports");
+    withdrawSuspicion();
+    if (state == State.PARTITIONED) {
+      endPartition("heartbeat of " + report.machineId());
     }
   }
 
-  private void endPartition(String reason) {
-    LOG.info("workers can be heard again: {}", reason);
-    partitionedFromWorkers = false;
-    lastHeartbeatAtSeconds = loop.monotonicSeconds();
-  }
-
   private void checkReachability() {
     double nowSeconds = loop.monotonicSeconds();
-    // After a pause of this process itself, reports wait to be read.
+    // After a pause of this process, heartbeats wait unread: their absence means nothing.
     boolean paused = nowSeconds - lastTickAtSeconds > 2 * TICK_SECONDS;
     lastTickAtSeconds = nowSeconds;
     if (paused || !membership.isLeaseValid()) {
-      lastHeartbeatAtSeconds =
-          Math.max(lastHeartbeatAtSeconds, nowSeconds - silenceThresholdSeconds() / 2);
-      return;
+      postponeSuspicion(nowSeconds);
+      withdrawSuspicion();
+    } else if (state == State.PARTITIONED) {
+      continuePartition(nowSeconds);
+    } else if (nowSeconds - lastHeartbeatAtSeconds > silenceThresholdSeconds) {
+      probeOwnWorkers();
     }
-    if (!partitionedFromWorkers) {
-      if (nowSeconds - lastHeartbeatAtSeconds > silenceThresholdSeconds()) {
-        probeOwnWorkers();
-      }
-      return;
-    }
-    handOverEntities();
-    if (nowSeconds - partitionedSinceSeconds > giveUpAfterSeconds) {
-      giveUpAfterSeconds = Math.min(MAX_GIVE_UP_SECONDS, 2 * giveUpAfterSeconds);
-      endPartition("not tried any longer");
-    } else if (!probeInFlight && !rememberedWorkers.isEmpty()) {
-      probeWorkers(
-          List.of(rememberedWorkers.get(random.nextInt(rememberedWorkers.size()))),
-          answeredCount -> {
-            if (answeredCount > 0 && partitionedFromWorkers) {
-              giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
-              endPartition("one answers");
-            }
-          });
+  }
+
+  /** Leaves half of the threshold before the silence counts again. */
+  private void postponeSuspicion(double nowSeconds) {
+    lastHeartbeatAtSeconds =
+        Math.max(lastHeartbeatAtSeconds, nowSeconds - silenceThresholdSeconds / 2);
+  }
+
+  private void withdrawSuspicion() {
+    if (state == State.SUSPECTED) {
+      state = State.REACHABLE;
     }
   }
 
-  /** Nothing was heard for too long: asks the workers heard last. */
   private void probeOwnWorkers() {
+    List<HostPort> ownWorkers = findOwnWorkers();
+    if (ownWorkers.size() < MIN_WORKERS || probe.isInFlight()) {
+      return;
+    }
+    Collections.shuffle(ownWorkers, random);
+    state = State.SUSPECTED;
+    probe.probe(
+        ownWorkers.subList(0, Math.min(MAX_PROBES, ownWorkers.size())),
+        answeredCount -> judgeProbe(answeredCount, ownWorkers));
+  }
+
+  private List<HostPort> findOwnWorkers() {
     List<HostPort> ownWorkers = new ArrayList<>();
     for (OwnedEntity entity : membership.ownedEntities()) {
       for (Machine machine : entity.machines().values()) {
@@ -166,81 +181,53 @@
         }
       }
     }
-    if (ownWorkers.size() < MIN_WORKERS || probeInFlight) {
-      return;
-    }
-    Collections.shuffle(ownWorkers, random);
-    double heartbeatBeforeProbe = lastHeartbeatAtSeconds;
-    probeWorkers(
-        ownWorkers.subList(0, Math.min(MAX_PROBES, ownWorkers.size())),
-        answeredCount -> {
-          if (answeredCount == 0
-              && lastHeartbeatAtSeconds == heartbeatBeforeProbe
-              && membership.isLeaseValid()) {
-            LOG.info(
-                "no worker is heard and none of {} answers: cut off from them", ownWorkers.size());
-            partitionedFromWorkers = true;
-            partitionedSinceSeconds = loop.monotonicSeconds();
-            rememberedWorkers.clear();
-            rememberedWorkers.addAll(
-                ownWorkers.subList(0, Math.min(MAX_REMEMBERED_WORKERS, ownWorkers.size())));
-            handOverEntities();
-          } else if (answeredCount > 0) {
-            lastHeartbeatAtSeconds =
-                Math.max(
-                    lastHeartbeatAtSeconds,
-                    loop.monotonicSeconds() - silenceThresholdSeconds() / 2);
-          }
-        });
-  }
-
-  private void probeWorkers(List<HostPort> workers, IntConsumer onAnswered) {
-    probeInFlight = true;
-    int[] unansweredCount = {workers.size()};
-    int[] answeredCount = {0};
-    for (HostPort worker : workers) {
-      Futures.logFailure(
-          http.callOnce(worker, "GET", "/status", null, PROBE_TIMEOUT_SECONDS)
-              .whenComplete(
-                  (response, failure) -> {
-                    answeredCount[0] += failure == null && response.isOk() ? 1 : 0;
-                    if (--unansweredCount[0] == 0) {
-                      probeInFlight = false;
-                      onAnswered.accept(answeredCount[0]);
-                    }
-                  }),
-          "probe a worker");
+    return ownWorkers;
+  }
+
+  /** The suspicion stands if it was not withdrawn while the probe ran. */
+  private void judgeProbe(int answeredCount, List<HostPort> ownWorkers) {
+    boolean suspicionStands = state == State.SUSPECTED;
+    withdrawSuspicion();
+    if (answeredCount > 0) {
+      postponeSuspicion(loop.monotonicSeconds());
+    } else if (suspicionStands && membership.isLeaseValid()) {
+      beginPartition(ownWorkers);
     }
   }
 
-  /** Gives all that is held to a peer that hears workers, by the ordinary conditional move. */
-  private void handOverEntities() {
-    if (handOverInFlight || membership.ownedEntities().isEmpty()) {
-      return;
+  private void beginPartition(List<HostPort> ownWorkers) {
+    LOG.info(
+        "partitioned from workers: no heartbeat arrives and no probe of {} workers is answered",
+        ownWorkers.size());
+    state = State.PARTITIONED;
+    partitionedSinceSeconds = loop.monotonicSeconds();
+    rememberedWorkers.clear();
+    rememberedWorkers.addAll(
+        ownWorkers.subList(0, Math.min(MAX_REMEMBERED_WORKERS, ownWorkers.size())));
+    handover.handOverEntities(this::isPartitionedFromWorkers);
+  }
+
+  private void continuePartition(double nowSeconds) {
+    handover.handOverEntities(this::isPartitionedFromWorkers);
+    if (nowSeconds - partitionedSinceSeconds > giveUpAfterSeconds) {
+      giveUpAfterSeconds = Math.min(MAX_GIVE_UP_SECONDS, 2 * giveUpAfterSeconds);
+      endPartition("no probe was answered for too long");
+    } else if (!probe.isInFlight() && !rememberedWorkers.isEmpty()) {
+      HostPort worker = rememberedWorkers.get(random.nextInt(rememberedWorkers.size()));
+      probe.probe(List.of(worker), this::judgeProbeDuringPartition);
     }
-    handOverInFlight = true;
-    handOverToReceivingPeer(new ArrayList<>(settings.peers().keySet()));
   }
 
-  private void handOverToReceivingPeer(List<ControllerId> candidates) {
-    candidates.removeIf(peer -> !clusterView.isAlive(peer));
-    if (candidates.isEmpty() || !partitionedFromWorkers) {
-      handOverInFlight = false;
-      return;
+  private void judgeProbeDuringPartition(int answeredCount) {
+    if (answeredCount > 0 && state == State.PARTITIONED) {
+      giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
+      endPartition("a worker answers");
     }
-    ControllerId peer = candidates.remove(0);
-    Futures.logFailure(
-        peerClient
-            .hears(peer)
-            .whenComplete(
-                (receivesHeartbeats, failure) -> {
-                  if (failure == null && receivesHeartbeats && partitionedFromWorkers) {
-                    handOverInFlight = false;
-                    membership.ownedEntities().forEach(entity -> membership.handBack(entity, peer));
-                  } else {
-                    handOverToReceivingPeer(candidates);
-                  }
-                }),
-        "ask whether a peer hears workers");
+  }
+
+  private void endPartition(String reason) {
+    LOG.info("partition from workers ended: {}", reason);
+    state = State.REACHABLE;
+    lastHeartbeatAtSeconds = loop.monotonicSeconds();
   }
 }
--- a/src/main/java/io/violetrail/worker/WorkerRouter.java
+++ b/src/main/java/io/violetrail/worker/WorkerRouter.java
@@ -13,10 +13,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sends workers to the owners of their machines, or lets them stay here until there is one. */
+/**
+ * Redirects workers to the owners of their machines, or keeps them reporting here until there is an
+ * owner.
+ *
+ * <p>Called on the event loop's thread. Lost with the process: a worker may then be redirected once
+ * more to an owner that is dead.
+ */
 public final class WorkerRouter {
-  /** From a lapse of a controller's lease until it is known everywhere. */
-  private static final double LAPSE_SHOWS_SECONDS = 0.5;
+  /** From the expiry of a controller's lease until all others know of it. */
+  private static final double EXPIRY_VISIBLE_SECONDS = 0.5;
 
   private static final int MAX_REDIRECTED = 2_000;
 
@@ -26,10 +32,10 @@
   private final ClusterView clusterView;
   private final Membership membership;
 
-  /** When each worker was last told to report to its owner. */
+  /** When each worker was last redirected to its owner. */
   private final Map<MachineId, Double> redirectedAtSeconds = new HashMap<>();
 
-  /** Routes by what the directory knows of owners. */
+  /** Routes by the owners and the liveness of controllers in the cluster view. */
   public WorkerRouter(
       Settings settings,
       EventLoop loop,
@@ -44,7 +50,7 @@
   }
 
   /**
-   * The answer to a worker whose machine's entity this controller does not lead.
+   * The reply to a worker whose machine's entity this controller does not own, or no longer.
    *
    * @param entity the entity if it is just being handed over; null if it is not owned here
    */
@@ -52,30 +58,31 @@
     ControllerId owner = clusterView.findLatestOwner(row.entity());
     boolean elsewhere =
         owner != null && !owner.equals(settings.self()) && clusterView.isAlive(owner);
-    // While the entity has no owner, its workers stay here, where the next one is soon known.
-    // Sent away, each came back only after all dead controllers, and a second failure soon after
-    // the first then ended the leases of a whole fleet.
-    boolean withoutOwner =
-        entity == null && membership.isLeaseValid() && (!elsewhere || cameBackSoon(row.id()));
-    return withoutOwner
+    // While the entity has no owner, its workers stay here, where the next owner is soon known.
+    // Redirected without a name, each would come back only after it had tried all dead controllers,
+    // and a second failure soon after the first would let the leases of a whole fleet expire.
+    boolean ownerMissing =
+        entity == null && membership.isLeaseValid() && (!elsewhere || cameBackFromOwner(row.id()));
+    return ownerMissing
         ? HeartbeatReply.withoutRenewal(report)
         : HeartbeatReply.redirected(elsewhere ? owner.value() : null);
   }
 
   /**
-   * Whether the worker was sent to its owner just now and is here again: the owner may be dead,
-   * which shows only when its lease lapses.
+   * Whether the worker was redirected to its owner just now and is here again: the owner may be
+   * dead, which is known only when its lease expires.
    */
-  private boolean cameBackSoon(MachineId machine) {
-    double now = loop.monotonicSeconds();
-    Double before = redirectedAtSeconds.get(machine);
-    if (before != null && now - before < leaseTiming.ttlSeconds() + LAPSE_SHOWS_SECONDS) {
+  private boolean cameBackFromOwner(MachineId machine) {
+    double nowSeconds = loop.monotonicSeconds();
+    Double redirectedBefore = redirectedAtSeconds.get(machine);
+    if (redirectedBefore != null
+        && nowSeconds - redirectedBefore < leaseTiming.ttlSeconds() + EXPIRY_VISIBLE_SECONDS) {
       return true;
     }
     if (redirectedAtSeconds.size() >= MAX_REDIRECTED) {
       redirectedAtSeconds.clear();
     }
-    redirectedAtSeconds.put(machine, now);
+    redirectedAtSeconds.put(machine, nowSeconds);
     return false;
   }
 }
