--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -107,7 +107,7 @@
     Machine machine = add(entity, row, loop.monotonicSeconds());
     if (machine != null) {
       // A machine is passed over empty, so it hides nothing.
-      machine.joinedEmpty();
+      machine.markJoinedEmpty();
       LOG.info(
           "machine {} joins entity {} with term {}",
           row.id(),
@@ -138,14 +138,14 @@
   }
 
   private void rewrite(OwnedEntity entity, Machine machine, MachineRow next) {
-    machine.startRewrite();
+    machine.startRowWrite();
     Futures.logFailure(
         entity
             .machineRecords()
             .rewrite(machine.row(), next)
             .whenComplete(
                 (stored, failure) -> {
-                  machine.endRewrite();
+                  machine.endRowWrite();
                   if (failure == null) {
                     rewritten(machine, stored);
                   } else {
@@ -160,9 +160,9 @@
     if (!machine.row().hasReported()) {
       bootTimes.recordBoot(machine.type(), now - machine.rentedAtSeconds(), now);
       // Its boot is not idleness: dear machines were returned the moment they came up.
-      machine.becameIdle(now);
+      machine.markIdle(now);
     }
-    machine.rewritten(stored);
+    machine.replaceRow(stored);
     schedulingLoop.requestPass();
   }
 
@@ -194,7 +194,7 @@
           if (row == null || !row.entity().equals(entity.id())) {
             entity.removeMachine(machine);
           } else {
-            machine.promiseFailed(row);
+            machine.transferFailed(row);
           }
         });
   }
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -12,379 +12,329 @@
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
 
-/** A machine of an entity that this controller owns. */
+/**
+ * A machine of an entity that this controller owns: its type, its stored record and life cycle, its
+ * worker's status, the tasks placed on it, and what is reserved on it. Each of these is an object
+ * of its own; what depends on several of them is decided here.
+ *
+ * <p>Called on the event loop's thread only, by scheduling, by the heartbeats' handling and by
+ * scaling. Only the record ({@link #row()}) survives a crash. All times are seconds of the steady
+ * clock.
+ */
 public final class Machine {
-  private MachineRow row;
   private final MachineType type;
-
-  /**
-   * The version under which this controller's hold on the machine began; older reports prove no
-   * absence.
-   */
   private final Version acquiredVersion;
-
-  private final Map<TaskId, TaskPlacement> placements = new LinkedHashMap<>();
-  private final Set<String> cachedImages = new HashSet<>();
-
-  /**
-   * Tasks of jobs that are over, or that nobody knows, seen here: they count until they are gone.
-   */
-  private final Map<TaskId, Resources> unknownTasks = new HashMap<>();
-
-  /** What is free, worked out anew only after a change: placement asks far more often. */
-  private Resources freeCapacity;
-
-  private long lastSession;
-  private long lastSequence;
-
-  /** Reports of earlier sessions are leftovers: those sessions' leases are surely over. */
-  private long firstValidSession;
-
-  /** It reported under our term, so what it holds is known. */
-  private boolean tasksKnown;
-
-  /** Until then, an unheard machine may hold any task. */
-  private double unreportedTasksGoneAtSeconds;
-
-  private double lastHeartbeatAtSeconds;
-  private double lastAnsweredAtSeconds;
   private final double rentedAtSeconds;
-  private double idleSinceSeconds;
-  private Double preemptionNoticeSeconds;
-  private boolean draining;
-  private boolean returning;
-
-  /**
-   * The cloud was asked to take it back and may still do so. Where it only said no, as in an outage
-   * of its own, the machine may be used again: idle machines were out of use for all of an outage.
-   */
-  private boolean returnUncertain;
-
-  private boolean unresponsive;
-
-  /** Promised to another entity until then; nothing starts here meanwhile. */
-  private boolean transferInFlight;
-
-  /** A more urgent job for which room is being made here; others keep out until then. */
-  private Job reservedForJob;
-
-  private double reservedUntilSeconds;
-
-  /** No spare work is started here until then: others need the machine. */
-  private double bestEffortBarredUntilSeconds;
-
-  /** Nothing is started here until then: it is emptied for another entity. */
-  private double reservedForTransferUntilSeconds = Double.NEGATIVE_INFINITY;
-
-  /** When it came to this entity's present owner. */
   private final double joinedAtSeconds;
-
-  /** Where its worker answers; null until it has reported here. */
-  private HostPort endpoint;
-
-  /** Tasks here that are not spare work. */
-  private int regularTaskCount;
-
-  private boolean rowWriteInFlight;
-
-  /** Failures here of each job since something ended well here. */
+  private final MachineLifecycle lifecycle;
+  private final WorkerStatus worker;
+  private final PlacedTasks tasks;
+  private final MachineReservations reservations = new MachineReservations();
+  private final Set<String> cachedImages = new HashSet<>();
   private final Map<Job, Integer> failuresByJob = new HashMap<>();
-
-  /** It fails what it starts, by what its failures say now. */
   private boolean quarantined;
-
-  /** Seconds of full use so far, by the scarcer of processors and accelerators. */
+  private double idleSinceSeconds;
   private double fullUseSeconds;
 
-  /** A machine that joins an entity now, rented just now and certain to hold nothing. */
+  /** Creates a machine that was rented just now for the entity, so certainly without tasks. */
   public Machine(MachineRow row, MachineType type, Version acquiredVersion, double nowSeconds) {
     this(row, type, acquiredVersion, nowSeconds, nowSeconds, 0);
   }
 
   /**
-   * A machine that joins an entity.
+   * Creates a machine that joins an entity.
    *
-   * @param acquiredVersion the version under which this controller's hold on it begins
-   * @param nowSeconds seconds of the steady clock
-   * @param rentedS when it was rented, in the same seconds
-   * @param unheardGoneS until when it may hold tasks that nobody here knows of
+   * @param acquiredVersion the version under which this controller's ownership of it begins
+   * @param nowSeconds steady clock reading, in seconds
+   * @param rentedAtSeconds when it was rented, by the same clock
+   * @param unreportedTasksGoneAtSeconds until when it may hold tasks that this controller does not
+   *     know, by the same clock
    */
   public Machine(
       MachineRow row,
       MachineType type,
       Version acquiredVersion,
       double nowSeconds,
-      double rentedS,
-      double unheardGoneS) {
-    this.row = row;
+      double rentedAtSeconds,
+      double unreportedTasksGoneAtSeconds) {
     this.type = type;
     this.acquiredVersion = acquiredVersion;
-    this.rentedAtSeconds = rentedS;
-    this.unreportedTasksGoneAtSeconds = unheardGoneS;
+    this.rentedAtSeconds = rentedAtSeconds;
     this.joinedAtSeconds = nowSeconds;
     this.idleSinceSeconds = nowSeconds;
-    this.lastHeartbeatAtSeconds = nowSeconds;
-    this.lastAnsweredAtSeconds = nowSeconds;
-    this.tasksKnown = !row.hasReported();
+    this.lifecycle = new MachineLifecycle(row);
+    this.worker = new WorkerStatus(!row.hasReported(), unreportedTasksGoneAtSeconds, nowSeconds);
+    this.tasks = new PlacedTasks(type.capacity());
   }
 
   public MachineId id() {
-    return row.id();
-  }
-
-  /** The machine's record as it was last stored. */
-  public MachineRow row() {
-    return row;
+    return row().id();
   }
 
-  /** The type of machine that the cloud rents out under its name. */
+  /** The machine type, as the provider offers it under its name. */
   public MachineType type() {
     return type;
   }
 
   /**
-   * The version under which this controller's hold on the machine began; older reports prove no
-   * absence.
+   * The version under which this controller's ownership of the machine began. Heartbeats with an
+   * older fencing token do not prove that a task is absent.
    */
   public Version acquiredVersion() {
     return acquiredVersion;
   }
 
-  /** The newest report was in this session of the worker; 0 before the first. */
-  public long lastSession() {
-    return lastSession;
+  /** When it was rented. */
+  public double rentedAtSeconds() {
+    return rentedAtSeconds;
   }
 
-  /** The newest report's number within its session. */
-  public long lastSequence() {
-    return lastSequence;
+  /** When it came to this entity's present owner. */
+  public double joinedAtSeconds() {
+    return joinedAtSeconds;
   }
 
-  /** Reports of earlier sessions are leftovers: those sessions' leases are surely over. */
-  public long firstValidSession() {
-    return firstValidSession;
+  /** Whether new tasks may be placed on this machine. */
+  public boolean isSchedulable() {
+    return lifecycle.isInService() && worker.isReadyForTasks();
   }
 
-  /** A report has come: nothing is concluded from it yet. */
-  public void reportArrived(HostPort workerEndpoint, double now) {
-    lastHeartbeatAtSeconds = now;
-    lastAnsweredAtSeconds = now;
-    endpoint = workerEndpoint;
+  // ---- the stored record and the life cycle
+
+  /** The machine's record as it was last stored. */
+  public MachineRow row() {
+    return lifecycle.row();
   }
 
-  /** A report that was kept open is answered now. */
-  public void reportAnswered(double now) {
-    lastAnsweredAtSeconds = now;
+  /** Whether a write of its record is in flight. */
+  boolean rowWriteInFlight() {
+    return lifecycle.isRowWriteInFlight();
   }
 
-  /** Notes which report of the worker is the newest. */
-  public void newestReport(long newSession, long newSequence) {
-    lastSession = newSession;
-    lastSequence = newSequence;
+  /** A write of its record begins. */
+  void startRowWrite() {
+    lifecycle.startRowWrite();
   }
 
-  /** A report under the current term was taken: what the machine holds is known. */
-  public void reportTaken(Double newNoticeS) {
-    preemptionNoticeSeconds = newNoticeS;
-    tasksKnown = true;
-    unresponsive = false;
+  /** The write of its record has ended, with or without effect. */
+  void endRowWrite() {
+    lifecycle.endRowWrite();
   }
 
-  /** It has come empty from another entity, so what it holds is known. */
-  void joinedEmpty() {
-    tasksKnown = true;
+  /** Its record was stored. */
+  void replaceRow(MachineRow stored) {
+    lifecycle.replaceRow(stored);
   }
 
-  /** Whether it has reported under our term, so that what it holds is known. */
-  public boolean tasksKnown() {
-    return tasksKnown;
+  /** Whether it goes out of service: what runs is checkpointed, and nothing new starts. */
+  public boolean draining() {
+    return lifecycle.isDraining();
   }
 
-  /** Until then, in seconds of the steady clock, a machine that has not reported may hold tasks. */
-  public double unreportedTasksGoneAtSeconds() {
-    return unreportedTasksGoneAtSeconds;
+  /** Takes it out of service: what runs is checkpointed, and nothing new starts. */
+  public void startDraining() {
+    lifecycle.startDraining();
   }
 
-  /** Its worker's lease may be kept until then by another controller. */
-  public void mayHoldTasksUntil(double untilSeconds) {
-    unreportedTasksGoneAtSeconds = Math.max(unreportedTasksGoneAtSeconds, untilSeconds);
+  /** Takes it back into service. */
+  public void stopDraining() {
+    lifecycle.stopDraining();
   }
 
-  /** When its last report came, in seconds of the steady clock. */
-  public double lastHeartbeatAtSeconds() {
-    return lastHeartbeatAtSeconds;
+  /** Whether it is being returned to the provider. */
+  public boolean returning() {
+    return lifecycle.isReturning();
   }
 
-  /** When its last report was answered, in seconds of the steady clock. */
-  public double lastAnsweredAtSeconds() {
-    return lastAnsweredAtSeconds;
+  /** It is to be returned to the provider. */
+  void startReturn() {
+    lifecycle.startReturn();
   }
 
-  /** When it was rented, in seconds of the steady clock. */
-  public double rentedAtSeconds() {
-    return rentedAtSeconds;
+  /**
+   * The provider has refused to take it back. It is in service again, unless an earlier request had
+   * an uncertain outcome and may still be carried out: without this, idle machines were out of use
+   * for all of a provider outage.
+   */
+  void cancelReturn() {
+    lifecycle.cancelReturn();
   }
 
-  /** Since when nothing but spare work has been here. */
-  public double idleSinceSeconds() {
-    return idleSinceSeconds;
+  /** A return request had an uncertain outcome: the provider may still carry it out. */
+  void markReturnUncertain() {
+    lifecycle.markReturnUncertain();
   }
 
-  /** It has nothing to do from now on. */
-  public void becameIdle(double now) {
-    idleSinceSeconds = now;
+  /** Whether its transfer to another entity is in flight. */
+  boolean transferInFlight() {
+    return lifecycle.isTransferInFlight();
   }
 
-  /** Seconds until the cloud takes it back, as last reported; null if there is no notice. */
-  public Double preemptionNoticeSeconds() {
-    return preemptionNoticeSeconds;
+  /** Its transfer to another entity begins: nothing starts here meanwhile. */
+  void startTransfer() {
+    lifecycle.startTransfer();
   }
 
-  /** Whether it goes out of use: what runs is saved, and nothing new starts. */
-  public boolean draining() {
-    return draining;
+  /** It was not transferred after all; its record is now the one given. */
+  void transferFailed(MachineRow stored) {
+    lifecycle.transferFailed(stored);
   }
 
-  /** Takes it out of use, or back into use. */
-  public void setDraining(boolean nowDraining) {
-    draining = nowDraining;
+  // ---- the worker's status
+
+  /** The worker session of the newest heartbeat; 0 before the first. */
+  public long lastSession() {
+    return worker.lastSession();
   }
 
-  /** Whether it is being returned to the cloud. */
-  public boolean returning() {
-    return returning;
+  /** The newest heartbeat's number within its session. */
+  public long lastSequence() {
+    return worker.lastSequence();
   }
 
-  /** It is to be returned to the cloud. */
-  void startReturn() {
-    returning = true;
+  /** Heartbeats of earlier sessions are outdated: the leases of those sessions have expired. */
+  public long firstValidSession() {
+    return worker.firstValidSession();
+  }
+
+  /** A heartbeat has arrived; nothing is concluded from its contents yet. */
+  public void recordHeartbeat(HostPort workerEndpoint, double nowSeconds) {
+    worker.recordHeartbeat(workerEndpoint, nowSeconds);
+  }
+
+  /** A heartbeat that was kept open as a long poll is answered now. */
+  public void recordReply(double nowSeconds) {
+    worker.recordReply(nowSeconds);
+  }
+
+  /** Records which heartbeat of the worker is the newest. */
+  public void recordNewestReport(long session, long sequence) {
+    worker.recordNewestReport(session, sequence);
   }
 
   /**
-   * The cloud has refused to take it back, and will not do so late, unless it was unclear before.
+   * A heartbeat under the current fencing token was reconciled: the machine's tasks are known.
+   *
+   * @param preemptionNoticeSeconds seconds until the provider preempts it; null without a notice
    */
-  void returnRefused() {
-    returning = returnUncertain;
+  public void recordStatus(Double preemptionNoticeSeconds) {
+    worker.recordStatus(preemptionNoticeSeconds);
   }
 
-  /** The cloud may still take it back. */
-  void returnUnclear() {
-    returnUncertain = true;
+  /** It was transferred here empty, so its tasks are known. */
+  void markJoinedEmpty() {
+    worker.markTasksKnown();
   }
 
-  /** Whether its reports have stopped coming. */
-  public boolean unresponsive() {
-    return unresponsive;
+  /** Whether it has reported under this controller's fencing token, so that its tasks are known. */
+  public boolean tasksKnown() {
+    return worker.tasksKnown();
   }
 
-  /** Its reports have stopped coming. */
-  public void markSilent() {
-    unresponsive = true;
+  /** Until then, a machine that has not reported may hold tasks. */
+  public double unreportedTasksGoneAtSeconds() {
+    return worker.unreportedTasksGoneAtSeconds();
   }
 
-  /** Its worker's lease is certainly over, and so are its tasks and its session. */
-  public void leaseExpired() {
-    firstValidSession = lastSession + 1;
-    replaceUnknownTasks(Map.of());
+  /** Another controller may renew its worker's lease until then. */
+  public void extendUnreportedTasksUntil(double untilSeconds) {
+    worker.extendUnreportedTasksUntil(untilSeconds);
   }
 
-  /** Whether it is being passed to another entity. */
-  boolean transferInFlight() {
-    return transferInFlight;
+  /** Whether it may hold a task that this controller does not know of. */
+  public boolean mayHoldUnreportedTasks(double nowSeconds) {
+    return worker.mayHoldUnreportedTasks(nowSeconds);
   }
 
-  /** It is being passed to another entity: nothing starts here meanwhile. */
-  void promise() {
-    transferInFlight = true;
+  /** When its last heartbeat came. */
+  public double lastHeartbeatAtSeconds() {
+    return worker.lastHeartbeatAtSeconds();
   }
 
-  /** It was not passed to another entity after all. */
-  void promiseFailed(MachineRow stored) {
-    row = stored;
-    transferInFlight = false;
+  /** When its last heartbeat was answered. */
+  public double lastAnsweredAtSeconds() {
+    return worker.lastAnsweredAtSeconds();
   }
 
-  /** A more urgent job for which room is being made here; null if there is none. */
-  public Job reservedForJob() {
-    return reservedForJob;
+  /** Seconds until the provider preempts it, as last reported; null if there is no notice. */
+  public Double preemptionNoticeSeconds() {
+    return worker.preemptionNoticeSeconds();
   }
 
-  /** Until when others keep out of the reserved room. */
-  public double reservedUntilSeconds() {
-    return reservedUntilSeconds;
+  /** Whether its heartbeats have stopped coming. */
+  public boolean unresponsive() {
+    return worker.unresponsive();
   }
 
-  /** Keeps the room that is made here for a more urgent job. */
-  public void reserve(Job job, double untilSeconds) {
-    reservedForJob = job;
-    reservedUntilSeconds = untilSeconds;
+  /** Its heartbeats have stopped coming. */
+  public void markUnresponsive() {
+    worker.markUnresponsive();
   }
 
-  /** No spare work is started here until then: others need the machine. */
-  public double bestEffortBarredUntilSeconds() {
-    return bestEffortBarredUntilSeconds;
+  /** Its worker's lease has certainly expired, and with it its tasks and its session. */
+  public void expireLease() {
+    worker.expireLease();
+    tasks.replaceUnknownTasks(Map.of());
   }
 
-  /** Keeps spare work away until then. */
-  public void keepSpareWorkAway(double untilSeconds) {
-    bestEffortBarredUntilSeconds = untilSeconds;
+  /** Where its worker answers; null before the first heartbeat here. */
+  public HostPort endpoint() {
+    return worker.endpoint();
   }
 
-  /** Nothing is started here until then: it is emptied for another entity. */
-  public double reservedForTransferUntilSeconds() {
-    return reservedForTransferUntilSeconds;
-  }
+  // ---- reservations
 
-  /** Starts nothing here until then. */
-  public void keepEmpty(double untilSeconds) {
-    reservedForTransferUntilSeconds = untilSeconds;
+  /** A more urgent job for which room is being made here; null if there is none. */
+  public Job reservedForJob() {
+    return reservations.job();
   }
 
-  /** When it came to this entity's present owner. */
-  public double joinedAtSeconds() {
-    return joinedAtSeconds;
+  /** Until when other jobs keep out of the reserved room. */
+  public double reservedUntilSeconds() {
+    return reservations.jobUntilSeconds();
   }
 
-  /** Where its worker answers; null until it has reported here. */
-  public HostPort endpoint() {
-    return endpoint;
+  /** Reserves the room that is made here for a more urgent job. */
+  public void reserve(Job job, double untilSeconds) {
+    reservations.reserveForJob(job, untilSeconds);
   }
 
-  /** Whether a write of its record is under way. */
-  boolean rowWriteInFlight() {
-    return rowWriteInFlight;
+  /** No best-effort work is started here until then: others need the machine. */
+  public double bestEffortBarredUntilSeconds() {
+    return reservations.bestEffortBarredUntilSeconds();
   }
 
-  /** A write of its record begins. */
-  void startRewrite() {
-    rowWriteInFlight = true;
+  /** Starts no best-effort work here until then. */
+  public void barBestEffortUntil(double untilSeconds) {
+    reservations.barBestEffortUntil(untilSeconds);
   }
 
-  /** A write of its record has ended, as it may be without effect. */
-  void endRewrite() {
-    rowWriteInFlight = false;
+  /** Nothing is started here until then: it is drained for another entity. */
+  public double reservedForTransferUntilSeconds() {
+    return reservations.transferUntilSeconds();
   }
 
-  /** Its record was stored. */
-  void rewritten(MachineRow stored) {
-    row = stored;
+  /** Starts nothing here until then. */
+  public void reserveForTransferUntil(double untilSeconds) {
+    reservations.reserveForTransferUntil(untilSeconds);
   }
 
-  /** Whether the image is there, as far as reports have shown. */
+  // ---- images, failures and use
+
+  /** Whether the image is cached there, as far as heartbeats have shown. */
   public boolean hasImage(String image) {
     return cachedImages.contains(image);
   }
 
   /** A task with the image has run here. */
-  public void imageSeen(String image) {
+  public void recordImage(String image) {
     cachedImages.add(image);
   }
 
-  /** Failures here of each job since something ended well here; not to be changed. */
+  /** Failures here of each job since a task last succeeded here; not to be changed. */
   public Map<Job, Integer> failuresByJob() {
     return Collections.unmodifiableMap(failuresByJob);
   }
@@ -394,7 +344,7 @@
     failuresByJob.merge(job, 1, Integer::sum);
   }
 
-  /** Something has ended well here. */
+  /** A task has succeeded here. */
   public void clearFailures() {
     failuresByJob.clear();
   }
@@ -405,8 +355,18 @@
   }
 
   /** Says whether it fails what it starts. */
-  public void setSick(boolean nowSick) {
-    quarantined = nowSick;
+  public void setQuarantined(boolean nowQuarantined) {
+    quarantined = nowQuarantined;
+  }
+
+  /** Since when nothing but best-effort work has been here. */
+  public double idleSinceSeconds() {
+    return idleSinceSeconds;
+  }
+
+  /** It has no regular work from now on. */
+  public void markIdle(double nowSeconds) {
+    idleSinceSeconds = nowSeconds;
   }
 
   /** Seconds of full use so far, by the scarcer of processors and accelerators. */
@@ -419,120 +379,59 @@
     fullUseSeconds += seconds * utilization();
   }
 
-  /** Tasks placed here, by name; not to be changed. */
+  // ---- tasks and free capacity
+
+  /** Tasks placed here, by name, in the order of their placement; not to be changed. */
   public Map<TaskId, TaskPlacement> placements() {
-    return Collections.unmodifiableMap(placements);
+    return tasks.placements();
   }
 
+  /** Returns the task's placement here, or null if it has none. */
   public TaskPlacement findPlacement(TaskId taskId) {
-    return placements.get(taskId);
+    return tasks.find(taskId);
   }
 
-  /**
-   * Adds a task and invalidates the cached free resources; a placement of the same task is
-   * replaced.
-   */
+  /** Adds a task; a placement of the same task is replaced. */
   public void addPlacement(TaskPlacement placement) {
-    TaskPlacement previous = placements.put(placement.taskId(), placement);
-    regularTaskCount +=
-        (placement.job().bestEffort() ? 0 : 1)
-            - (previous == null || previous.job().bestEffort() ? 0 : 1);
-    freeCapacity = null;
+    tasks.add(placement);
   }
 
   /** Removes a task if exactly this placement is recorded, and returns whether it was. */
   public boolean removePlacement(TaskPlacement placement) {
-    freeCapacity = null;
-    boolean removed = placements.remove(placement.taskId(), placement);
-    regularTaskCount -= removed && !placement.job().bestEffort() ? 1 : 0;
-    return removed;
+    return tasks.remove(placement);
   }
 
+  /** Tasks that the worker reports but no open job has, with what they use; not to be changed. */
   public Map<TaskId, Resources> unknownTasks() {
-    return Collections.unmodifiableMap(unknownTasks);
+    return tasks.unknownTasks();
   }
 
-  /**
-   * Replaces the tasks that the worker reports but the controller does not know, with what they
-   * use.
-   */
+  /** Replaces the tasks that the worker reports but no open job has, with what they use. */
   public void replaceUnknownTasks(Map<TaskId, Resources> reported) {
-    if (!reported.isEmpty() || !unknownTasks.isEmpty()) {
-      unknownTasks.clear();
-      unknownTasks.putAll(reported);
-      freeCapacity = null;
-    }
+    tasks.replaceUnknownTasks(reported);
   }
 
-  /** Returns the free resources, which are computed again only after the tasks have changed. */
+  /** The free resources; computed again only after the tasks have changed. */
   public Resources freeCapacity() {
-    if (freeCapacity == null) {
-      freeCapacity = computeFreeCapacity();
-    }
-    return freeCapacity;
-  }
-
-  private Resources computeFreeCapacity() {
-    double cpus = type.capacity().cpus();
-    double gpus = type.capacity().gpus();
-    double memory = type.capacity().memoryGb();
-    for (TaskPlacement placement : placements.values()) {
-      Resources amounts = placement.job().spec().taskResources();
-      cpus -= amounts.cpus();
-      gpus -= amounts.gpus();
-      memory -= amounts.memoryGb();
-    }
-    for (Resources amounts : unknownTasks.values()) {
-      cpus -= amounts.cpus();
-      gpus -= amounts.gpus();
-      memory -= amounts.memoryGb();
-    }
-    return new Resources(cpus, gpus, memory);
-  }
-
-  /** What would be free without the spare work here. */
+    return tasks.freeCapacity();
+  }
+
+  /** What would be free without the best-effort work here. */
   public Resources freeCapacityWithoutBestEffort() {
-    Resources capacity = freeCapacity();
-    if (placements.size() > regularTaskCount) {
-      for (TaskPlacement placement : placements.values()) {
-        capacity =
-            placement.job().bestEffort()
-                ? capacity.plus(placement.job().spec().taskResources())
-                : capacity;
-      }
-    }
-    return capacity;
-  }
-
-  /** Whether new tasks may be decided for this machine. */
-  public boolean isSchedulable() {
-    return row.hasReported()
-        && tasksKnown
-        && !draining
-        && !returning
-        && !unresponsive
-        && !transferInFlight
-        && preemptionNoticeSeconds == null;
+    return tasks.freeCapacityWithoutBestEffort();
   }
 
-  /** The share in use now. */
+  /** The fraction in use now, by the scarcer of processors and accelerators. */
   public double utilization() {
-    Resources used = type.capacity().minus(freeCapacity());
-    double gpus = type.capacity().gpus() > 0 ? used.gpus() / type.capacity().gpus() : 0;
-    return Math.max(used.cpus() / type.capacity().cpus(), gpus);
+    return tasks.utilization();
   }
 
   public boolean isEmpty() {
-    return placements.isEmpty() && unknownTasks.isEmpty();
+    return tasks.isEmpty();
   }
 
-  /** Whether nothing but spare work is here, if anything. */
+  /** Whether nothing but best-effort work is here, if anything. */
   public boolean hasOnlyBestEffortTasks() {
-    return regularTaskCount == 0 && unknownTasks.isEmpty();
-  }
-
-  /** Whether it may still hold a task that this controller does not know of. */
-  public boolean mayHoldUnreportedTasks(double nowSeconds) {
-    return !tasksKnown && nowSeconds < unreportedTasksGoneAtSeconds;
+    return tasks.hasOnlyBestEffortTasks();
   }
 }
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -228,7 +228,7 @@
 
   /** One conditional write gives the machine to the other entity and raises its term. */
   private void transferMachine(OwnedEntity entity, Machine machine, EntityRow target) {
-    machine.promise();
+    machine.startTransfer();
     Version highestVersion =
         entity.fencingTokenFor(machine).compareTo(target.version()) > 0
             ? entity.fencingTokenFor(machine)
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -96,7 +96,7 @@
       out.add(machine);
     } else {
       // Only spare work is left here: it saves, and the machine goes.
-      machine.setDraining(true);
+      machine.startDraining();
     }
   }
 
@@ -113,8 +113,8 @@
                   returning = false;
                   switch (failure == null ? answer : ReturnOutcome.UNCERTAIN) {
                     case GONE -> batch.forEach(m -> forget(entity, m));
-                    case REFUSED -> batch.forEach(Machine::returnRefused);
-                    default -> batch.forEach(Machine::returnUnclear);
+                    case REFUSED -> batch.forEach(Machine::cancelReturn);
+                    default -> batch.forEach(Machine::markReturnUncertain);
                   }
                 }),
         "return machines to the cloud");
--- /dev/null
+++ b/src/main/java/io/violetrail/fleet/WorkerStatus.java
@@ -0,0 +1,129 @@
+package io.violetrail.fleet;
+
+import io.violetrail.config.Settings.HostPort;
+
+/**
+ * What the heartbeats of one machine's worker have shown: the newest heartbeat, where the worker
+ * answers, whether its tasks are known, and which of its sessions certainly ended.
+ *
+ * <p>Used by its {@link Machine} alone, on the event loop's thread. Nothing here survives a crash:
+ * the next owner waits for a heartbeat under its own fencing token, or until tasks that nobody has
+ * reported are certainly gone.
+ */
+final class WorkerStatus {
+  private long lastSession;
+  private long lastSequence;
+
+  /** Heartbeats of earlier sessions are outdated: the leases of those sessions have expired. */
+  private long firstValidSession;
+
+  /** A heartbeat under this controller's fencing token has shown which tasks there are. */
+  private boolean tasksKnown;
+
+  /** Until then, a machine whose tasks are not known may hold any task. */
+  private double unreportedTasksGoneAtSeconds;
+
+  private double lastHeartbeatAtSeconds;
+  private double lastAnsweredAtSeconds;
+
+  /** Null while the provider has not announced a preemption. */
+  private Double preemptionNoticeSeconds;
+
+  private boolean unresponsive;
+
+  /** Null before the first heartbeat. */
+  private HostPort endpoint;
+
+  WorkerStatus(boolean tasksKnown, double unreportedTasksGoneAtSeconds, double nowSeconds) {
+    this.tasksKnown = tasksKnown;
+    this.unreportedTasksGoneAtSeconds = unreportedTasksGoneAtSeconds;
+    this.lastHeartbeatAtSeconds = nowSeconds;
+    this.lastAnsweredAtSeconds = nowSeconds;
+  }
+
+  void recordHeartbeat(HostPort workerEndpoint, double nowSeconds) {
+    lastHeartbeatAtSeconds = nowSeconds;
+    lastAnsweredAtSeconds = nowSeconds;
+    endpoint = workerEndpoint;
+  }
+
+  void recordReply(double nowSeconds) {
+    lastAnsweredAtSeconds = nowSeconds;
+  }
+
+  void recordNewestReport(long session, long sequence) {
+    lastSession = session;
+    lastSequence = sequence;
+  }
+
+  void recordStatus(Double newPreemptionNoticeSeconds) {
+    preemptionNoticeSeconds = newPreemptionNoticeSeconds;
+    tasksKnown = true;
+    unresponsive = false;
+  }
+
+  void markTasksKnown() {
+    tasksKnown = true;
+  }
+
+  void markUnresponsive() {
+    unresponsive = true;
+  }
+
+  void expireLease() {
+    firstValidSession = lastSession + 1;
+  }
+
+  void extendUnreportedTasksUntil(double untilSeconds) {
+    unreportedTasksGoneAtSeconds = Math.max(unreportedTasksGoneAtSeconds, untilSeconds);
+  }
+
+  /** Whether the worker's state allows new tasks: its tasks are known, and it is there to stay. */
+  boolean isReadyForTasks() {
+    return tasksKnown && !unresponsive && preemptionNoticeSeconds == null;
+  }
+
+  boolean mayHoldUnreportedTasks(double nowSeconds) {
+    return !tasksKnown && nowSeconds < unreportedTasksGoneAtSeconds;
+  }
+
+  long lastSession() {
+    return lastSession;
+  }
+
+  long lastSequence() {
+    return lastSequence;
+  }
+
+  long firstValidSession() {
+    return firstValidSession;
+  }
+
+  boolean tasksKnown() {
+    return tasksKnown;
+  }
+
+  double unreportedTasksGoneAtSeconds() {
+    return unreportedTasksGoneAtSeconds;
+  }
+
+  double lastHeartbeatAtSeconds() {
+    return lastHeartbeatAtSeconds;
+  }
+
+  double lastAnsweredAtSeconds() {
+    return lastAnsweredAtSeconds;
+  }
+
+  Double preemptionNoticeSeconds() {
+    return preemptionNoticeSeconds;
+  }
+
+  boolean unresponsive() {
+    return unresponsive;
+  }
+
+  HostPort endpoint() {
+    return endpoint;
+  }
+}
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -306,7 +306,7 @@
     // Spare work does not keep an ordinary machine rented: its idleness began before.
     if ((!wasSpare && placement.machine().hasOnlyBestEffortTasks())
         || (placement.machine().isEmpty() && placement.machine().row().spot())) {
-      placement.machine().becameIdle(nowSeconds);
+      placement.machine().markIdle(nowSeconds);
     }
     if (placement.job().phase() == Job.Phase.FINISHED && placement.job().hasNoPlacements()) {
       removeJob(placement.job());
--- a/src/main/java/io/violetrail/scheduling/FailureAttribution.java
+++ b/src/main/java/io/violetrail/scheduling/FailureAttribution.java
@@ -82,12 +82,12 @@
     boolean quarantined = evidence >= QUARANTINE_EVIDENCE - 1e-9;
     if (quarantined && !machine.quarantined()) {
       LOG.info("machine {} fails what it starts: out of use", machine.id());
-      machine.setDraining(true);
+      machine.startDraining();
     } else if (!quarantined && machine.quarantined() && !machine.returning()) {
       LOG.info(
           "machine {} is in use again: the jobs that failed there fail everywhere", machine.id());
-      machine.setDraining(false);
+      machine.stopDraining();
     }
-    machine.setSick(quarantined);
+    machine.setQuarantined(quarantined);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -51,7 +51,7 @@
         graceSeconds = Math.max(graceSeconds, preemption.preempt(entity, placement, now));
       }
     }
-    machine.keepSpareWorkAway(now + graceSeconds + Preemption.RESERVATION_SECONDS);
+    machine.barBestEffortUntil(now + graceSeconds + Preemption.RESERVATION_SECONDS);
   }
 
   /** Stops all that runs on a machine and starts nothing there for that many seconds after. */
@@ -61,6 +61,6 @@
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       graceSeconds = Math.max(graceSeconds, preemption.preempt(entity, placement, now));
     }
-    machine.keepEmpty(now + graceSeconds + reservedSeconds);
+    machine.reserveForTransferUntil(now + graceSeconds + reservedSeconds);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -56,7 +56,7 @@
       // Its worker may have seen no token yet, and then that controller's answers keep its lease.
       // This ends with the upgrade, or with the machine's return to the cloud.
       double keptUntil = now + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
-      machine.mayHoldTasksUntil(keptUntil);
+      machine.extendUnreportedTasksUntil(keptUntil);
     }
     if (machine.unresponsive()
         && leaseIsOver(machine, now)
@@ -76,7 +76,7 @@
   }
 
   private static void markSilent(OwnedEntity entity, Machine machine, double now) {
-    machine.markSilent();
+    machine.markUnresponsive();
     LOG.info(
         "machine {} of entity {} is silent: last report {} s ago in session {}, {} tasks",
         machine.id(),
@@ -100,7 +100,7 @@
         tenths(now - machine.lastAnsweredAtSeconds()),
         tenths(leaseTiming.tasksGoneAfterReplySeconds()),
         machine.tasksKnown());
-    machine.leaseExpired();
+    machine.expireLease();
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       entity.removePlacement(placement, now, TerminationEvidence.LEASE_OVER);
     }
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -179,7 +179,7 @@
       return HeartbeatReply.refused("the machine has passed on");
     }
     // The worker counts its lease from the report's sending; this is later, so on the safe side.
-    machine.reportAnswered(loop.monotonicSeconds());
+    machine.recordReply(loop.monotonicSeconds());
     List<WorkerCommand> commands = new ArrayList<>(parkedCommands);
     if (isNewestReport(machine, report) && membership.isLeaseValid() && entity.isActive()) {
       commandWriter.addCommands(machine, commands);
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -71,7 +71,7 @@
     if (!report.isNewerThan(machine.lastSession(), machine.lastSequence())) {
       return HeartbeatReply.withoutRenewal(report);
     }
-    machine.reportArrived(HostPort.parse(report.endpoint()), loop.monotonicSeconds());
+    machine.recordHeartbeat(HostPort.parse(report.endpoint()), loop.monotonicSeconds());
     if (!machine.row().hasReported()) {
       machines.markUp(entity, machine);
     }
@@ -94,12 +94,12 @@
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
     double now = loop.monotonicSeconds();
     if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(now)) {
-      machine.mayHoldTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
+      machine.extendUnreportedTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
     }
     List<WorkerCommand> first = new ArrayList<>();
     if (machine.tasksKnown() && machine.lastSession() == 0 && mayCommand(entity)) {
       // Passed over empty: it can be given its first tasks before it has seen its new term.
-      machine.newestReport(report.session(), report.sequence());
+      machine.recordNewestReport(report.session(), report.sequence());
       commandWriter.addCommands(machine, first);
     }
     return leaseRenewal.renew(entity, token, report, first);
@@ -114,8 +114,8 @@
     final int tasksBefore = machine.placements().size();
     final boolean wasOpen = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
-    machine.newestReport(report.session(), report.sequence());
-    machine.reportTaken(report.spotNoticeSeconds());
+    machine.recordNewestReport(report.session(), report.sequence());
+    machine.recordStatus(report.spotNoticeSeconds());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -122,7 +122,7 @@
       entity.addPlacement(placement);
     }
     if (placement.reported(taskReport.state(), nowSeconds)) {
-      machine.imageSeen(job.spec().image());
+      machine.recordImage(job.spec().image());
     }
     if (placement.reportedState() == TaskState.RUNNING && placement.runningSinceSeconds() > 0) {
       FailureAttribution.recordRunning(job, nowSeconds - placement.runningSinceSeconds());
@@ -152,7 +152,7 @@
     if (done && !job.isDone(index)) {
       job.markDone(index);
       FailureAttribution.recordSuccess(machine, job);
-      machine.imageSeen(job.spec().image());
+      machine.recordImage(job.spec().image());
     }
     if (isCurrentAttempt) {
       if (taskReport.exitCause() == ExitCause.DONE
