--- /dev/null
+++ b/src/test/java/io/violetrail/compatibility/RecordedRun.java
@@ -0,0 +1,180 @@
+package io.violetrail.compatibility;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Options;
+import io.violetrail.config.Settings.Team;
+import io.violetrail.fakes.KubeClient;
+import io.violetrail.fakes.User;
+import io.violetrail.fakes.World;
+import io.violetrail.net.Http;
+import io.violetrail.wire.Cbor;
+import io.violetrail.wire.kubernetes.KubeJson;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * A short run of a simulated deployment in which every kind of row is written. It is the same each
+ * time: {@code stored-rows.txt} holds rows that an earlier program wrote in it.
+ */
+final class RecordedRun {
+  private static final double STEP_S = 0.05;
+
+  /** Long enough for a block of ended runs of a schedule that fires each minute. */
+  private static final double SCHEDULED_S = 18 * 60;
+
+  private final World world = world();
+  private final User user = new User(world);
+  private final KubeClient kubernetes = new KubeClient(world);
+  private final Map<String, JsonNode> rows = new TreeMap<>();
+
+  private RecordedRun() {}
+
+  /** A deployment that serves everything, with the settings of the recording. */
+  static World world() {
+    World world = new World(3, 11);
+    world.kubernetes = true;
+    world.calendar = true;
+    world.options =
+        new Options(
+            null, Options.DEFAULTS.idleS(), Options.DEFAULTS.sample(), null, null, true, true);
+    world.teams.put("red", new Team("red", 0, 0, 300, Double.POSITIVE_INFINITY));
+    world.cloud.runS = 8;
+    return world;
+  }
+
+  /** The longest value of each key that was written, the last one of several. */
+  static Map<String, JsonNode> rows() {
+    RecordedRun run = new RecordedRun();
+    run.play();
+    return run.rows;
+  }
+
+  private void play() {
+    world.up();
+    configure();
+    schedule();
+    run(SCHEDULED_S);
+    jobs();
+    run(15);
+    objects();
+    run(15);
+    whatStaysOpen();
+    run(8);
+    world.kill("c1");
+    run(30);
+  }
+
+  private void configure() {
+    ObjectNode change = Cbor.map().put("expected", 0).put("request", "first");
+    change.put("who", "operator").put("why", "a recording");
+    change.putArray("teams").addObject().put("name", "red").put("cpus_max", 300.0);
+    change.withArray("teams").addObject().put("name", "blue").put("cpus_max", 9.0);
+    post("/config", change, 200);
+    run(10);
+  }
+
+  private void schedule() {
+    put("/calendars/holidays", "{\"dates\":[\"2030-01-01\",\"2030-12-25\"]}");
+    ObjectNode schedule = Cbor.map().put("name", "readings").put("due", "every 1 minutes");
+    schedule.put("zone", "UTC").put("deadline_s", 55.0);
+    ObjectNode job = User.job("job-0", 2);
+    job.remove("name_id");
+    schedule.set("job", job);
+    post("/schedules", schedule, 201);
+  }
+
+  private void jobs() {
+    expect(201, user.submit("c0", User.job("job-101", 3)));
+    expect(201, user.submit("c0", User.job("job-102", 2)));
+    user.abort("c0", "job-102");
+    ObjectNode array = User.job("job-103", 60).put("guess_s", 21.5).put("snapshot_s", 7.5);
+    expect(201, user.submit("c1", array.put("flush_s", 2.5).put("due_s", 905.5)));
+    ObjectNode gang = User.job("job-104", 5).put("shape", "ensemble").put("urgency", "high");
+    gang.put("cores", 2.5).put("mem_gb", 3.5).put("pull_gb", 0.25).put("one_zone", true);
+    gang.put("yard", "b").put("loaners", true).putArray("hosttypes").add("plain");
+    expect(201, user.submit("c2", gang));
+    ObjectNode service = User.job("job-105", 4).put("shape", "daemon").put("urgency", "prod");
+    expect(201, user.submit("c2", service.put("apart", true).put("guess_s", 0.0)));
+    expect(201, user.submit("c0", User.job("job-106", 40).put("urgency", "low")));
+    // More than one entity's part of the team's limit, so that slices move.
+    expect(201, user.submit("c0", User.job("job-108", 8).put("crew", "blue")));
+  }
+
+  private void objects() {
+    for (String name : new String[] {"web", "old-web"}) {
+      expect(201, kubernetes.send("c1", "POST", deployments(), deployment(name)).code());
+    }
+    expect(201, kubernetes.send("c0", "POST", jobsPath(), kubernetesJob()).code());
+    run(5);
+    expect(200, kubernetes.send("c2", "DELETE", deployments() + "/old-web", null).code());
+  }
+
+  /** The cloud refuses without certainty, so what is asked of it stays open. */
+  private void whatStaysOpen() {
+    world.cloud.down = true;
+    expect(201, user.submit("c0", User.job("job-107", 100).put("crew", "red")));
+  }
+
+  static String deployments() {
+    return "/apis/apps/v1/namespaces/red/deployments";
+  }
+
+  static String jobsPath() {
+    return "/apis/batch/v1/namespaces/red/jobs";
+  }
+
+  private static String template(String restart) {
+    return """
+        {"metadata":{"labels":{"app":"scan"}},"spec":{"restartPolicy":"%s","containers":[
+        {"name":"main","image":"img","resources":{"requests":{"cpu":"1","memory":"1G"}}}]}}"""
+        .formatted(restart);
+  }
+
+  private static String deployment(String name) {
+    return """
+        {"apiVersion":"apps/v1","kind":"Deployment","metadata":{"name":"%s"},"spec":{"replicas":2,
+        "selector":{"matchLabels":{"app":"scan"}},"template":%s}}"""
+        .formatted(name, template("Always"));
+  }
+
+  private static String kubernetesJob() {
+    return """
+        {"apiVersion":"batch/v1","kind":"Job","metadata":{"name":"scan","labels":{"app":"scan"},
+        "annotations":{"violetrail.io/estimate":"20s"}},
+        "spec":{"completions":3,"parallelism":3,"template":%s}}"""
+        .formatted(template("Never"));
+  }
+
+  private void put(String path, String json) {
+    Http.Reply reply = user.send("c1", "PUT", path, json.getBytes());
+    expect(200, reply.status());
+  }
+
+  private void post(String path, ObjectNode body, int status) {
+    var reply = world.call("operator", -1, World.api("c0"), "POST", path, KubeJson.bytes(body), 10);
+    world.until(15, reply::isDone);
+    expect(status, reply.join().status());
+  }
+
+  private static void expect(int status, int answered) {
+    if (status != answered) {
+      throw new IllegalStateException("answered " + answered + " and not " + status);
+    }
+  }
+
+  private void run(double seconds) {
+    double end = world.now() + seconds;
+    while (world.now() < end) {
+      world.run(STEP_S);
+      world
+          .state
+          .keys("")
+          .forEach(key -> rows.merge(key, world.state.value(key), RecordedRun::longer));
+    }
+  }
+
+  private static JsonNode longer(JsonNode kept, JsonNode next) {
+    return next.toString().length() >= kept.toString().length() ? next : kept;
+  }
+}
--- a/src/test/java/io/violetrail/fakes/FakeState.java
+++ b/src/test/java/io/violetrail/fakes/FakeState.java
@@ -95,7 +95,7 @@
   }
 
   /** A row that is there without anybody's having written it. */
-  void put(String key, JsonNode value) {
+  public void put(String key, JsonNode value) {
     keys.put(key, new Entry(value, ++revision, NO_LEASE));
   }
 
--- a/src/test/java/io/violetrail/fakes/FakeWorker.java
+++ b/src/test/java/io/violetrail/fakes/FakeWorker.java
@@ -79,7 +79,7 @@
   private final World world;
   final String type;
   final String zone;
-  final boolean spot;
+  public final boolean spot;
   private final Amounts size;
   private final Map<String, Piece> pieces = new LinkedHashMap<>();
   public final Map<String, Double> runs = new LinkedHashMap<>();
