--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -2,6 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings;
+import io.violetrail.errors.Receiver;
+import io.violetrail.errors.RequestRejectedException;
+import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
 import io.violetrail.net.EventLoop;
@@ -54,13 +57,13 @@
 
   /** Fetches the machine types on offer; the future fails if the reply is an error or malformed. */
   public CompletableFuture<List<MachineType>> fetchMachineTypes() {
-    return callOrFail("GET", "/flavors", null)
+    return callOrFail("GET", CloudMessages.MACHINE_TYPES_PATH, null)
         .thenApply(
             response -> {
               try {
-                return CloudMessages.machineTypes(Cbor.parse(response.body()));
+                return CloudMessages.parseMachineTypes(Cbor.parse(response.body()));
               } catch (MalformedMessageException exception) {
-                throw new IllegalStateException(exception);
+                throw RequestUndecidedException.unclearAnswer(Receiver.CLOUD);
               }
             });
   }
@@ -73,7 +76,7 @@
       String requestName, String type, String zone, boolean spot, int count) {
     return send(
             "POST",
-            "/hosts",
+            CloudMessages.MACHINES_PATH,
             Cbor.encode(CloudMessages.rentalRequest(requestName, type, zone, spot, count)))
         .handle(
             (response, failure) -> {
@@ -107,7 +110,12 @@
   public CompletableFuture<MachinePage> listMachines(String after) {
     String afterParameter = after.isEmpty() ? "" : "&after=" + after;
     return callOrFail(
-            "GET", "/hosts?most=" + CloudMessages.MAX_MACHINES_PER_LIST + afterParameter, null)
+            "GET",
+            CloudMessages.MACHINES_PATH
+                + "?most="
+                + CloudMessages.MAX_MACHINES_PER_LIST
+                + afterParameter,
+            null)
         .thenApply(
             response -> {
               try {
@@ -120,7 +128,7 @@
                     lastListed,
                     CloudMessages.isTruncated(message) && !machines.isEmpty());
               } catch (MalformedMessageException exception) {
-                throw new IllegalStateException(exception);
+                throw RequestUndecidedException.unclearAnswer(Receiver.CLOUD);
               }
             });
   }
@@ -140,7 +148,8 @@
    * determined yields {@code UNCERTAIN}.
    */
   public CompletableFuture<ReturnOutcome> returnMachines(Collection<MachineId> machines) {
-    return send("POST", "/hosts/return", Cbor.encode(CloudMessages.returnRequest(machines)))
+    return send(
+            "POST", CloudMessages.RETURN_PATH, Cbor.encode(CloudMessages.returnRequest(machines)))
         .handle(
             (response, failure) -> {
               if (failure != null) {
@@ -179,7 +188,7 @@
         .thenApply(
             response -> {
               if (!response.isOk()) {
-                throw new IllegalStateException("the cloud answered " + response.status());
+                throw RequestRejectedException.answered(Receiver.CLOUD, response.status());
               }
               return response;
             });
