--- a/src/test/java/io/violetrail/simulation/SilentMachineTest.java
+++ b/src/test/java/io/violetrail/simulation/SilentMachineTest.java
@@ -19,17 +19,19 @@
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     FakeWorker worker = awaitRunning("job-1/0");
-    worker.durationSecondsByTask.put("job-1/0", 100.0);
+    worker.durationSecondsByTask().put("job-1/0", 100.0);
     final double partitionedAtSeconds = simulation.nowSeconds();
-    simulation.networkFaults.partitionHost(worker.id);
+    simulation.networkFaults().partitionHost(worker.id());
     simulation.runFor(9);
-    assertEquals(List.of(worker), simulation.cloud.workersRunning("job-1/0"));
+    assertEquals(List.of(worker), simulation.cloud().workersRunning("job-1/0"));
     simulation.runUntil(
         60,
         () ->
-            simulation.cloud.workersRunning("job-1/0").stream().anyMatch(other -> other != worker));
+            simulation.cloud().workersRunning("job-1/0").stream()
+                .anyMatch(other -> other != worker));
     assertTrue(
-        simulation.nowSeconds() - partitionedAtSeconds > simulation.workerSettings.leaseSeconds());
+        simulation.nowSeconds() - partitionedAtSeconds
+            > simulation.workerSettings().leaseSeconds());
   }
 
   @Test
@@ -38,14 +40,15 @@
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     FakeWorker worker = awaitRunning("job-1/0");
-    simulation.networkFaults.holdMessages(m -> m.startsWith(worker.id + " "));
+    simulation.networkFaults().holdMessages(m -> m.startsWith(worker.id() + " "));
     simulation.runFor(14);
     simulation.runUntil(
         40,
         () ->
-            simulation.cloud.workersRunning("job-1/0").stream().anyMatch(other -> other != worker));
-    assertTrue(simulation.networkFaults.heldMessageCount() > 0);
-    simulation.networkFaults.releaseHeldMessages();
+            simulation.cloud().workersRunning("job-1/0").stream()
+                .anyMatch(other -> other != worker));
+    assertTrue(simulation.networkFaults().heldMessageCount() > 0);
+    simulation.networkFaults().releaseHeldMessages();
     simulation.runUntil(80, () -> user.pollStatus("c0", "job-1").equals("done"));
   }
 
@@ -54,13 +57,13 @@
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     FakeWorker worker = awaitRunning("job-1/0");
-    simulation.networkFaults.partitionHost(worker.id);
-    simulation.cloud.unavailable = true;
+    simulation.networkFaults().partitionHost(worker.id());
+    simulation.cloud().setUnavailable(true);
     simulation.killController("c0");
     simulation.runFor(8);
-    assertEquals(List.of(worker), simulation.cloud.workersRunning("job-1/0"));
-    simulation.cloud.unavailable = false;
-    simulation.networkFaults.healHost(worker.id);
+    assertEquals(List.of(worker), simulation.cloud().workersRunning("job-1/0"));
+    simulation.cloud().setUnavailable(false);
+    simulation.networkFaults().healHost(worker.id());
     simulation.runUntil(90, () -> user.pollStatus("c1", "job-1").equals("done"));
   }
 }
--- a/src/test/java/io/violetrail/simulation/SimulationTestBase.java
+++ b/src/test/java/io/violetrail/simulation/SimulationTestBase.java
@@ -40,16 +40,16 @@
 
   @AfterEach
   protected void assertNoViolations() {
-    assertEquals(List.of(), simulation.violations);
+    assertEquals(List.of(), simulation.violations());
   }
 
   protected FakeWorker awaitRunning(String task) {
-    simulation.runUntil(60, () -> simulation.cloud.workersRunning(task).size() == 1);
-    return simulation.cloud.workersRunning(task).get(0);
+    simulation.runUntil(60, () -> simulation.cloud().workersRunning(task).size() == 1);
+    return simulation.cloud().workersRunning(task).get(0);
   }
 
   protected long versionOf(String entity) {
-    return simulation.stateService.findValue("c/entity/" + entity).get("version").asLong();
+    return simulation.stateService().findValue("c/entity/" + entity).get("version").asLong();
   }
 
   /** The number of the controller that owns the entity, which its version ends with. */
@@ -59,11 +59,13 @@
 
   /** How many tasks the workers that are still there have started. */
   protected int launchCount() {
-    return simulation.cloud.workers.values().stream().mapToInt(worker -> worker.launchCount).sum();
+    return simulation.cloud().workers().values().stream()
+        .mapToInt(worker -> worker.launchCount())
+        .sum();
   }
 
   protected int rentedMachineCount() {
-    return simulation.cloud.machinesByRequest.values().stream().mapToInt(List::size).sum();
+    return simulation.cloud().machinesByRequest().values().stream().mapToInt(List::size).sum();
   }
 
   /** So many jobs of so many tasks, each taken in by one controller after the other. */
@@ -87,7 +89,7 @@
 
   protected void startStoppedControllers() {
     for (int i = 0; i < 3; i++) {
-      if (!simulation.controllers.containsKey(ClusterSimulation.controllerName(i))) {
+      if (!simulation.controllers().containsKey(ClusterSimulation.controllerName(i))) {
         simulation.startController(ClusterSimulation.controllerName(i));
       }
     }
--- a/src/test/java/io/violetrail/simulation/StateServiceLoadTest.java
+++ b/src/test/java/io/violetrail/simulation/StateServiceLoadTest.java
@@ -21,10 +21,10 @@
   @Test
   void tinyJobsCostFewWritesEach() {
     // Recorded: with four writes a job, most submissions of such a day were turned away.
-    simulation.stateLimits = new StateStoreLimits(200, 25, 8192, 12);
+    simulation.setStateLimits(new StateStoreLimits(200, 25, 8192, 12));
     simulation.startAllControllers();
     List<Integer> statuses = new ArrayList<>();
-    final int countBefore = simulation.stateService.writeCount;
+    final int countBefore = simulation.stateService().writeCount();
     for (int i = 0; i < 240; i++) {
       ObjectNode job = SimulatedUser.jobRequest("job-" + i, 1).put("cores", 0.1);
       int number = i;
@@ -44,7 +44,7 @@
     assertEquals(240, statuses.size());
     assertTrue(statuses.stream().allMatch(s -> s == 201), statuses.toString());
     assertEquals("done", user.pollStatus("c1", "job-239"));
-    int writeCount = simulation.stateService.writeCount - countBefore;
+    int writeCount = simulation.stateService().writeCount() - countBefore;
     assertTrue(writeCount < 2.5 * 240, "writes " + writeCount);
   }
 
@@ -53,11 +53,13 @@
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1).put("guess_s", 300.0));
     int[] messageCount = new int[1];
-    simulation.networkFaults.holdMessages(
-        m -> {
-          messageCount[0] += m.contains("/peer") || m.contains("/keys/") ? 1 : 0;
-          return false;
-        });
+    simulation
+        .networkFaults()
+        .holdMessages(
+            m -> {
+              messageCount[0] += m.contains("/peer") || m.contains("/keys/") ? 1 : 0;
+              return false;
+            });
     List<Integer> statuses = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
       simulation
@@ -72,7 +74,7 @@
 
   @Test
   void queriesForUnknownJobsDoNotStarveSubmissions() {
-    simulation.stateLimits = new StateStoreLimits(60, 25, 8192, 12);
+    simulation.setStateLimits(new StateStoreLimits(60, 25, 8192, 12));
     simulation.startAllControllers();
     List<Integer> statuses = new ArrayList<>();
     for (int i = 0; i < 900; i++) {
@@ -104,8 +106,8 @@
   @Test
   void restartedControllerAnswersQueriesThroughItsPeers() {
     // With a read for each in the budget, 13,000 questions of a simulated day got 503.
-    simulation.stateLimits = new StateStoreLimits(60, 60, 8192, 12);
-    simulation.cloud.capacity = 0;
+    simulation.setStateLimits(new StateStoreLimits(60, 60, 8192, 12));
+    simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
     for (int i = 0; i < 120; i++) {
       user.submit("c0", SimulatedUser.jobRequest("job-" + i, 1));
@@ -114,7 +116,7 @@
     simulation.runFor(6);
     simulation.startController("c1");
     simulation.runUntil(
-        10, () -> simulation.controllers.get("c1").membership().findHomeEntity() != null);
+        10, () -> simulation.controllers().get("c1").membership().findHomeEntity() != null);
     simulation.runFor(1);
     List<Integer> statuses = new ArrayList<>();
     for (int i = 0; i < 120; i++) {
--- a/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
@@ -26,7 +26,7 @@
   }
 
   private void addTeam(String name, double cpuLimit) {
-    simulation.teams.put(name, new Team(name, 0, 0, cpuLimit, 0));
+    simulation.teams().put(name, new Team(name, 0, 0, cpuLimit, 0));
   }
 
   private static MachineType machineType(String name) {
@@ -65,7 +65,7 @@
     addTeam("blue", 12);
     addTeam("green", 9);
     simulation.startAllControllers();
-    simulation.cloud.taskDurationSeconds = 25;
+    simulation.cloud().setTaskDurationSeconds(25);
     for (int i = 0; i < 12; i++) {
       String team = i % 2 == 0 ? "blue" : "green";
       submitUntilAccepted(
@@ -74,10 +74,10 @@
     }
     simulation.runFor(12);
     for (int round = 0; round < 4; round++) {
-      simulation.cloud.unavailable = cloudAway && round < 3;
-      for (FakeWorker worker : List.copyOf(simulation.cloud.workers.values())) {
+      simulation.cloud().setUnavailable(cloudAway && round < 3);
+      for (FakeWorker worker : List.copyOf(simulation.cloud().workers().values())) {
         switch (random.nextInt(4)) {
-          case 0 -> simulation.networkFaults.partitionHost(worker.id);
+          case 0 -> simulation.networkFaults().partitionHost(worker.id());
           case 1 -> worker.hangFor(3 + 12 * random.nextDouble());
           default -> {
             // no other fault
@@ -93,16 +93,16 @@
       simulation.runFor(random.nextDouble());
       simulation.killController(leader);
       simulation.runFor(3 + 6 * random.nextDouble());
-      List.copyOf(simulation.cloud.workers.values())
-          .forEach(w -> simulation.networkFaults.healHost(w.id));
+      List.copyOf(simulation.cloud().workers().values())
+          .forEach(w -> simulation.networkFaults().healHost(w.id()));
       simulation.startController(leader);
       simulation.runFor(6 * random.nextDouble());
     }
-    simulation.checker.faultsEnded();
+    simulation.checker().faultsEnded();
     for (int i = 0; i < 12; i++) {
       awaitFinished(300, "job-" + i);
     }
-    assertEquals(List.of(), simulation.checker.findUnderservedGroups());
+    assertEquals(List.of(), simulation.checker().findUnderservedGroups());
   }
 
   @Test
@@ -110,23 +110,23 @@
     addTeam("blue", 12);
     simulation.startAllControllers();
     for (int i = 0; i < 4; i++) {
-      simulation.cloud.addRunningMachine("plain", "a");
+      simulation.cloud().addRunningMachine("plain", "a");
     }
     simulation.runFor(4);
     submitUntilAccepted("c0", blueTeamJob("job-1", 4, 1));
-    simulation.runUntil(20, () -> simulation.cloud.workersRunning("job-1/3").size() == 1);
-    FakeWorker worker = simulation.cloud.workersRunning("job-1/3").get(0);
-    worker.durationSecondsByTask.replaceAll((task, s) -> 500.0);
+    simulation.runUntil(20, () -> simulation.cloud().workersRunning("job-1/3").size() == 1);
+    FakeWorker worker = simulation.cloud().workersRunning("job-1/3").get(0);
+    worker.durationSecondsByTask().replaceAll((task, s) -> 500.0);
     simulation.runFor(2);
-    simulation.networkFaults.partitionHost(worker.id);
-    simulation.cloud.unavailable = true;
+    simulation.networkFaults().partitionHost(worker.id());
+    simulation.cloud().setUnavailable(true);
     simulation.killController("c0");
     simulation.runFor(8);
     submitUntilAccepted("c1", blueTeamJob("job-2", 4, 1));
     double submittedAtSeconds = simulation.nowSeconds();
-    simulation.runUntil(80, () -> simulation.cloud.workersRunning("job-2/3").size() == 1);
+    simulation.runUntil(80, () -> simulation.cloud().workersRunning("job-2/3").size() == 1);
     assertTrue(simulation.nowSeconds() - submittedAtSeconds < 60);
-    simulation.cloud.unavailable = false;
+    simulation.cloud().setUnavailable(false);
     simulation.startController("c0");
   }
 
@@ -136,10 +136,10 @@
   void taskLargerThanOneQuotaShareIsRun() {
     // Whole tasks alone were given, and none of the others' thirds held one.
     addTeam("blue", 24);
-    simulation.cloud.machineTypes.clear();
-    simulation.cloud.machineTypes.add(machineType("wide"));
+    simulation.cloud().machineTypes().clear();
+    simulation.cloud().machineTypes().add(machineType("wide"));
     simulation.startAllControllers();
-    simulation.checker.faultsEnded();
+    simulation.checker().faultsEnded();
     submitUntilAccepted("c0", blueTeamJob("job-1", 2, 10));
     awaitFinished(90, "job-1");
   }
@@ -150,7 +150,7 @@
     // What each entity kept beside whole tasks was missing.
     addTeam("blue", 24);
     simulation.startAllControllers();
-    simulation.checker.faultsEnded();
+    simulation.checker().faultsEnded();
     submitUntilAccepted("c1", blueTeamJob("job-1", tasks, cores).put("shape", "ensemble"));
     awaitFinished(120, "job-1");
   }
@@ -159,7 +159,7 @@
   void gangsNeedingTheWholeQuotaRunInTurn() {
     addTeam("blue", 24);
     simulation.startAllControllers();
-    simulation.checker.faultsEnded();
+    simulation.checker().faultsEnded();
     for (int i = 0; i < 3; i++) {
       byte[] job = Cbor.encode(blueTeamJob("job-" + i, 8, 3).put("shape", "ensemble"));
       String controller = ClusterSimulation.controllerName(i);
@@ -174,20 +174,20 @@
   @Test
   void unplaceableJobDoesNotBlockTheQuotaForOthers() {
     addTeam("blue", 24);
-    simulation.cloud.capacity = 2;
-    simulation.cloud.machineTypes.add(machineType("rare"));
-    simulation.cloud.soldOutTypes.add("rare");
+    simulation.cloud().setCapacity(2);
+    simulation.cloud().machineTypes().add(machineType("rare"));
+    simulation.cloud().soldOutTypes().add("rare");
     simulation.startAllControllers();
-    final FakeWorker machineInUse = simulation.cloud.addRunningMachine("plain", "a");
+    final FakeWorker machineInUse = simulation.cloud().addRunningMachine("plain", "a");
     simulation.runFor(8);
-    simulation.checker.faultsEnded();
+    simulation.checker().faultsEnded();
     // More urgent and older, but no machine of its type is to be had.
     ObjectNode unplaceableJob = blueTeamJob("job-1", 20, 1).put("urgency", "high");
     unplaceableJob.putArray("hosttypes").add("rare");
     submitUntilAccepted("c1", unplaceableJob);
     submitUntilAccepted("c0", blueTeamJob("job-2", 16, 1));
     awaitFinished(150, "job-2");
-    assertTrue(machineInUse.launchCount > 0);
+    assertTrue(machineInUse.launchCount() > 0);
     user.cancel("c1", "job-1");
   }
 
@@ -195,12 +195,12 @@
 
   @Test
   void jobRunsOnPeersPartlyUsedMachine() {
-    simulation.cloud.capacity = 1;
+    simulation.cloud().setCapacity(1);
     simulation.startAllControllers();
     submitUntilAccepted(
         "c0", SimulatedUser.jobRequest("job-1", 2).put("cores", 2.0).put("shape", "daemon"));
-    simulation.runUntil(30, () -> simulation.cloud.workersRunning("job-1/1").size() == 1);
-    simulation.checker.faultsEnded();
+    simulation.runUntil(30, () -> simulation.cloud().workersRunning("job-1/1").size() == 1);
+    simulation.checker().faultsEnded();
     submitUntilAccepted("c1", SimulatedUser.jobRequest("job-2", 1).put("cores", 4.0));
     awaitFinished(120, "job-2");
     simulation.runUntil(90, () -> user.pollStatus("c0", "job-1").equals("running"));
@@ -209,7 +209,7 @@
 
   @Test
   void gangRunsOnPeersPartlyUsedMachines() {
-    simulation.cloud.capacity = 4;
+    simulation.cloud().setCapacity(4);
     simulation.startAllControllers();
     for (int i = 0; i < 4; i++) {
       submitUntilAccepted(
@@ -222,7 +222,7 @@
     simulation.runUntil(40, () -> user.pollStatus("c1", "job-3").equals("running"));
     user.cancel("c1", "job-3");
     user.cancel("c1", "job-1");
-    simulation.checker.faultsEnded();
+    simulation.checker().faultsEnded();
     submitUntilAccepted(
         "c2",
         SimulatedUser.jobRequest("job-9", 4)
@@ -242,11 +242,11 @@
     resetSimulation(seed);
     Random random = new Random(seed);
     addTeam("blue", 20);
-    simulation.cloud.capacity = 6;
-    simulation.cloud.imageFetchSeconds = 4;
-    simulation.cloud.taskDurationSeconds = 12;
+    simulation.cloud().setCapacity(6);
+    simulation.cloud().setImageFetchSeconds(4);
+    simulation.cloud().setTaskDurationSeconds(12);
     simulation.startAllControllers();
-    simulation.stateService.replyDelaySeconds = 0.15;
+    simulation.stateService().setReplyDelaySeconds(0.15);
     List<ObjectNode> jobs = new ArrayList<>();
     for (int i = 0; i < 18; i++) {
       ObjectNode job =
@@ -255,11 +255,11 @@
       job.put("crew", random.nextBoolean() ? "blue" : "red");
       job.put("yard", List.of("a", "b").get(random.nextInt(2)));
       jobs.add(job);
-      List<String> running = List.copyOf(simulation.controllers.keySet());
+      List<String> running = List.copyOf(simulation.controllers().keySet());
       submitUntilAccepted(running.get(random.nextInt(running.size())), job);
-      if (i % 5 == 4 && !simulation.cloud.workers.isEmpty()) {
-        List<FakeWorker> workers = List.copyOf(simulation.cloud.workers.values());
-        simulation.networkFaults.partitionHost(workers.get(random.nextInt(workers.size())).id);
+      if (i % 5 == 4 && !simulation.cloud().workers().isEmpty()) {
+        List<FakeWorker> workers = List.copyOf(simulation.cloud().workers().values());
+        simulation.networkFaults().partitionHost(workers.get(random.nextInt(workers.size())).id());
       }
       if (i == 9) {
         simulation.killController("c1");
@@ -269,10 +269,10 @@
       simulation.runFor(2 * random.nextDouble());
     }
     simulation.runFor(20);
-    simulation.stateService.replyDelaySeconds = 0;
-    List.copyOf(simulation.cloud.workers.values())
-        .forEach(w -> simulation.networkFaults.healHost(w.id));
-    simulation.checker.faultsEnded();
+    simulation.stateService().setReplyDelaySeconds(0);
+    List.copyOf(simulation.cloud().workers().values())
+        .forEach(w -> simulation.networkFaults().healHost(w.id()));
+    simulation.checker().faultsEnded();
     simulation.runFor(300);
     List<String> unfinished = new ArrayList<>();
     for (int i = 0; i < 18; i++) {
--- a/src/test/java/io/violetrail/simulation/UncertainLeaseTest.java
+++ b/src/test/java/io/violetrail/simulation/UncertainLeaseTest.java
@@ -21,14 +21,14 @@
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     FakeWorker worker = awaitRunning("job-1/0");
-    simulation.stateService.setOutage(true);
+    simulation.stateService().setOutage(true);
     simulation.runFor(15);
     assertTrue(worker.runsTask("job-1/0"));
     int launchedBefore = launchCount();
     assertEquals(503, user.submit("c0", SimulatedUser.jobRequest("job-2", 1)));
     simulation.runFor(3);
     assertEquals(launchedBefore, launchCount());
-    simulation.stateService.setOutage(false);
+    simulation.stateService().setOutage(false);
     simulation.runUntil(60, () -> user.pollStatus("c0", "job-1").equals("done"));
   }
 
@@ -38,26 +38,28 @@
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     awaitRunning("job-1/0");
     // Cut off from the state service and its peers, but not from its workers.
-    simulation.stateService.refusedControllers.add("c0");
-    simulation.networkFaults.holdMessages(
-        m -> (m.startsWith("c0 c") && m.contains("/peer")) || m.contains(" c0 POST /peer"));
+    simulation.stateService().refusedControllers().add("c0");
+    simulation
+        .networkFaults()
+        .holdMessages(
+            m -> (m.startsWith("c0 c") && m.contains("/peer")) || m.contains(" c0 POST /peer"));
     simulation.runFor(45);
-    assertNull(simulation.controllers.get("c0").membership().findHomeEntity());
+    assertNull(simulation.controllers().get("c0").membership().findHomeEntity());
   }
 
   @Test
   void lateTransactionOfFormerOwnerIsFenced() {
     simulation.startAllControllers();
-    simulation.networkFaults.holdMessages(m -> m.startsWith("c0 state POST /txn"));
+    simulation.networkFaults().holdMessages(m -> m.startsWith("c0 state POST /txn"));
     simulation.callController(
         "user", "c0", "POST", "/work", Cbor.encode(SimulatedUser.jobRequest("job-1", 1)));
     simulation.runFor(1);
-    assertTrue(simulation.networkFaults.heldMessageCount() > 0);
+    assertTrue(simulation.networkFaults().heldMessageCount() > 0);
     simulation.killController("c0");
     simulation.runFor(8);
-    simulation.networkFaults.releaseHeldMessages();
+    simulation.networkFaults().releaseHeldMessages();
     simulation.runFor(1);
-    assertNull(simulation.stateService.findValue("job/job-1"));
+    assertNull(simulation.stateService().findValue("job/job-1"));
     assertEquals("404", user.pollStatus("c1", "job-1"));
   }
 
@@ -65,11 +67,11 @@
   void readinessSurvivesShortStateOutageAndEndsInLongOne() {
     simulation.startAllControllers();
     assertEquals(200, user.send("c0", "GET", "/ready", null).status());
-    simulation.stateService.setOutage(true);
+    simulation.stateService().setOutage(true);
     simulation.runFor(8);
     assertEquals(200, user.send("c0", "GET", "/ready", null).status());
     simulation.runFor(40);
     assertEquals(503, user.send("c0", "GET", "/ready", null).status());
-    assertEquals(new ControllerId("c0"), simulation.controllers.get("c0").settings().self());
+    assertEquals(new ControllerId("c0"), simulation.controllers().get("c0").settings().self());
   }
 }
--- a/src/test/java/io/violetrail/simulation/WorkerLeaseTest.java
+++ b/src/test/java/io/violetrail/simulation/WorkerLeaseTest.java
@@ -40,15 +40,15 @@
    */
   private List<FakeWorker> busyWorkersOfC0(MissingTokenBehavior tokenBehavior, long seed) {
     resetSimulation(seed);
-    simulation.missingTokenBehavior = tokenBehavior;
-    simulation.workerSettings = INCIDENT_SETTINGS;
-    simulation.cloud.taskDurationSeconds = LONG_TASK_SECONDS;
-    simulation.onWorkerCreated =
+    simulation.setMissingTokenBehavior(tokenBehavior);
+    simulation.setWorkerSettings(INCIDENT_SETTINGS);
+    simulation.cloud().setTaskDurationSeconds(LONG_TASK_SECONDS);
+    simulation.setOnWorkerCreated(
         worker -> {
           for (int i = 0; i < TASK_COUNT; i++) {
-            worker.durationSecondsByTask.put(SHORT_JOB + "/" + i, SHORT_TASK_SECONDS);
+            worker.durationSecondsByTask().put(SHORT_JOB + "/" + i, SHORT_TASK_SECONDS);
           }
-        };
+        });
     simulation.startAllControllers();
     user.submit(
         "c0", SimulatedUser.jobRequest(LONG_JOB, TASK_COUNT).put("guess_s", LONG_TASK_SECONDS));
@@ -56,14 +56,16 @@
         "c0", SimulatedUser.jobRequest(SHORT_JOB, TASK_COUNT).put("guess_s", SHORT_TASK_SECONDS));
     simulation.runUntil(60, () -> user.pollStatus("c0", SHORT_JOB).equals("done"));
     awaitRunning(LONG_JOB + "/" + (TASK_COUNT - 1));
-    return simulation.cloud.workers.values().stream().filter(w -> w.activeTaskCount() > 0).toList();
+    return simulation.cloud().workers().values().stream()
+        .filter(w -> w.activeTaskCount() > 0)
+        .toList();
   }
 
   private void assertTasksRestartOnlyAfterLeaseExpiry(
       MissingTokenBehavior tokenBehavior, long seed) {
     List<FakeWorker> partitionedWorkers = busyWorkersOfC0(tokenBehavior, seed).subList(0, 2);
-    simulation.networkFaults.cutLinks(partitionedWorkers, "c0");
-    simulation.runFor(4 * simulation.workerSettings.leaseSeconds());
+    simulation.networkFaults().cutLinks(partitionedWorkers, "c0");
+    simulation.runFor(4 * simulation.workerSettings().leaseSeconds());
     for (int i = 0; i < TASK_COUNT; i++) {
       assertFalse(partitionedWorkers.contains(awaitRunning(LONG_JOB + "/" + i)));
     }
@@ -97,13 +99,13 @@
     previousRelease.rewriteRowsToFirstVersions();
     previousRelease.startController("c1", "c0", partitionedWorkers);
     previousRelease.startController("c2", "c0", partitionedWorkers);
-    simulation.cloud.unavailable = true;
-    simulation.networkFaults.cutLinks(partitionedWorkers, "c0");
+    simulation.cloud().setUnavailable(true);
+    simulation.networkFaults().cutLinks(partitionedWorkers, "c0");
     simulation.runFor(1);
     simulation.startController("c0");
-    simulation.runFor(3 * simulation.workerSettings.leaseSeconds());
+    simulation.runFor(3 * simulation.workerSettings().leaseSeconds());
     assertTrue(
-        simulation.stateService.findValue("c/entity/c0").get("version").asLong()
+        simulation.stateService().findValue("c/entity/c0").get("version").asLong()
             >= Version.INCREMENT);
     assertTrue(
         partitionedWorkers.stream()
@@ -111,9 +113,9 @@
     for (String controller : List.of("c1", "c2")) {
       previousRelease.stopController(controller);
       simulation.startController(controller);
-      simulation.runFor(simulation.workerSettings.leaseSeconds());
+      simulation.runFor(simulation.workerSettings().leaseSeconds());
     }
-    simulation.runFor(2 * simulation.workerSettings.leaseSeconds());
+    simulation.runFor(2 * simulation.workerSettings().leaseSeconds());
     for (int i = 0; i < TASK_COUNT; i++) {
       assertFalse(partitionedWorkers.contains(awaitRunning(LONG_JOB + "/" + i)));
     }
@@ -127,7 +129,7 @@
     user.submit("c1", SimulatedUser.jobRequest(SHORT_JOB, 4));
     awaitRunning(SHORT_JOB + "/3");
     assertTrue(
-        simulation.stateService.findValue("c/entity/c1").get("version").asLong()
+        simulation.stateService().findValue("c/entity/c1").get("version").asLong()
             >= Version.INCREMENT);
     simulation.runUntil(60, () -> user.pollStatus("c1", SHORT_JOB).equals("done"));
   }
--- a/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
+++ b/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
@@ -17,10 +17,10 @@
   @Test
   void idleWorkersGetWorkBeforeTheirNextReport() {
     // A gang waited for the slowest of its machines' next reports.
-    simulation.cloud.capacity = 0;
+    simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
     for (int i = 0; i < 3; i++) {
-      simulation.cloud.addRunningMachine("plain", "a");
+      simulation.cloud().addRunningMachine("plain", "a");
     }
     simulation.runFor(8);
     user.submit(
@@ -35,9 +35,9 @@
 
   @Test
   void longPolledReportIsAnsweredWithinTheLease() {
-    simulation.cloud.capacity = 0;
+    simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
-    FakeWorker worker = simulation.cloud.addRunningMachine("plain", "a");
+    FakeWorker worker = simulation.cloud().addRunningMachine("plain", "a");
     simulation.runFor(60);
     assertEquals(0, worker.expiredLeaseCount(), "its lease never ended");
   }
@@ -49,15 +49,19 @@
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     simulation.runUntil(20, () -> launchCount() == 1);
     simulation.runFor(1);
-    FakeWorker worker = simulation.cloud.workersRunning("job-1/0").get(0);
-    simulation.networkFaults.holdMessages(m -> m.startsWith(worker.id + " "));
-    simulation.runUntil(60, () -> !simulation.cloud.workers.containsKey(worker.id));
+    FakeWorker worker = simulation.cloud().workersRunning("job-1/0").get(0);
+    simulation.networkFaults().holdMessages(m -> m.startsWith(worker.id() + " "));
+    simulation.runUntil(60, () -> !simulation.cloud().workers().containsKey(worker.id()));
     simulation.runFor(1);
-    simulation.networkFaults.releaseHeldMessages();
+    simulation.networkFaults().releaseHeldMessages();
     simulation.runFor(2);
     for (int i = 0; i < 3; i++) {
       assertTrue(
-          simulation.controllers.get("c" + i).directory().findMachineRow(new MachineId(worker.id))
+          simulation
+                  .controllers()
+                  .get("c" + i)
+                  .directory()
+                  .findMachineRow(new MachineId(worker.id()))
               == null);
     }
   }
--- a/src/test/java/io/violetrail/simulation/digest/Flavour.java
+++ b/src/test/java/io/violetrail/simulation/digest/Flavour.java
@@ -19,8 +19,8 @@
   /** Sets a simulation up, before any of its controllers starts. */
   void prepare(ClusterSimulation simulation) {
     switch (this) {
-      case CALENDAR -> simulation.schedulesEnabled = true;
-      case KUBERNETES -> simulation.kubernetesEnabled = true;
+      case CALENDAR -> simulation.setSchedulesEnabled(true);
+      case KUBERNETES -> simulation.setKubernetesEnabled(true);
       case CONFIGURATION -> serveConfiguration(simulation);
       default -> {
         // The scheduler alone.
@@ -40,7 +40,7 @@
 
   private static void serveConfiguration(ClusterSimulation simulation) {
     Options standard = Options.DEFAULTS;
-    simulation.options =
+    simulation.setOptions(
         new Options(
             null,
             standard.maxIdleSeconds(),
@@ -48,9 +48,9 @@
             null,
             null,
             false,
-            true);
+            true));
     // The limits change while the day is played, so the checker knows none.
     double unlimited = Double.POSITIVE_INFINITY;
-    simulation.teamLimit = team -> new Team(team, 0, 0, unlimited, unlimited);
+    simulation.setTeamLimit(team -> new Team(team, 0, 0, unlimited, unlimited));
   }
 }
--- a/src/test/java/io/violetrail/simulation/digest/InjectedFault.java
+++ b/src/test/java/io/violetrail/simulation/digest/InjectedFault.java
@@ -80,7 +80,7 @@
   }
 
   private static List<FakeWorker> workers(ClusterSimulation simulation) {
-    return List.copyOf(simulation.cloud.workers.values());
+    return List.copyOf(simulation.cloud().workers().values());
   }
 
   /** Up to so many different workers. */
@@ -104,7 +104,7 @@
     for (int i = 0; i < count; i++) {
       String controller =
           ClusterSimulation.controllerName((first + i) % simulation.controllerCount());
-      if (simulation.controllers.containsKey(controller)) {
+      if (simulation.controllers().containsKey(controller)) {
         simulation.killController(controller);
         killed.add(controller);
       }
@@ -118,85 +118,93 @@
   }
 
   private static Runnable isolate(ClusterSimulation simulation, Random random) {
-    simulation.networkFaults.isolateFromStateAndPeers(anyController(simulation, random));
-    return simulation.networkFaults::healLinks;
+    simulation.networkFaults().isolateFromStateAndPeers(anyController(simulation, random));
+    return simulation.networkFaults()::healLinks;
   }
 
   private static Runnable partitionFromPeers(ClusterSimulation simulation, Random random) {
     String controller = anyController(simulation, random);
     Predicate<String> toPeer = message -> message.endsWith(" POST /peer");
-    simulation.networkFaults.refuseConnections(
-        message -> {
-          String[] part = message.split(" ", 0);
-          return toPeer.test(message) && (part[0].equals(controller) || part[1].equals(controller));
-        });
-    return () -> simulation.networkFaults.refuseConnections(message -> false);
+    simulation
+        .networkFaults()
+        .refuseConnections(
+            message -> {
+              String[] part = message.split(" ", 0);
+              return toPeer.test(message)
+                  && (part[0].equals(controller) || part[1].equals(controller));
+            });
+    return () -> simulation.networkFaults().refuseConnections(message -> false);
   }
 
   private static Runnable partitionFromWorkers(ClusterSimulation simulation, Random random) {
     String controller = anyController(simulation, random);
-    simulation.networkFaults.holdMessages(
-        message ->
-            (message.startsWith("vm-") && message.contains(" " + controller + HEARTBEAT))
-                || message.startsWith(controller + " vm-"));
-    return simulation.networkFaults::releaseHeldMessages;
+    simulation
+        .networkFaults()
+        .holdMessages(
+            message ->
+                (message.startsWith("vm-") && message.contains(" " + controller + HEARTBEAT))
+                    || message.startsWith(controller + " vm-"));
+    return simulation.networkFaults()::releaseHeldMessages;
   }
 
   private static Runnable partitionFromHalfTheWorkers(ClusterSimulation simulation, Random random) {
     List<FakeWorker> half = someWorkers(simulation, random, workers(simulation).size() / 2);
-    simulation.networkFaults.cutLinks(half, anyController(simulation, random));
-    return simulation.networkFaults::healLinks;
+    simulation.networkFaults().cutLinks(half, anyController(simulation, random));
+    return simulation.networkFaults()::healLinks;
   }
 
   private static Runnable partitionZone(ClusterSimulation simulation, Random random) {
     Set<String> inside =
         workers(simulation).stream()
             .filter(worker -> worker.zone().equals("a"))
-            .map(worker -> worker.id)
+            .map(worker -> worker.id())
             .collect(Collectors.toSet());
     inside.add(anyController(simulation, random));
-    simulation.networkFaults.holdMessages(
-        message -> {
-          String[] part = message.split(" ", 0);
-          return inside.contains(part[0]) != inside.contains(part[1]) && !part[0].equals("user");
-        });
-    return simulation.networkFaults::releaseHeldMessages;
+    simulation
+        .networkFaults()
+        .holdMessages(
+            message -> {
+              String[] part = message.split(" ", 0);
+              return inside.contains(part[0]) != inside.contains(part[1])
+                  && !part[0].equals("user");
+            });
+    return simulation.networkFaults()::releaseHeldMessages;
   }
 
   private static Runnable stateOutage(ClusterSimulation simulation, Random random) {
-    simulation.stateService.setOutage(true);
-    return () -> simulation.stateService.setOutage(false);
+    simulation.stateService().setOutage(true);
+    return () -> simulation.stateService().setOutage(false);
   }
 
   private static Runnable stateRefusesOne(ClusterSimulation simulation, Random random) {
-    simulation.stateService.refusedControllers.add(anyController(simulation, random));
-    return simulation.stateService.refusedControllers::clear;
+    simulation.stateService().refusedControllers().add(anyController(simulation, random));
+    return simulation.stateService().refusedControllers()::clear;
   }
 
   private static Runnable stateSlow(ClusterSimulation simulation, Random random) {
-    simulation.stateService.replyDelaySeconds = 0.1 + 0.3 * random.nextDouble();
-    return () -> simulation.stateService.replyDelaySeconds = 0;
+    simulation.stateService().setReplyDelaySeconds(0.1 + 0.3 * random.nextDouble());
+    return () -> simulation.stateService().setReplyDelaySeconds(0);
   }
 
   private static Runnable stateWritesLate(ClusterSimulation simulation, Random random) {
-    simulation.stateService.lateTransactionShare.put(anyController(simulation, random), 0.4);
-    return simulation.stateService.lateTransactionShare::clear;
+    simulation.stateService().lateTransactionShare().put(anyController(simulation, random), 0.4);
+    return simulation.stateService().lateTransactionShare()::clear;
   }
 
   private static Runnable stateAcknowledgementsLost(ClusterSimulation simulation, Random random) {
-    simulation.stateService.lostReplyShare.put(anyController(simulation, random), 0.4);
-    return simulation.stateService.lostReplyShare::clear;
+    simulation.stateService().lostReplyShare().put(anyController(simulation, random), 0.4);
+    return simulation.stateService().lostReplyShare()::clear;
   }
 
   private static Runnable cloudOutage(ClusterSimulation simulation, Random random) {
-    simulation.cloud.unavailable = true;
-    return () -> simulation.cloud.unavailable = false;
+    simulation.cloud().setUnavailable(true);
+    return () -> simulation.cloud().setUnavailable(false);
   }
 
   private static Runnable reclaimSpot(ClusterSimulation simulation, Random random) {
     for (FakeWorker worker : workers(simulation)) {
       if (worker.isSpot() && random.nextBoolean()) {
-        worker.preemptionNoticeSeconds = RECLAIM_NOTICE_SECONDS;
+        worker.setPreemptionNoticeSeconds(RECLAIM_NOTICE_SECONDS);
         simulation.runAfter(RECLAIM_NOTICE_SECONDS, () -> destroy(simulation, worker));
       }
     }
@@ -209,20 +217,20 @@
   }
 
   private static void destroy(ClusterSimulation simulation, FakeWorker worker) {
-    simulation.cloud.workers.remove(worker.id);
+    simulation.cloud().workers().remove(worker.id());
     worker.destroy();
   }
 
   private static Runnable partitionWorkers(ClusterSimulation simulation, Random random) {
     List<FakeWorker> partitioned = someWorkers(simulation, random, 1 + random.nextInt(3));
-    partitioned.forEach(worker -> simulation.networkFaults.partitionHost(worker.id));
-    return () -> partitioned.forEach(worker -> simulation.networkFaults.healHost(worker.id));
+    partitioned.forEach(worker -> simulation.networkFaults().partitionHost(worker.id()));
+    return () -> partitioned.forEach(worker -> simulation.networkFaults().healHost(worker.id()));
   }
 
   private static Runnable partitionTowardsWorker(ClusterSimulation simulation, Random random) {
     List<FakeWorker> partitioned = someWorkers(simulation, random, 1);
-    partitioned.forEach(worker -> worker.inboundCut = true);
-    return () -> partitioned.forEach(worker -> worker.inboundCut = false);
+    partitioned.forEach(worker -> worker.setInboundCut(true));
+    return () -> partitioned.forEach(worker -> worker.setInboundCut(false));
   }
 
   private static Runnable hang(ClusterSimulation simulation, Random random) {
@@ -233,8 +241,8 @@
 
   private static Runnable makeFaulty(ClusterSimulation simulation, Random random) {
     List<FakeWorker> faulty = someWorkers(simulation, random, 1);
-    faulty.forEach(worker -> worker.failsEveryTask = true);
-    return () -> faulty.forEach(worker -> worker.failsEveryTask = false);
+    faulty.forEach(worker -> worker.setFailsEveryTask(true));
+    return () -> faulty.forEach(worker -> worker.setFailsEveryTask(false));
   }
 
   private static Runnable repeatHeartbeats(ClusterSimulation simulation, Random random) {
@@ -257,15 +265,17 @@
   private static Runnable delayHeartbeats(ClusterSimulation simulation, Random random) {
     Set<String> delayed =
         someWorkers(simulation, random, 3).stream()
-            .map(worker -> worker.id)
+            .map(worker -> worker.id())
             .collect(Collectors.toSet());
-    simulation.networkFaults.holdMessages(
-        message -> message.contains(HEARTBEAT) && delayed.contains(message.split(" ", 0)[0]));
-    return simulation.networkFaults::releaseHeldMessages;
+    simulation
+        .networkFaults()
+        .holdMessages(
+            message -> message.contains(HEARTBEAT) && delayed.contains(message.split(" ", 0)[0]));
+    return simulation.networkFaults()::releaseHeldMessages;
   }
 
   private static Runnable delayCommands(ClusterSimulation simulation, Random random) {
-    simulation.networkFaults.holdMessages(message -> message.contains(" POST /orders"));
-    return simulation.networkFaults::releaseHeldMessages;
+    simulation.networkFaults().holdMessages(message -> message.contains(" POST /orders"));
+    return simulation.networkFaults()::releaseHeldMessages;
   }
 }
--- a/src/test/java/io/violetrail/simulation/digest/KubernetesClient.java
+++ b/src/test/java/io/violetrail/simulation/digest/KubernetesClient.java
@@ -112,7 +112,7 @@
   }
 
   private String anyRunningController() {
-    List<String> running = List.copyOf(cluster.controllers.keySet());
+    List<String> running = List.copyOf(cluster.controllers().keySet());
     return running.isEmpty() ? null : running.get(random.nextInt(running.size()));
   }
 
--- a/src/test/java/io/violetrail/simulation/digest/ObservedEvents.java
+++ b/src/test/java/io/violetrail/simulation/digest/ObservedEvents.java
@@ -35,13 +35,13 @@
     for (int i = 0; i < cluster.controllerCount(); i++) {
       lookAtEntity(ClusterSimulation.controllerName(i), i);
     }
-    new TreeSet<>(cluster.stateService.keysWithPrefix(QUOTA)).forEach(this::lookAtQuota);
-    new TreeSet<>(cluster.stateService.keysWithPrefix(MACHINE_BLOCK)).forEach(this::lookAtBlock);
-    new TreeSet<>(cluster.stateService.keysWithPrefix(MACHINE)).forEach(this::lookAtMachine);
+    new TreeSet<>(cluster.stateService().keysWithPrefix(QUOTA)).forEach(this::lookAtQuota);
+    new TreeSet<>(cluster.stateService().keysWithPrefix(MACHINE_BLOCK)).forEach(this::lookAtBlock);
+    new TreeSet<>(cluster.stateService().keysWithPrefix(MACHINE)).forEach(this::lookAtMachine);
   }
 
   private void lookAtEntity(String entity, int ownController) {
-    JsonNode row = cluster.stateService.findValue(ENTITY + entity);
+    JsonNode row = cluster.stateService().findValue(ENTITY + entity);
     if (row == null) {
       return;
     }
@@ -54,7 +54,7 @@
   }
 
   private void lookAtQuota(String key) {
-    JsonNode row = cluster.stateService.findValue(key);
+    JsonNode row = cluster.stateService().findValue(key);
     JsonNode former = quotas.put(key, row);
     quotaTransfers += former != null && !former.equals(row) ? 1 : 0;
   }
@@ -62,14 +62,14 @@
   private void lookAtBlock(String key) {
     String entity = key.substring(MACHINE_BLOCK.length(), key.lastIndexOf('/'));
     cluster
-        .stateService
+        .stateService()
         .findValue(key)
         .fieldNames()
         .forEachRemaining(machine -> belongs(machine, entity));
   }
 
   private void lookAtMachine(String key) {
-    String entity = cluster.stateService.findValue(key).path("entity").asText();
+    String entity = cluster.stateService().findValue(key).path("entity").asText();
     belongs(key.substring(MACHINE.length()), entity);
   }
 
--- a/src/test/java/io/violetrail/simulation/digest/SimulatedDay.java
+++ b/src/test/java/io/violetrail/simulation/digest/SimulatedDay.java
@@ -42,7 +42,7 @@
     random = new Random(seed * 7919 + 1);
     cluster = new ClusterSimulation(3, seed);
     digester = new MessageDigester(cluster);
-    cluster.onMessage = digester;
+    cluster.setOnMessage(digester);
     flavour = Flavour.of(seed);
     flavour.prepare(cluster);
     workload = new Workload(cluster, random);
@@ -67,15 +67,19 @@
 
   private void deploy() {
     double unlimited = Double.POSITIVE_INFINITY;
-    cluster.teams.put("blue", new Team("blue", 0, 0, 12 + random.nextInt(12), unlimited));
-    cluster.teams.put("gold", new Team("gold", 16 + random.nextInt(16), 0, unlimited, unlimited));
-    cluster.cloud.machineTypes.add(
-        new MachineType("wide", new Resources(16, 0, 64), 50, 1, 1.9, 0.5, 4, List.of("a", "b")));
-    cluster.cloud.capacity = 4 + random.nextInt(9);
-    cluster.cloud.taskDurationSeconds = 6 + random.nextInt(20);
-    cluster.cloud.imageFetchSeconds = random.nextInt(3);
-    cluster.cloud.rentalReplyDelaySeconds = random.nextInt(2);
-    cluster.reportsOnChange = random.nextBoolean();
+    cluster.teams().put("blue", new Team("blue", 0, 0, 12 + random.nextInt(12), unlimited));
+    cluster.teams().put("gold", new Team("gold", 16 + random.nextInt(16), 0, unlimited, unlimited));
+    cluster
+        .cloud()
+        .machineTypes()
+        .add(
+            new MachineType(
+                "wide", new Resources(16, 0, 64), 50, 1, 1.9, 0.5, 4, List.of("a", "b")));
+    cluster.cloud().setCapacity(4 + random.nextInt(9));
+    cluster.cloud().setTaskDurationSeconds(6 + random.nextInt(20));
+    cluster.cloud().setImageFetchSeconds(random.nextInt(3));
+    cluster.cloud().setRentalReplyDelaySeconds(random.nextInt(2));
+    cluster.setReportsOnChange(random.nextBoolean());
     cluster.startAllControllers();
   }
 
@@ -114,7 +118,7 @@
     workload.askAboutAll();
     cluster.runFor(10);
     client.end();
-    cluster.launches.forEach(digester::add);
+    cluster.launches().forEach(digester::add);
   }
 
   private void quietSeconds() {
@@ -126,14 +130,14 @@
 
   private String line() {
     String brokenRules =
-        cluster.violations.isEmpty() ? "" : " BROKEN-RULES=" + cluster.violations.size();
+        cluster.violations().isEmpty() ? "" : " BROKEN-RULES=" + cluster.violations().size();
     return "%3d %-13s faults=%d %s launches=%d%s messages=%d %s"
         .formatted(
             seed,
             flavour.name().toLowerCase(Locale.ROOT),
             injected.size(),
             observed.summary(),
-            cluster.launches.size(),
+            cluster.launches().size(),
             brokenRules,
             digester.messages(),
             digester.hex());
@@ -146,6 +150,6 @@
 
   /** The rules that were broken, as the checker tells of them. */
   List<String> brokenRules() {
-    return cluster.violations;
+    return cluster.violations();
   }
 }
--- a/src/test/java/io/violetrail/tools/ControllerCostBenchmark.java
+++ b/src/test/java/io/violetrail/tools/ControllerCostBenchmark.java
@@ -24,21 +24,21 @@
 
   private static void measure(int machineCount, boolean print) {
     ClusterSimulation simulation = new ClusterSimulation(3, 11);
-    simulation.stateLimits = new StateStoreLimits(1000, 400, 8192, 24);
-    simulation.cloud.capacity = machineCount;
-    simulation.cloud.taskDurationSeconds = 40;
+    simulation.setStateLimits(new StateStoreLimits(1000, 400, 8192, 24));
+    simulation.cloud().setCapacity(machineCount);
+    simulation.cloud().setTaskDurationSeconds(40);
     simulation.startAllControllers();
     for (int i = 0; i < machineCount; i++) {
-      simulation.cloud.addRunningMachine("plain", i % 2 == 0 ? "a" : "b");
+      simulation.cloud().addRunningMachine("plain", i % 2 == 0 ? "a" : "b");
     }
     simulation.runFor(20);
     simulation.killController("c0");
     simulation.killController("c1");
     simulation.runFor(25);
-    var controller = simulation.controllers.get("c2");
+    var controller = simulation.controllers().get("c2");
     long examinedBefore = controller.machinesExamined();
-    int launchesBefore = simulation.launches.size();
-    int writesBefore = simulation.stateService.writeCount;
+    int launchesBefore = simulation.launches().size();
+    int writesBefore = simulation.stateService().writeCount();
     double controllerCpuBefore = simulation.controllerCpuSeconds("c2");
     long startedAtNanos = System.nanoTime();
     int jobCount = 0;
@@ -57,8 +57,8 @@
     double totalSeconds = (System.nanoTime() - startedAtNanos) / 1e9;
     double controllerCpuSeconds = simulation.controllerCpuSeconds("c2") - controllerCpuBefore;
     double reportCount =
-        MEASURED_SECONDS * machineCount / simulation.workerSettings.heartbeatIntervalSeconds();
-    int placedCount = simulation.launches.size() - launchesBefore;
+        MEASURED_SECONDS * machineCount / simulation.workerSettings().heartbeatIntervalSeconds();
+    int placedCount = simulation.launches().size() - launchesBefore;
     if (print) {
       System.out.printf(
           "%d machines: %.0f us a report (and %.0f us of the fakes), %.1f machines looked at a"
@@ -68,7 +68,7 @@
           1e6 * (totalSeconds - controllerCpuSeconds) / reportCount,
           (controller.machinesExamined() - examinedBefore) / (double) Math.max(1, placedCount),
           placedCount,
-          (simulation.stateService.writeCount - writesBefore) / (double) jobCount,
+          (simulation.stateService().writeCount() - writesBefore) / (double) jobCount,
           machineCount);
     }
   }
--- a/src/test/java/io/violetrail/tools/StandaloneFakes.java
+++ b/src/test/java/io/violetrail/tools/StandaloneFakes.java
@@ -27,7 +27,7 @@
     this.firstPort = firstPort;
     this.controllerCount = controllerCount;
     this.simulation = new ClusterSimulation(controllerCount, System.nanoTime());
-    this.simulation.cloud.taskDurationSeconds = taskDurationSeconds;
+    this.simulation.cloud().setTaskDurationSeconds(taskDurationSeconds);
   }
 
   /** Arguments: directory for the settings files, first port, controllers, seconds a task runs. */
@@ -77,18 +77,18 @@
   private void start() throws IOException {
     RealTimeSimulation realTimeSimulation = new RealTimeSimulation(simulation);
     UndertowHttpClient http = realTimeSimulation.newHttp();
-    simulation.externalControllers =
+    simulation.setExternalControllers(
         (from, controller, method, path, body) ->
             http.call(
                 apiAddress(Integer.parseInt(controller.substring(1))),
                 method,
                 path,
                 body,
-                REQUEST_TIMEOUT_SECONDS);
+                REQUEST_TIMEOUT_SECONDS));
     realTimeSimulation.start();
     realTimeSimulation.serve(
-        firstPort, RealTimeSimulation.withCaller("process", simulation.stateService));
+        firstPort, RealTimeSimulation.withCaller("process", simulation.stateService()));
     realTimeSimulation.serve(
-        firstPort + 1, RealTimeSimulation.withCaller("process", simulation.cloud));
+        firstPort + 1, RealTimeSimulation.withCaller("process", simulation.cloud()));
   }
 }
--- a/src/test/java/io/violetrail/tools/scale/ConfigurationLoad.java
+++ b/src/test/java/io/violetrail/tools/scale/ConfigurationLoad.java
@@ -45,8 +45,8 @@
     this.simulation = simulation;
     this.random = new Random(seed);
     this.intervalSeconds = intervalSeconds;
-    this.teams = new LinkedHashMap<>(simulation.teams);
-    this.objectives = simulation.objectives;
+    this.teams = new LinkedHashMap<>(simulation.teams());
+    this.objectives = simulation.objectives();
   }
 
   void start(double durationSeconds) {
--- a/src/test/java/io/violetrail/tools/scale/DeploymentSetup.java
+++ b/src/test/java/io/violetrail/tools/scale/DeploymentSetup.java
@@ -46,17 +46,17 @@
       LoadShape shape,
       StateStoreLimits stateLimits,
       double reportIntervalSeconds) {
-    simulation.stateLimits = stateLimits;
-    simulation.stateService.enforcesLimits = true;
-    simulation.workerSettings =
+    simulation.setStateLimits(stateLimits);
+    simulation.stateService().setEnforcesLimits(true);
+    simulation.setWorkerSettings(
         new WorkerTiming(
             reportIntervalSeconds,
             LEASE_BASE_SECONDS + reportIntervalSeconds,
             GANG_WAIT_SECONDS,
             GANG_PEER_SECONDS,
-            CANCEL_BASE_SECONDS + reportIntervalSeconds);
+            CANCEL_BASE_SECONDS + reportIntervalSeconds));
     // The fleet keeps its size: no machine is returned for being idle.
-    simulation.options =
+    simulation.setOptions(
         new Options(
             null,
             NEVER_IDLE_SECONDS,
@@ -64,48 +64,56 @@
             null,
             null,
             false,
-            false);
-    simulation.reportsOnChange = true;
-    simulation.recordsLaunches = false;
-    simulation.cloud.recordsReports = false;
-    simulation.cloud.pageSize = 500;
-    simulation.cloud.capacity = shape.workers();
-    simulation.cloud.taskDurationSeconds = shape.taskDurationSeconds();
-    simulation.taskDurationSeconds =
-        averageSeconds -> averageSeconds * (0.5 + simulation.random.nextDouble());
-    simulation.objectives =
-        List.of(new Objective("wait", JobMix.URGENT_CLASS, URGENT_START_SECONDS, 0.9, 1));
+            false));
+    simulation.setReportsOnChange(true);
+    simulation.setRecordsLaunches(false);
+    simulation.cloud().setRecordsReports(false);
+    simulation.cloud().setPageSize(500);
+    simulation.cloud().setCapacity(shape.workers());
+    simulation.cloud().setTaskDurationSeconds(shape.taskDurationSeconds());
+    simulation.setTaskDurationSeconds(
+        averageSeconds -> averageSeconds * (0.5 + simulation.random().nextDouble()));
+    simulation.setObjectives(
+        List.of(new Objective("wait", JobMix.URGENT_CLASS, URGENT_START_SECONDS, 0.9, 1)));
     List<String> zones = IntStream.range(0, LoadShape.ZONES).mapToObj(LoadShape::zoneName).toList();
-    simulation.cloud.machineTypes.clear();
-    simulation.cloud.machineTypes.add(
-        new MachineType(
-            GENERAL_TYPE, new Resources(GENERAL_CPUS, 0, 64), 50, 1, 2, 0.5, 30, zones));
-    simulation.cloud.machineTypes.add(
-        new MachineType(ACCELERATED_TYPE, new Resources(48, 8, 384), 100, 1, 24, 5, 45, zones));
-    simulation.teams.clear();
+    simulation.cloud().machineTypes().clear();
+    simulation
+        .cloud()
+        .machineTypes()
+        .add(
+            new MachineType(
+                GENERAL_TYPE, new Resources(GENERAL_CPUS, 0, 64), 50, 1, 2, 0.5, 30, zones));
+    simulation
+        .cloud()
+        .machineTypes()
+        .add(
+            new MachineType(ACCELERATED_TYPE, new Resources(48, 8, 384), 100, 1, 24, 5, 45, zones));
+    simulation.teams().clear();
     double fleetCpus = shape.workers() * GENERAL_CPUS;
     for (int i = 0; i < shape.teams(); i++) {
       String name = JobMix.teamName(i);
       double evenShare = fleetCpus / shape.teams();
       double limit =
           Math.min(fleetCpus, Math.max(shape.gangWidth() * 2.0, LIMIT_TO_EVEN_SHARE * evenShare));
-      simulation.teams.put(name, new Team(name, evenShare, 0, limit, shape.workers()));
+      simulation.teams().put(name, new Team(name, evenShare, 0, limit, shape.workers()));
     }
     HostZones hostZones = new HostZones(simulation);
-    simulation.oneWayDelaySeconds =
+    simulation.setOneWayDelaySeconds(
         (from, to) ->
             hostZones.regionOf(from).equals(hostZones.regionOf(to))
                 ? SAME_REGION_DELAY_SECONDS
-                : shape.regionDelayS();
+                : shape.regionDelayS());
   }
 
   /** The machines that are there from the start, spread over the zones. */
   static void addMachines(ClusterSimulation simulation, LoadShape shape) {
     int accelerated = (int) Math.round(shape.workers() * ACCELERATED_SHARE);
     for (int i = 0; i < shape.workers(); i++) {
-      simulation.cloud.addRunningMachine(
-          i < accelerated ? ACCELERATED_TYPE : GENERAL_TYPE,
-          LoadShape.zoneName(i % LoadShape.ZONES));
+      simulation
+          .cloud()
+          .addRunningMachine(
+              i < accelerated ? ACCELERATED_TYPE : GENERAL_TYPE,
+              LoadShape.zoneName(i % LoadShape.ZONES));
     }
   }
 }
--- a/src/test/java/io/violetrail/tools/scale/HostZones.java
+++ b/src/test/java/io/violetrail/tools/scale/HostZones.java
@@ -19,7 +19,7 @@
    * are in the first zone.
    */
   String zoneOf(String host) {
-    var worker = simulation.cloud.workers.get(host);
+    var worker = simulation.cloud().workers().get(host);
     if (worker != null) {
       return worker.zone();
     }
--- a/src/test/java/io/violetrail/tools/scale/LoadMeasurement.java
+++ b/src/test/java/io/violetrail/tools/scale/LoadMeasurement.java
@@ -29,25 +29,27 @@
   private Map<String, Double> totals() {
     Map<String, Double> sums = new TreeMap<>();
     double controllerSeconds = 0;
-    for (String name : simulation.controllers.keySet()) {
+    for (String name : simulation.controllers().keySet()) {
       controllerSeconds += simulation.controllerCpuSeconds(name);
     }
     sums.put("cpu_ms_a_s", 1000 * controllerSeconds);
     for (Map.Entry<String, TrafficCounter.MessageCount> entry :
-        simulation.traffic.byKind().entrySet()) {
+        simulation.traffic().byKind().entrySet()) {
       String kind = entry.getKey().replace(' ', '_');
       sums.put(kind + "/messages_a_s", (double) entry.getValue().messages);
       sums.put(
           kind + "/bytes_a_s",
           (double) entry.getValue().requestBytes + entry.getValue().replyBytes);
     }
-    simulation.stateService.writeCountByUse.forEach(
-        (use, n) -> sums.put("changes/" + use.replace(' ', '_') + "_a_s", (double) n));
-    sums.put("changes/all_a_s", (double) simulation.stateService.writeCount);
+    simulation
+        .stateService()
+        .writeCountByUse()
+        .forEach((use, n) -> sums.put("changes/" + use.replace(' ', '_') + "_a_s", (double) n));
+    sums.put("changes/all_a_s", (double) simulation.stateService().writeCount());
     long requests =
-        simulation.stateService.requestCountByKind.values().stream().mapToLong(n -> n).sum();
+        simulation.stateService().requestCountByKind().values().stream().mapToLong(n -> n).sum();
     sums.put("state_requests_a_s", (double) requests);
-    sums.put("state_over_limit_a_s", (double) simulation.stateService.overLimitCount);
+    sums.put("state_over_limit_a_s", (double) simulation.stateService().overLimitCount());
     return sums;
   }
 
@@ -59,7 +61,7 @@
         .forEach(
             (name, sum) ->
                 figures.put(name, (sum - totalsBefore.getOrDefault(name, 0.0)) / seconds));
-    int controllers = Math.max(1, simulation.controllers.size());
+    int controllers = Math.max(1, simulation.controllers().size());
     figures.put("cpu_ms_a_s_a_controller", figures.get("cpu_ms_a_s") / controllers);
     figures.put("starts_a_s", load.startsPerSecond());
     figures.put("submitted", (double) load.submittedCount);
@@ -70,7 +72,7 @@
         "urgent_not_started", (double) load.countLateUrgent(DeploymentSetup.URGENT_START_SECONDS));
     putWaits("accepted_ms", load.acceptedMillis, figures);
     putWaits("urgent_start_ms", load.urgentStartMillis, figures);
-    figures.put("broken_rules", (double) simulation.violations.size());
+    figures.put("broken_rules", (double) simulation.violations().size());
     return figures;
   }
 
--- a/src/test/java/io/violetrail/tools/scale/OpenLoopLoad.java
+++ b/src/test/java/io/violetrail/tools/scale/OpenLoopLoad.java
@@ -67,7 +67,7 @@
     this.random = new Random(seed);
     this.jobMix = new JobMix(shape, random);
     this.jobsPerSecond = shape.jobsPerS();
-    simulation.onTaskStarted = this::recordTaskStart;
+    simulation.setOnTaskStarted(this::recordTaskStart);
   }
 
   /** Submits with exponential pauses for so long. */
--- a/src/test/java/io/violetrail/tools/scale/ScaleRun.java
+++ b/src/test/java/io/violetrail/tools/scale/ScaleRun.java
@@ -129,18 +129,19 @@
         shape,
         new StateStoreLimits(options.requestsPerSecond, options.changesPerSecond, 8192, 24),
         options.reportIntervalSeconds);
-    simulation.stateService.enforcesLimits = false;
+    simulation.stateService().setEnforcesLimits(false);
     realTimeSimulation = new RealTimeSimulation(simulation);
     network = new SimulatedNetwork(simulation, realTimeSimulation, new HostZones(simulation));
     failoverTimes = new FailoverTimes(realTimeSimulation.loop()::monotonicSeconds);
     load = new OpenLoopLoad(simulation, shape, options.seed);
     realTimeSimulation.serve(
-        firstPort + CLOUD_PORT_OFFSET, RealTimeSimulation.withCaller("process", simulation.cloud));
-    simulation.onWorkerCreated = this::serveWorker;
-    simulation.externalControllers =
+        firstPort + CLOUD_PORT_OFFSET,
+        RealTimeSimulation.withCaller("process", simulation.cloud()));
+    simulation.setOnWorkerCreated(this::serveWorker);
+    simulation.setExternalControllers(
         (from, controller, method, path, body) ->
             network.callController(
-                from, controller, apiAddress(indexOf(controller)), method, path, body);
+                from, controller, apiAddress(indexOf(controller)), method, path, body));
     startState();
     startControllers();
     onLoop(
@@ -263,7 +264,7 @@
 
   /** Whether every worker has had its report answered with a term. */
   private boolean allWorkersAdopted() {
-    return simulation.cloud.workers.values().stream().allMatch(FakeWorker::hasController);
+    return simulation.cloud().workers().values().stream().allMatch(FakeWorker::hasController);
   }
 
   private void measure() throws Exception {
@@ -318,7 +319,7 @@
               realTimeSimulation.loop().monotonicSeconds(),
               usage,
               traffic,
-              RateCalculations.counts(simulation.traffic),
+              RateCalculations.counts(simulation.traffic()),
               stats,
               ownCpuSeconds());
         });
@@ -389,7 +390,7 @@
     onLoop(
         () -> {
           fillLoadFigures(figures);
-          report.brokenRules.addAll(simulation.violations);
+          report.brokenRules.addAll(simulation.violations());
           return null;
         });
     report.events.addAll(failoverTimes.events());
@@ -433,15 +434,19 @@
   }
 
   private long runningTasks() {
-    return simulation.cloud.workers.values().stream().mapToLong(FakeWorker::activeTaskCount).sum();
+    return simulation.cloud().workers().values().stream()
+        .mapToLong(FakeWorker::activeTaskCount)
+        .sum();
   }
 
   private long servedWorkers() {
-    return simulation.cloud.workers.values().stream().filter(FakeWorker::hasController).count();
+    return simulation.cloud().workers().values().stream().filter(FakeWorker::hasController).count();
   }
 
   private long leasesLost() {
-    return simulation.cloud.allWorkersEver.stream().mapToLong(FakeWorker::expiredLeaseCount).sum();
+    return simulation.cloud().allWorkersEver().stream()
+        .mapToLong(FakeWorker::expiredLeaseCount)
+        .sum();
   }
 
   private static double sum(Map<String, Double> all) {
@@ -500,7 +505,7 @@
   private void loseRack(Random random) {
     String zone = LoadShape.zoneName(random.nextInt(LoadShape.ZONES));
     List<FakeWorker> rack =
-        simulation.cloud.workers.values().stream()
+        simulation.cloud().workers().values().stream()
             .filter(w -> w.zone().equals(zone))
             .limit(WORKERS_PER_RACK)
             .toList();
@@ -526,7 +531,7 @@
                       load.startsPerSecond(),
                       load.acceptedCount,
                       load.submittedCount,
-                      simulation.violations.size()));
+                      simulation.violations().size()));
       printProgress(
           "%s, %.0f s left: %s", what, Math.max(0, secondsLeft - PROGRESS_INTERVAL_SECONDS), line);
       requireLiveProcesses();
--- a/src/test/java/io/violetrail/tools/scale/SimulatedNetwork.java
+++ b/src/test/java/io/violetrail/tools/scale/SimulatedNetwork.java
@@ -135,7 +135,7 @@
           }
         });
     simulation.runAfter(
-        simulation.oneWayDelaySeconds.applyAsDouble(from, to),
+        simulation.oneWayDelaySeconds().applyAsDouble(from, to),
         () -> {
           if (isReachable(from, to)) {
             clients
@@ -155,7 +155,7 @@
       Throwable failure,
       CompletableFuture<HttpClient.ClientReply> answer) {
     simulation.runAfter(
-        simulation.oneWayDelaySeconds.applyAsDouble(to, from),
+        simulation.oneWayDelaySeconds().applyAsDouble(to, from),
         () -> {
           if (!isReachable(from, to)) {
             return;
@@ -170,7 +170,7 @@
   }
 
   private void count(String from, String to, java.util.function.Consumer<TrafficCounter> count) {
-    count.accept(simulation.traffic);
+    count.accept(simulation.traffic());
     if (zones.isController(from)) {
       count.accept(trafficOf(from));
     }
--- a/src/test/java/io/violetrail/tools/scale/StateServiceProcess.java
+++ b/src/test/java/io/violetrail/tools/scale/StateServiceProcess.java
@@ -37,8 +37,8 @@
   @Override
   public Integer call() throws IOException {
     ClusterSimulation simulation = new ClusterSimulation(1, 1);
-    simulation.stateLimits = new StateStoreLimits(requestsPerSecond, changesPerSecond, 8192, 24);
-    simulation.stateService.enforcesLimits = true;
+    simulation.setStateLimits(new StateStoreLimits(requestsPerSecond, changesPerSecond, 8192, 24));
+    simulation.stateService().setEnforcesLimits(true);
     RealTimeSimulation live = new RealTimeSimulation(simulation);
     live.start();
     live.serve(
@@ -47,7 +47,7 @@
           if (path.equals(STATS_PATH)) {
             done.accept(HttpAnswer.of(200, statsMessage(simulation)));
           } else {
-            simulation.stateService.handle(method, "process " + path, body, done);
+            simulation.stateService().handle(method, "process " + path, body, done);
           }
         });
     return 0;
@@ -57,11 +57,11 @@
       ClusterSimulation simulation) {
     var message = Cbor.newMap();
     var requests = message.putObject("requests");
-    simulation.stateService.requestCountByKind.forEach(requests::put);
+    simulation.stateService().requestCountByKind().forEach(requests::put);
     var changes = message.putObject("changes");
-    simulation.stateService.writeCountByUse.forEach(changes::put);
+    simulation.stateService().writeCountByUse().forEach(changes::put);
     return message
-        .put("writes", simulation.stateService.writeCount)
-        .put("over_limit", simulation.stateService.overLimitCount);
+        .put("writes", simulation.stateService().writeCount())
+        .put("over_limit", simulation.stateService().overLimitCount());
   }
 }
