--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -77,7 +77,7 @@
     if (!report.isNewerThan(machine.lastSession(), machine.lastSequence())) {
       return HeartbeatReply.withoutRenewal(report);
     }
-    machine.reportArrived(HostPort.parse(report.endpoint()), loop.monotonicSeconds());
+    machine.recordHeartbeat(HostPort.parse(report.endpoint()), loop.monotonicSeconds());
     if (!machine.row().hasReported()) {
       machines.markUp(entity, machine);
     }
@@ -106,12 +106,12 @@
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
     double now = loop.monotonicSeconds();
     if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(now)) {
-      machine.mayHoldTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
+      machine.extendUnreportedTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
     }
     List<WorkerCommand> firstLaunches = new ArrayList<>();
     if (machine.tasksKnown() && machine.lastSession() == 0 && mayCommand(entity)) {
       // Handed over empty: it may get its first tasks before it has seen a token of this owner.
-      machine.newestReport(report.session(), report.sequence());
+      machine.recordNewestReport(report.session(), report.sequence());
       commandWriter.addCommands(machine, firstLaunches);
     }
     return leaseRenewal.renew(entity, token, report, firstLaunches);
@@ -126,8 +126,8 @@
     final int tasksBefore = machine.placements().size();
     final boolean wasSchedulable = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
-    machine.newestReport(report.session(), report.sequence());
-    machine.reportTaken(report.spotNoticeSeconds());
+    machine.recordNewestReport(report.session(), report.sequence());
+    machine.recordStatus(report.spotNoticeSeconds());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
--- a/src/main/java/io/violetrail/worker/WorkerProbe.java
+++ b/src/main/java/io/violetrail/worker/WorkerProbe.java
@@ -3,6 +3,7 @@
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.net.Futures;
 import io.violetrail.net.HttpClient;
+import io.violetrail.wire.HeartbeatMessages;
 import java.util.List;
 import java.util.function.IntConsumer;
 
@@ -43,7 +44,7 @@
     answeredCount = 0;
     for (HostPort worker : workers) {
       Futures.logFailure(
-          http.callOnce(worker, "GET", "/status", null, TIMEOUT_SECONDS)
+          http.callOnce(worker, "GET", HeartbeatMessages.STATUS_PATH, null, TIMEOUT_SECONDS)
               .whenComplete(
                   (response, failure) ->
                       recordResult(failure == null && response.isOk(), onCompleted)),
