--- a/src/test/java/io/violetrail/ownership/StateSchemaTest.java
+++ b/src/test/java/io/violetrail/ownership/StateSchemaTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void entityCannotBeOwnedUnderAVersionThatIsNoToken() {
+  void entityCannotBeOwnedUnderVersionThatIsNoToken() {
     EntityRow absent = entityRow(Cbor.newMap().put("owner", "c0"));
     EntityRow earlier = entityRow(Cbor.newMap().put("owner", "c0").put("version", 0));
     EntityRow handedOver = entityRow(Cbor.newMap().put("owner", "c2").put("version", 2));
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void absentRowHasRevisionZeroAndBlockZeroIsABlock() {
+  void absentRowHasRevisionZeroAndBlockZeroIsValid() {
     ClusterView clusterView = new ClusterView(new ClusterSimulation(3, 1).settings("c0"));
     ControllerId c1 = new ControllerId("c1");
     assertEquals(0, clusterView.livenessRevision(c1), "the condition that the key does not exist");
@@ -69,7 +69,7 @@
   @Test
   void emptyOwnershipHistoryCausesNoWaitAndStartsWithTheFirstMove() {
     ClusterSimulation simulation = new ClusterSimulation(3, 1);
-    simulation.workerSettings = new WorkerTiming(2.5, 16, 50, 6, 36);
+    simulation.setWorkerSettings(new WorkerTiming(2.5, 16, 50, 6, 36));
     LeaseTiming leaseTiming = LeaseTiming.from(simulation.settings("c0"), null);
     assertTrue(leaseTiming.secondsUntilTasksGone(OwnershipHistory.NONE, NOW_MS) < 0);
     assertEquals(
