--- a/src/main/java/io/violetrail/state/InitialListing.java
+++ b/src/main/java/io/violetrail/state/InitialListing.java
@@ -4,31 +4,48 @@
 import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.function.Consumer;
 
-/** Rows that are read once, whole, before they are gone by; tried again when that fails. */
+/**
+ * The rows of a prefix, read once as a whole before anything is done on their account.
+ *
+ * <p>Owns only how far the reading is; the rows are the caller's. A failed reading returns to the
+ * beginning, and the caller's next try starts it again. Called on the event loop's thread. Nothing
+ * survives a crash: a restarted controller reads again.
+ */
 public final class InitialListing {
-  private boolean readInProgress;
-  private boolean complete;
+  private enum State {
+    NOT_READ,
+    READING,
+    COMPLETE
+  }
+
+  private State state = State.NOT_READ;
 
+  /** Whether all rows have been given to the caller. */
   public boolean isComplete() {
-    return complete;
+    return state == State.COMPLETE;
   }
 
-  /** Reads the rows unless that is under way; {@code onComplete} is run after the last of them. */
+  /**
+   * Reads the rows unless that is under way or done.
+   *
+   * @param entryConsumer gets the rows one after the other, after all were read
+   * @param onComplete is run after the last of them, when the listing is complete
+   */
   public void startReading(
       StateStore store, String prefix, Consumer<Entry> entryConsumer, Runnable onComplete) {
-    if (readInProgress) {
+    if (state != State.NOT_READ) {
       return;
     }
-    readInProgress = true;
+    state = State.READING;
     Futures.logFailure(
         store
             .list(prefix)
             .whenComplete(
                 (listing, failure) -> {
-                  readInProgress = false;
+                  state = State.NOT_READ;
                   if (failure == null) {
                     listing.entries().forEach(entryConsumer);
-                    complete = true;
+                    state = State.COMPLETE;
                     onComplete.run();
                   }
                 }),
--- a/src/main/java/io/violetrail/state/PrefixWatcher.java
+++ b/src/main/java/io/violetrail/state/PrefixWatcher.java
@@ -1,5 +1,6 @@
 package io.violetrail.state;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
 import io.violetrail.wire.StateStoreMessages;
@@ -9,7 +10,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All rows of a prefix and every change of them, in the state service's order. */
+/**
+ * All rows of a prefix and every change of them, in the state service's order.
+ *
+ * <p>Begins with a listing and then watches from its revision on. When the state service no longer
+ * keeps the changes after the last revision seen, it begins anew with a listing: changes may have
+ * been missed, and until the listing is there {@link #isReady()} is false.
+ *
+ * <p>Owns the revision up to which the listener knows the rows; the rows themselves are the
+ * listener's. Called on the event loop's thread, and calls the listener there. Nothing survives a
+ * crash.
+ */
 public final class PrefixWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(PrefixWatcher.class);
   private static final double WATCH_SECONDS = 20;
@@ -22,7 +33,7 @@
   private long revision;
   private boolean ready;
 
-  /** Who is told. */
+  /** Gets the rows and their changes. */
   public interface RowListener {
     /** The rows as of a revision: at the start, and again after changes have been missed. */
     void onListing(List<Entry> all, long revision);
@@ -31,7 +42,7 @@
     void onChanges(List<RowChange> changes, long revision);
   }
 
-  /** Creates a feed of the rows under a key prefix; nothing is read before {@code start()}. */
+  /** Creates a watcher of the rows under a key prefix; nothing is read before {@link #start}. */
   public PrefixWatcher(StateStore store, EventLoop loop, String prefix, RowListener listener) {
     this.store = store;
     this.loop = loop;
@@ -39,15 +50,29 @@
     this.listener = listener;
   }
 
-  /** Lists all rows and then watches for changes; a failed listing is tried again after a delay. */
+  /** Lists all rows and then watches for changes, without end; called once. */
   public void start() {
+    readListing();
+  }
+
+  /** Whether the listener has the rows as of {@link #revision()}. */
+  public boolean isReady() {
+    return ready;
+  }
+
+  /** The revision up to which the listener has got all changes; 0 before the first listing. */
+  public long revision() {
+    return revision;
+  }
+
+  private void readListing() {
     Futures.logFailure(
         store
             .list(prefix)
             .whenComplete(
                 (listing, failure) -> {
                   if (failure != null) {
-                    loop.schedule(RETRY_SECONDS, this::start);
+                    loop.schedule(RETRY_SECONDS, this::readListing);
                     return;
                   }
                   revision = listing.revision();
@@ -58,37 +83,29 @@
         "list the rows of a feed");
   }
 
-  public boolean isReady() {
-    return ready;
+  private void watch() {
+    store.watch(prefix, revision, WATCH_SECONDS, this::handleChanges, this::handleWatchFailure);
   }
 
-  public long revision() {
-    return revision;
+  /** An answer may repeat changes that the listing or an earlier answer had: they are left out. */
+  private void handleChanges(ObjectNode body) {
+    long upToRevision = StateStoreMessages.parseRevision(body);
+    List<RowChange> newChanges =
+        StateStoreMessages.parseChanges(body).stream()
+            .filter(change -> change.modRevision() > revision)
+            .toList();
+    revision = Math.max(revision, upToRevision);
+    listener.onChanges(newChanges, revision);
+    watch();
   }
 
-  private void watch() {
-    store.watch(
-        prefix,
-        revision,
-        WATCH_SECONDS,
-        body -> {
-          long upToRevision = StateStoreMessages.parseRevision(body);
-          List<RowChange> newChanges =
-              StateStoreMessages.parseChanges(body).stream()
-                  .filter(c -> c.modRevision() > revision)
-                  .toList();
-          revision = Math.max(revision, upToRevision);
-          listener.onChanges(newChanges, revision);
-          watch();
-        },
-        tooOld -> {
-          if (tooOld) {
-            LOG.info("changes of {} after revision {} are no longer kept", prefix, revision);
-            ready = false;
-            start();
-          } else {
-            loop.schedule(RETRY_SECONDS, this::watch);
-          }
-        });
+  private void handleWatchFailure(boolean revisionTooOld) {
+    if (!revisionTooOld) {
+      loop.schedule(RETRY_SECONDS, this::watch);
+      return;
+    }
+    LOG.info("changes of {} after revision {} are no longer kept", prefix, revision);
+    ready = false;
+    readListing();
   }
 }
