--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -1,9 +1,15 @@
 package io.violetrail.controller;
 
 import io.violetrail.api.JobAdmission;
+import io.violetrail.api.JobCancellation;
 import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.JobQuery;
 import io.violetrail.api.JobStateLookup;
+import io.violetrail.api.JobStateResolver;
+import io.violetrail.api.JobSubmission;
+import io.violetrail.api.LocalCancellation;
 import io.violetrail.api.Metrics;
+import io.violetrail.api.PeerOwners;
 import io.violetrail.api.Readiness;
 import io.violetrail.api.UserApi;
 import io.violetrail.calendar.ScheduleApi;
@@ -64,11 +70,14 @@
 import io.violetrail.worker.HeartbeatHandler;
 import io.violetrail.worker.LastHeartbeats;
 import io.violetrail.worker.LeaseRenewal;
+import io.violetrail.worker.LongPollReplies;
 import io.violetrail.worker.LongPolls;
 import io.violetrail.worker.MachineAdoption;
 import io.violetrail.worker.OwnedMachineHeartbeat;
+import io.violetrail.worker.PartitionHandover;
 import io.violetrail.worker.ReportReconciler;
 import io.violetrail.worker.TaskStopper;
+import io.violetrail.worker.WorkerProbe;
 import io.violetrail.worker.WorkerReachability;
 import io.violetrail.worker.WorkerRouter;
 import java.util.ArrayList;
@@ -276,21 +285,28 @@
 
     // Workers' heartbeats.
     workerReachability =
-        new WorkerReachability(settings, loop, random, clusterView, membership, peerClient, http);
+        new WorkerReachability(
+            loop,
+            random,
+            membership,
+            new WorkerProbe(http),
+            new PartitionHandover(settings.peers().keySet(), clusterView, membership, peerClient),
+            heartbeatSeconds);
     LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobLifecycle, evidence);
     CommandWriter commandWriter = new CommandWriter(configuration, jobTracer, evidence);
     ReportReconciler reconciler =
         new ReportReconciler(jobLifecycle, runtimeEstimates, new TaskFailureHandler(loop));
+    WorkerRouter workerRouter =
+        new WorkerRouter(settings, loop, leaseTiming, clusterView, membership);
     HeartbeatHandler heartbeatHandler =
         new HeartbeatHandler(
-            loop,
             clusterView,
             membership,
             entityMachines,
             workerReachability,
             longPolls,
             new LastHeartbeats(loop, evidence, heartbeatSeconds),
-            new WorkerRouter(settings, loop, leaseTiming, clusterView, membership),
+            workerRouter,
             new MachineAdoption(loop, clusterView, membership, machineTypes),
             new OwnedMachineHeartbeat(
                 loop,
@@ -304,21 +320,30 @@
                 leaseRenewal,
                 commandWriter),
             leaseRenewal,
-            commandWriter);
+            new LongPollReplies(
+                loop, clusterView, membership, workerRouter, leaseRenewal, commandWriter));
 
     // What is served.
     JobStateLookup jobStates = new JobStateLookup(membership, jobLifecycle);
+    final LocalCancellation localCancellation =
+        new LocalCancellation(membership, jobLifecycle, jobStates);
+    PeerOwners peerOwners = new PeerOwners(settings.self(), clusterView);
+    JobQuery jobQuery =
+        new JobQuery(
+            new JobStateResolver(
+                settings.peers().keySet(),
+                clusterView,
+                peerOwners,
+                new PeerJobViews(peerClient, jobLifecycle),
+                jobLifecycle,
+                jobStates));
     api =
         new UserApi(
             loop,
-            settings,
-            clusterView,
-            membership,
-            peerClient,
-            new PeerJobViews(peerClient, jobLifecycle),
-            jobLifecycle,
-            jobStates,
-            jobAdmission,
+            new JobSubmission(
+                settings.stateStoreLimits().maxValueBytes(), jobLifecycle, jobAdmission, jobQuery),
+            jobQuery,
+            new JobCancellation(localCancellation, jobLifecycle, peerOwners, peerClient),
             heartbeatHandler,
             new Readiness(membership, machineTypes, configuration),
             jobTracer,
@@ -329,6 +354,7 @@
             configuration,
             jobLifecycle,
             jobStates,
+            localCancellation,
             workerReachability,
             transferRequests,
             scaleOutRequests,
