--- a/src/main/java/io/violetrail/api/JobAdmission.java
+++ b/src/main/java/io/violetrail/api/JobAdmission.java
@@ -25,6 +25,7 @@
   private final Membership membership;
   private final Configuration configuration;
   private final MachineTypes machineTypes;
+  private final JobLookup jobLookup;
   private final JobLifecycle jobLifecycle;
   private final JobTracer jobTracer;
 
@@ -34,12 +35,14 @@
       Membership membership,
       Configuration configuration,
       MachineTypes machineTypes,
+      JobLookup jobLookup,
       JobLifecycle jobLifecycle,
       JobTracer jobTracer) {
     this.store = store;
     this.membership = membership;
     this.configuration = configuration;
     this.machineTypes = machineTypes;
+    this.jobLookup = jobLookup;
     this.jobLifecycle = jobLifecycle;
     this.jobTracer = jobTracer;
   }
@@ -122,7 +125,7 @@
 
   /** A job that was accepted once is never refused, even if a check would now fail. */
   private CompletableFuture<Decision> rejectUnlessStored(JobSpec spec, String reason) {
-    return jobLifecycle
+    return jobLookup
         .lookUp(spec.id())
         .handle(
             (found, failure) -> {
--- a/src/main/java/io/violetrail/api/JobCancellation.java
+++ b/src/main/java/io/violetrail/api/JobCancellation.java
@@ -16,18 +16,21 @@
  */
 public final class JobCancellation {
   private final LocalCancellation localCancellation;
-  private final JobLifecycle jobLifecycle;
+  private final KnownJobs knownJobs;
+  private final JobLookup jobLookup;
   private final PeerOwners peerOwners;
   private final PeerClient peerClient;
 
   /** Cancels here, or forwards to the owner. */
   public JobCancellation(
       LocalCancellation localCancellation,
-      JobLifecycle jobLifecycle,
+      KnownJobs knownJobs,
+      JobLookup jobLookup,
       PeerOwners peerOwners,
       PeerClient peerClient) {
     this.localCancellation = localCancellation;
-    this.jobLifecycle = jobLifecycle;
+    this.knownJobs = knownJobs;
+    this.jobLookup = jobLookup;
     this.peerOwners = peerOwners;
     this.peerClient = peerClient;
   }
@@ -47,7 +50,7 @@
       answerWhenStored(cancelledHere.get(), respond);
       return;
     }
-    ControllerId entity = jobLifecycle.findEntityOf(id);
+    ControllerId entity = knownJobs.findEntityOf(id);
     ControllerId owner = entity == null ? null : peerOwners.findLivePeerOwning(entity);
     if (owner == null) {
       cancelByStoredRows(id, respond);
@@ -70,7 +73,7 @@
 
   private void cancelByStoredRows(JobId id, Consumer<HttpAnswer> respond) {
     Futures.logFailure(
-        jobLifecycle
+        jobLookup
             .lookUp(id)
             .whenComplete(
                 (found, failure) -> {
--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -1,259 +1,117 @@
 package io.violetrail.api;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.google.common.cache.Cache;
-import com.google.common.cache.CacheBuilder;
-import io.violetrail.config.Settings.StateStoreLimits;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.WarmCapacity;
-import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.JobStatus;
-import io.violetrail.model.Resources;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.RequestCoalescer;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.ownership.StateSchema;
 import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.PendingQueues;
 import io.violetrail.scheduling.ServiceLevelObjectives;
 import io.violetrail.scheduling.TaskPlacement;
-import io.violetrail.state.StateStore;
 import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.tracing.JobTracer;
-import io.violetrail.wire.Cbor;
-import io.violetrail.wire.StateStoreMessages.Entry;
 import io.violetrail.worker.TaskStopper;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Jobs' rows in the state service: intake, progress, ends, and what is remembered of them here. */
+/**
+ * The open jobs of the entities owned here: accepts them, follows their progress, ends and cancels
+ * them. Each step counts only once its rows are stored, so a crash at any point leaves either the
+ * step undone or its rows for the next owner.
+ *
+ * <p>Called on the event loop's thread.
+ */
 public final class JobLifecycle {
-  static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
-  private static final int MAX_REMEMBERED_JOBS = 20_000;
-  private static final double LOOKUP_RETRY_SECONDS = 3;
+  private static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
   private static final double END_RETRY_SECONDS = 2;
 
   private final EventLoop loop;
-  private final StateStore store;
-  private final StateStoreLimits limits;
   private final Membership membership;
+  private final EntityJobStores stores;
+  private final KnownJobs knownJobs;
+  private final JobLookup jobLookup;
   private final PendingQueues pendingQueues;
   private final ServiceLevelObjectives serviceLevelObjectives;
   private final WarmCapacity warmCapacity;
   private final TaskStopper taskStopper;
   private final JobTracer jobTracer;
-  private final Map<OwnedEntity, JobProgressStore> progressStores = new HashMap<>();
-  private final Map<OwnedEntity, JobStore> jobStores = new HashMap<>();
-  private final Cache<JobId, KnownJob> finishedJobs =
-      CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
 
-  /** Ends known from peers, without what the jobs' tasks take. */
-  private final Cache<JobId, JobView> finishedViewsFromPeers =
-      CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
-
-  private final Cache<JobId, ControllerId> entityByJob =
-      CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
-  private final Set<JobId> lookingUp = new HashSet<>();
-  private final RequestCoalescer<JobId, LookupResult> lookupCoalescer;
-
-  /** Jobs of other entities' ended tasks are asked about now and then, not with every report. */
-  private final Cache<JobId, Double> lastLookupSeconds =
-      CacheBuilder.newBuilder().maximumSize(1_000).build();
-
-  /** Tells the pending jobs and the task stopper what begins and ends. */
+  /** Notifies the pending queues and the task stopper of what begins and ends. */
   public JobLifecycle(
       EventLoop loop,
-      StateStore store,
-      StateStoreLimits limits,
       Membership membership,
+      EntityJobStores stores,
+      KnownJobs knownJobs,
+      JobLookup jobLookup,
       PendingQueues pendingQueues,
       ServiceLevelObjectives objectives,
       WarmCapacity warmCapacity,
       TaskStopper taskStopper,
       JobTracer jobTracer) {
     this.loop = loop;
-    this.store = store;
-    this.limits = limits;
     this.membership = membership;
+    this.stores = stores;
+    this.knownJobs = knownJobs;
+    this.jobLookup = jobLookup;
     this.pendingQueues = pendingQueues;
     this.serviceLevelObjectives = objectives;
     this.warmCapacity = warmCapacity;
     this.taskStopper = taskStopper;
     this.jobTracer = jobTracer;
-    this.lookupCoalescer =
-        new RequestCoalescer<>(id -> readJobRows(id, key -> store.getForUser(key, 2)));
   }
 
-  /** A job that is over, or bound to another entity ({@code view} is null then). */
-  public record KnownJob(JobView view, ControllerId entity, Resources taskResources) {}
-
   /**
-   * What a look-up came to: a job's view, proven absence (null view), or its binding to an open
-   * entity.
+   * The final state of any job of the cluster; null if it is not known here to have ended.
+   *
+   * @see KnownJobs#findTerminalView
    */
-  public record LookupResult(JobView view, ControllerId openAtEntity, JobView storedView) {
-    public boolean isAbsent() {
-      return view == null && openAtEntity == null;
-    }
-  }
-
   public JobView findTerminalView(JobId id) {
-    KnownJob knownJob = finishedJobs.getIfPresent(id);
-    return knownJob == null ? finishedViewsFromPeers.getIfPresent(id) : knownJob.view();
+    return knownJobs.findTerminalView(id);
   }
 
-  /** A peer has told what it knows of a job: where it is bound, and its end, never change. */
-  public void recordFromPeer(JobId id, ControllerId entity, JobView view) {
-    entityByJob.put(id, entity);
-    if (view.status().isTerminal()) {
-      finishedViewsFromPeers.put(id, view);
-    }
-  }
-
-  public ControllerId findEntityOf(JobId id) {
-    return entityByJob.getIfPresent(id);
+  /**
+   * Reads the rows of any job of the cluster.
+   *
+   * @see JobLookup#lookUp
+   */
+  public CompletableFuture<JobLookup.LookupResult> lookUp(JobId id) {
+    return jobLookup.lookUp(id);
   }
 
   /**
-   * Whether no task of the job may run on a machine of an active holding: its end is stored, or
-   * asked for by its user, or it is none of the entity's open jobs, of which the owner knows all.
+   * Whether no task of the job may run on a machine of an active entity: its end is stored, its
+   * user has cancelled it, or it is none of the entity's open jobs, of which the owner knows all.
    */
   public boolean isFinishedOrCancelled(OwnedEntity entity, JobId id) {
     Job openJob = entity.jobs().get(id);
     return openJob == null
-        ? jobStoreOf(entity).findStoredJob(id) == null
+        ? stores.jobStoreOf(entity).findStoredJob(id) == null
         : openJob.phase() == Job.Phase.CANCELLING || openJob.phase() == Job.Phase.FINISHED;
   }
 
   /**
-   * For a worker's task whose job is not open here: what is known; null while it is being looked
-   * up.
+   * The result of storing a submission.
+   *
+   * @param newlyStored whether the job is this entity's now; otherwise its id is taken, or its
+   *     co-written row conflicts
+   * @param coWrittenRowConflict whether the co-written row was not as expected
+   * @param revision of the rows if the job was newly stored; 0 if it is not known
    */
-  public KnownJob findKnownJob(OwnedEntity ownedEntity, JobId id) {
-    KnownJob knownJob = finishedJobs.getIfPresent(id);
-    if (knownJob != null) {
-      return knownJob;
-    }
-    double nowSeconds = loop.monotonicSeconds();
-    Double lastLookup = lastLookupSeconds.getIfPresent(id);
-    boolean lookupDue = lastLookup == null || nowSeconds - lastLookup > LOOKUP_RETRY_SECONDS;
-    if (lookupDue && lookingUp.size() < 100 && lookingUp.add(id)) {
-      lastLookupSeconds.put(id, (Double) nowSeconds);
-      Futures.logFailure(
-          readJobRows(id, store::get)
-              .whenComplete(
-                  (found, failure) -> {
-                    lookingUp.remove(id);
-                    if (failure != null) {
-                      return;
-                    }
-                    if (found.isAbsent()
-                        || (found.openAtEntity() != null
-                            && !found.openAtEntity().equals(ownedEntity.id()))) {
-                      LOG.info(
-                          "a worker of entity {} has a task of {}, which is not of this entity",
-                          ownedEntity.id(),
-                          id);
-                      if (found.isAbsent()) {
-                        finishedJobs.put(id, new KnownJob(null, ownedEntity.id(), Resources.NONE));
-                      }
-                    } else if (found.openAtEntity() != null) {
-                      reload(ownedEntity, id);
-                    }
-                  }),
-          "read a job's stored state");
-    }
-    return null;
-  }
-
-  /** Reads a job's rows, which are never stale, on behalf of whoever asks. */
-  public CompletableFuture<LookupResult> lookUp(JobId id) {
-    return lookupCoalescer.request(id);
-  }
-
-  private CompletableFuture<LookupResult> readJobRows(
-      JobId id, Function<String, CompletableFuture<Entry>> reader) {
-    return reader
-        .apply(StateSchema.jobKey(id))
-        .thenCompose(
-            claimRow -> {
-              if (claimRow.value() == null) {
-                return CompletableFuture.completedFuture(new LookupResult(null, null, null));
-              }
-              ControllerId entity = new ControllerId(claimRow.value().path("entity").asText());
-              return store
-                  .getUrgent(
-                      StateSchema.finishedJobSegmentKey(
-                          entity, claimRow.value().path("page").asText()))
-                  .thenApply(
-                      finishedSegmentRow ->
-                          toLookupResult(
-                              id,
-                              entity,
-                              parseTaskResources(claimRow.value()),
-                              finishedSegmentRow));
-            });
-  }
-
-  private LookupResult toLookupResult(
-      JobId id, ControllerId entity, Resources taskResources, Entry finishedSegmentRow) {
-    JobView finalView = JobStore.parseEnd(id, finishedSegmentRow.value());
-    if (finalView != null) {
-      rememberFinished(finalView, entity, taskResources);
-      return new LookupResult(finalView, null, null);
-    }
-    entityByJob.put(id, entity);
-    return new LookupResult(null, entity, new JobView(id.value(), JobStatus.QUEUED, 0, 0));
-  }
-
-  private void rememberFinished(JobView view, ControllerId entity, Resources taskResources) {
-    finishedJobs.put(new JobId(view.id()), new KnownJob(view, entity, taskResources));
-    entityByJob.put(new JobId(view.id()), entity);
-  }
-
-  private static Resources parseTaskResources(JsonNode row) {
-    return new Resources(
-        row.path("cpus").asDouble(), row.path("gpus").asDouble(), row.path("memory").asDouble());
-  }
-
-  /** What a job's own row says of it. */
-  static ObjectNode toClaimRow(ControllerId entity, JobSpec spec) {
-    ObjectNode row = Cbor.newMap().put("entity", entity.value());
-    return row.put("cpus", spec.taskResources().cpus())
-        .put("gpus", spec.taskResources().gpus())
-        .put("memory", spec.taskResources().memoryGb());
-  }
-
-  private Job createJob(
-      JobSpec spec, long arrivedAtMillis, double arrivedAtSeconds, boolean loadedFromStore) {
-    return new Job(
-        spec,
-        arrivedAtMillis,
-        arrivedAtSeconds,
-        loadedFromStore,
-        serviceLevelObjectives.isBestEffort(spec));
-  }
+  public record StoreResult(boolean newlyStored, boolean coWrittenRowConflict, long revision) {}
 
   /**
-   * What storing a job came to. Fresh: it is this entity's now. Otherwise its id is taken, or the
-   * row that was to be stored with it.
+   * Stores a new job and opens it.
+   *
+   * @param coWrittenRow a row that is stored in the same transaction; null if there is none
+   * @return fails with a {@code StateUnavailableException} if it is not known to be stored
    */
-  public record StoreResult(boolean newlyStored, boolean coWrittenRowConflict, long revision) {}
-
-  /** Stores a new job, with a row of its own if one is given. */
   public CompletableFuture<StoreResult> store(
       OwnedEntity entity, JobSpec spec, CoWrittenRow coWrittenRow) {
     long nowMillis = loop.wallMillis();
@@ -262,90 +120,51 @@
     // An answer that never came leaves the outcome open; it is repeated until certain, so that no
     // job is stored without its owner knowing of it.
     Futures.logFailure(
-        jobStoreOf(entity)
+        stores
+            .jobStoreOf(entity)
             .storeSubmission(spec, nowMillis, coWrittenRow)
             .whenComplete(
                 (stored, failure) -> {
                   if (failure != null) {
                     result.completeExceptionally(StateUnavailableException.from(failure));
-                  } else if (stored.newlyStored()) {
-                    entityByJob.put(spec.id(), entity.id());
-                    // Also while the entity is being handed over: if that comes to nothing it stays
-                    // here,
-                    // and a job that was not taken up would never run.
-                    if (entity.phase() != OwnedEntity.Phase.LOST) {
-                      entity.addJobIfAbsent(createJob(spec, nowMillis, nowSeconds, false));
-                      warmCapacity.recordArrival(spec, nowSeconds);
-                      pendingQueues.jobsChanged(entity);
-                    }
-                    LOG.info(
-                        "job {} accepted by entity {} version {}: {} tasks",
-                        spec.id(),
-                        entity.id(),
-                        entity.row().version(),
-                        spec.taskCount());
-                    result.complete(stored);
-                  } else {
-                    result.complete(stored);
+                    return;
                   }
+                  if (stored.newlyStored()) {
+                    open(entity, spec, nowMillis, nowSeconds);
+                  }
+                  result.complete(stored);
                 }),
         "store a submitted job");
     return result;
   }
 
-  /** Submissions that wait to be stored. */
-  public int pendingSubmissionCount(OwnedEntity entity) {
-    return jobStoreOf(entity).pendingSubmissionCount();
-  }
-
-  /** A job of the entity that was stored without being taken up here. */
-  private void reload(OwnedEntity entity, JobId id) {
-    JobStore.StoredJob stored =
-        entity.isActive() && !entity.jobs().containsKey(id)
-            ? jobStoreOf(entity).findStoredJob(id)
-            : null;
-    if (stored != null) {
-      restoreJob(entity, stored);
+  private void open(OwnedEntity entity, JobSpec spec, long arrivedAtMillis, double arrivedSeconds) {
+    knownJobs.recordEntity(spec.id(), entity.id());
+    // Also during a handover: if that is abandoned the entity stays here, and a job that was not
+    // opened would never run.
+    if (entity.phase() != OwnedEntity.Phase.LOST) {
+      boolean bestEffort = serviceLevelObjectives.isBestEffort(spec);
+      entity.addJobIfAbsent(new Job(spec, arrivedAtMillis, arrivedSeconds, false, bestEffort));
+      warmCapacity.recordArrival(spec, arrivedSeconds);
       pendingQueues.jobsChanged(entity);
     }
+    LOG.info(
+        "job {} accepted by entity {} version {}: {} tasks",
+        spec.id(),
+        entity.id(),
+        entity.row().version(),
+        spec.taskCount());
   }
 
-  /** Reads which of the jobs on an entity's sheets are open. */
-  public CompletableFuture<List<JobStore.StoredJob>> loadOpenJobs(
-      OwnedEntity entity, List<Entry> openSegmentRows) {
-    JobStore jobStore = newLedger(entity);
-    jobStores.put(entity, jobStore);
-    return jobStore.load(openSegmentRows);
-  }
-
-  /** Takes up the open jobs of an entity, and what is done of them. */
-  public void restore(
-      OwnedEntity entity, List<JobStore.StoredJob> openJobs, List<Entry> progressRows) {
-    openJobs.forEach(stored -> restoreJob(entity, stored));
-    progressStoreOf(entity).restore(progressRows);
-    List.copyOf(entity.jobs().values()).forEach(job -> handleProgress(entity, job));
-  }
-
-  private void restoreJob(OwnedEntity entity, JobStore.StoredJob stored) {
-    double ageSeconds = Math.max(0, loop.wallMillis() - stored.arrivedAtMillis()) / 1000.0;
-    JobSpec spec = stored.spec();
-    entity.addJob(
-        createJob(spec, stored.arrivedAtMillis(), loop.monotonicSeconds() - ageSeconds, true));
-    entityByJob.put(spec.id(), entity.id());
-  }
-
-  private JobStore newLedger(OwnedEntity entity) {
-    return new JobStore(loop, store, limits, membership, entity);
-  }
-
-  private JobStore jobStoreOf(OwnedEntity entity) {
-    jobStores
-        .keySet()
-        .removeIf(other -> other.phase() == OwnedEntity.Phase.LOST && other != entity);
-    return jobStores.computeIfAbsent(entity, this::newLedger);
+  /** The number of submissions that wait to be stored. */
+  public int pendingSubmissionCount(OwnedEntity entity) {
+    return stores.jobStoreOf(entity).pendingSubmissionCount();
   }
 
-  /** Tasks of the job may be done: store that, in time, and close the job after the last one. */
+  /**
+   * Handles tasks of the job that may have finished: their progress is stored with the next flush,
+   * and the job's end once all tasks are done.
+   */
   public void handleProgress(OwnedEntity entity, Job job) {
     if (job.phase() != Job.Phase.OPEN) {
       return;
@@ -354,27 +173,22 @@
       job.startClosing();
       job.enqueueWrite(() -> storeEnd(entity, job, JobStatus.DONE));
     } else if (!job.isProgressStored()) {
-      progressStoreOf(entity).markChanged(job);
+      stores.progressStoreOf(entity).markChanged(job);
     }
   }
 
-  private JobProgressStore progressStoreOf(OwnedEntity entity) {
-    progressStores.keySet().retainAll(membership.ownedEntities());
-    return progressStores.computeIfAbsent(
-        entity, owned -> new JobProgressStore(loop, store, limits, membership, owned));
-  }
-
   /** Stores the progress that is due. */
   public void flushProgress(OwnedEntity entity) {
-    progressStoreOf(entity).flush(loop.monotonicSeconds());
+    stores.progressStoreOf(entity).flush(loop.monotonicSeconds());
   }
 
-  /** Stores the end of a job. Only afterwards is anybody told of it. */
+  /** Stores the end of a job. Users and workers hear of it only afterwards. */
   private CompletableFuture<Boolean> storeEnd(OwnedEntity entity, Job job, JobStatus status) {
     if (job.phase() == Job.Phase.FINISHED) {
       return CompletableFuture.completedFuture(true);
     }
-    return jobStoreOf(entity)
+    return stores
+        .jobStoreOf(entity)
         .storeEnd(job.spec().id(), status, job.doneCount())
         .handle(
             (stored, failure) -> {
@@ -395,7 +209,7 @@
 
   private void handleEndStored(OwnedEntity entity, Job job, JobStatus status) {
     job.ended(status);
-    rememberFinished(
+    knownJobs.recordFinished(
         new JobView(job.spec().id().value(), status, job.doneCount(), 0),
         entity.id(),
         job.spec().taskResources());
@@ -419,12 +233,14 @@
   }
 
   /**
-   * Cancels an open job of a held entity; completes with what the user is to be told, once stored.
+   * Cancels an open job of an owned entity. If its last task has finished before, it ends as done.
+   *
+   * @return completes with the job's final state once it is stored; fails if it could not be stored
    */
   public CompletableFuture<JobView> cancel(OwnedEntity entity, Job job) {
     CompletableFuture<JobView> cancelled = new CompletableFuture<>();
     if (job.phase() == Job.Phase.OPEN) {
-      // Its user does not want it any more: nothing of it is started or kept running from now on.
+      // From here on no task of it is started or kept running, whenever its end is stored.
       job.startCancelling();
       stopTasks(entity, job);
     }
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -9,12 +9,12 @@
 /** What this controller can say of a job's state from its own memory, for users and peers. */
 public final class JobStateLookup {
   private final Membership membership;
-  private final JobLifecycle jobLifecycle;
+  private final KnownJobs knownJobs;
 
   /** Looks in the entities owned here, and among the ended jobs that are remembered. */
-  public JobStateLookup(Membership membership, JobLifecycle jobLifecycle) {
+  public JobStateLookup(Membership membership, KnownJobs knownJobs) {
     this.membership = membership;
-    this.jobLifecycle = jobLifecycle;
+    this.knownJobs = knownJobs;
   }
 
   /**
@@ -26,7 +26,7 @@
    * told the same user "cancelled"; now whoever asks gets what the rows say.
    */
   public JobView knownView(JobId id) {
-    JobView ended = jobLifecycle.findTerminalView(id);
+    JobView ended = knownJobs.findTerminalView(id);
     if (ended != null || !membership.isLeaseValid()) {
       return ended;
     }
--- a/src/main/java/io/violetrail/api/JobStateResolver.java
+++ b/src/main/java/io/violetrail/api/JobStateResolver.java
@@ -22,7 +22,8 @@
   private final ClusterView clusterView;
   private final PeerOwners peerOwners;
   private final PeerJobViews peerJobViews;
-  private final JobLifecycle jobLifecycle;
+  private final KnownJobs knownJobs;
+  private final JobLookup jobLookup;
   private final JobStateLookup jobStates;
 
   /** Asks the given peers for what is not known here. */
@@ -31,13 +32,15 @@
       ClusterView clusterView,
       PeerOwners peerOwners,
       PeerJobViews peerJobViews,
-      JobLifecycle jobLifecycle,
+      KnownJobs knownJobs,
+      JobLookup jobLookup,
       JobStateLookup jobStates) {
     this.peers = peers;
     this.clusterView = clusterView;
     this.peerOwners = peerOwners;
     this.peerJobViews = peerJobViews;
-    this.jobLifecycle = jobLifecycle;
+    this.knownJobs = knownJobs;
+    this.jobLookup = jobLookup;
     this.jobStates = jobStates;
   }
 
@@ -52,7 +55,7 @@
     if (localView != null) {
       return CompletableFuture.completedFuture(localView);
     }
-    ControllerId entity = jobLifecycle.findEntityOf(id);
+    ControllerId entity = knownJobs.findEntityOf(id);
     if (entity == null) {
       // After a start, the entity of no job is known, and users ask about all of them. Peers are
       // asked first: a read of rows for each job would exhaust the state service's budget, and
@@ -68,7 +71,7 @@
   }
 
   private CompletableFuture<JobView> viewFromStore(JobId id) {
-    return jobLifecycle
+    return jobLookup
         .lookUp(id)
         .thenCompose(
             found -> {
@@ -105,7 +108,7 @@
   }
 
   private CompletableFuture<JobView> storedView(JobId id) {
-    return jobLifecycle
+    return jobLookup
         .lookUp(id)
         .thenApply(found -> found.view() != null ? found.view() : found.storedView());
   }
--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -291,7 +291,7 @@
           .ifRevision(StateSchema.jobKey(write.id), 0)
           .put(
               StateSchema.jobKey(write.id),
-              JobLifecycle.toClaimRow(entity.id(), write.spec).put("page", finishedSegment.name));
+              JobLookup.toClaimRow(entity.id(), write.spec).put("page", finishedSegment.name));
       if (write.coWrittenRow != null) {
         claimRowCount++;
         transaction
--- a/src/main/java/io/violetrail/api/JobSubmission.java
+++ b/src/main/java/io/violetrail/api/JobSubmission.java
@@ -24,7 +24,8 @@
   private static final String ID_FIELD = "name_id";
 
   private final int maxSpecBytes;
-  private final JobLifecycle jobLifecycle;
+  private final KnownJobs knownJobs;
+  private final JobLookup jobLookup;
   private final JobAdmission jobAdmission;
   private final JobQuery jobQuery;
 
@@ -34,9 +35,14 @@
    * @param maxValueBytes the size limit of a stored row; a job's description may take half of it
    */
   public JobSubmission(
-      int maxValueBytes, JobLifecycle jobLifecycle, JobAdmission jobAdmission, JobQuery jobQuery) {
+      int maxValueBytes,
+      KnownJobs knownJobs,
+      JobLookup jobLookup,
+      JobAdmission jobAdmission,
+      JobQuery jobQuery) {
     this.maxSpecBytes = maxValueBytes / 2;
-    this.jobLifecycle = jobLifecycle;
+    this.knownJobs = knownJobs;
+    this.jobLookup = jobLookup;
     this.jobAdmission = jobAdmission;
     this.jobQuery = jobQuery;
   }
@@ -81,7 +87,7 @@
   }
 
   private boolean isKnown(JobId id) {
-    return jobLifecycle.findTerminalView(id) != null || jobLifecycle.findEntityOf(id) != null;
+    return knownJobs.findTerminalView(id) != null || knownJobs.findEntityOf(id) != null;
   }
 
   private JobSpec parseSpec(JsonNode message) throws MalformedMessageException {
@@ -98,8 +104,7 @@
       case ACCEPTED ->
           respond.accept(
               HttpAnswer.of(
-                  201,
-                  JobMessages.viewMessage(new JobView(id.value(), JobStatus.QUEUED, 0, 0))));
+                  201, JobMessages.viewMessage(new JobView(id.value(), JobStatus.QUEUED, 0, 0))));
       case KNOWN -> jobQuery.answerKnown(id, respond);
       case IMPOSSIBLE -> respond.accept(HttpAnswer.error(422, decision.reason()));
       default -> respond.accept(HttpAnswer.unavailable(decision.reason()));
@@ -117,7 +122,7 @@
       return;
     }
     Futures.logFailure(
-        jobLifecycle
+        jobLookup
             .lookUp(id)
             .whenComplete(
                 (found, failure) -> {
--- a/src/main/java/io/violetrail/api/LocalCancellation.java
+++ b/src/main/java/io/violetrail/api/LocalCancellation.java
@@ -13,13 +13,18 @@
  */
 public final class LocalCancellation {
   private final Membership membership;
+  private final KnownJobs knownJobs;
   private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
 
   /** Cancels in the entities of the given membership. */
   public LocalCancellation(
-      Membership membership, JobLifecycle jobLifecycle, JobStateLookup jobStates) {
+      Membership membership,
+      KnownJobs knownJobs,
+      JobLifecycle jobLifecycle,
+      JobStateLookup jobStates) {
     this.membership = membership;
+    this.knownJobs = knownJobs;
     this.jobLifecycle = jobLifecycle;
     this.jobStates = jobStates;
   }
@@ -32,7 +37,7 @@
    *     is not open here under a valid lease.
    */
   public Optional<CompletableFuture<JobView>> tryCancel(JobId id) {
-    JobView finalView = jobLifecycle.findTerminalView(id);
+    JobView finalView = knownJobs.findTerminalView(id);
     if (finalView != null) {
       return Optional.of(CompletableFuture.completedFuture(finalView));
     }
--- a/src/main/java/io/violetrail/api/OpenJobIndex.java
+++ b/src/main/java/io/violetrail/api/OpenJobIndex.java
@@ -19,9 +19,13 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /** What is known of a held entity's sheets and pages, as of their last write or reading. */
 final class OpenJobIndex {
+  private static final Logger LOG = LoggerFactory.getLogger(OpenJobIndex.class);
+
   /** Part of a value that a sheet or page is filled to. */
   private static final double MAX_FILL_SHARE = 0.75;
 
@@ -219,7 +223,7 @@
           : new StoredJob(
               JobMessages.parsePackedSpec(id, job.value(), 2), job.value().path(1).asLong());
     } catch (MalformedMessageException exception) {
-      JobLifecycle.LOG.error("job {} cannot be read: {}", id, exception.getMessage());
+      LOG.error("job {} cannot be read: {}", id, exception.getMessage());
       return null;
     }
   }
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -74,8 +74,7 @@
         JOBS_PATH,
         Route.post(
             (body, respond) ->
-                jobSubmission.handle(
-                    body, timed("submit", CHANGE_TIMEOUT_SECONDS, respond))));
+                jobSubmission.handle(body, timed("submit", CHANGE_TIMEOUT_SECONDS, respond))));
     routes.put(
         "/metrics",
         Route.get((body, respond) -> respond.accept(HttpAnswer.text(metrics.render()))));
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -1,16 +1,21 @@
 package io.violetrail.controller;
 
+import io.violetrail.api.EntityJobStores;
 import io.violetrail.api.JobAdmission;
 import io.violetrail.api.JobCancellation;
 import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.JobLookup;
 import io.violetrail.api.JobQuery;
+import io.violetrail.api.JobRestorer;
 import io.violetrail.api.JobStateLookup;
 import io.violetrail.api.JobStateResolver;
 import io.violetrail.api.JobSubmission;
+import io.violetrail.api.KnownJobs;
 import io.violetrail.api.LocalCancellation;
 import io.violetrail.api.Metrics;
 import io.violetrail.api.PeerOwners;
 import io.violetrail.api.Readiness;
+import io.violetrail.api.UnknownTaskLookup;
 import io.violetrail.api.UserApi;
 import io.violetrail.calendar.ScheduleApi;
 import io.violetrail.calendar.ScheduleRegistry;
@@ -170,19 +175,27 @@
         new QuotaTransfer(loop, store, clusterView, membership, settings, configuration);
     entityMachines =
         new EntityMachines(loop, clusterView, membership, machineTypes, bootTimes, schedulingLoop);
+    final KnownJobs knownJobs = new KnownJobs();
+    final JobLookup jobLookup = new JobLookup(store, knownJobs);
+    EntityJobStores jobStores =
+        new EntityJobStores(loop, store, settings.stateStoreLimits(), membership);
     jobLifecycle =
         new JobLifecycle(
             loop,
-            store,
-            settings.stateStoreLimits(),
             membership,
+            jobStores,
+            knownJobs,
+            jobLookup,
             pendingQueues,
             objectives,
             warmCapacity,
             taskStopper,
             jobTracer);
     jobAdmission =
-        new JobAdmission(store, membership, configuration, machineTypes, jobLifecycle, jobTracer);
+        new JobAdmission(
+            store, membership, configuration, machineTypes, jobLookup, jobLifecycle, jobTracer);
+    final JobRestorer jobRestorer =
+        new JobRestorer(loop, jobStores, knownJobs, jobLifecycle, pendingQueues, objectives);
 
     // Scheduling.
     double heartbeatSeconds = settings.workerTiming().heartbeatIntervalSeconds();
@@ -276,7 +289,7 @@
             store,
             clusterView,
             entityMachines,
-            jobLifecycle,
+            jobRestorer,
             scaleOutRequests,
             schedulingLoop);
 
@@ -286,7 +299,11 @@
     LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobLifecycle, evidence);
     CommandWriter commandWriter = new CommandWriter(configuration, jobTracer, evidence);
     ReportReconciler reconciler =
-        new ReportReconciler(jobLifecycle, runtimeEstimates, new TaskFailureHandler(loop));
+        new ReportReconciler(
+            jobLifecycle,
+            new UnknownTaskLookup(loop, jobLookup, knownJobs, jobRestorer),
+            runtimeEstimates,
+            new TaskFailureHandler(loop));
     HeartbeatHandler heartbeatHandler =
         new HeartbeatHandler(
             loop,
@@ -313,9 +330,9 @@
             commandWriter);
 
     // What is served.
-    JobStateLookup jobStates = new JobStateLookup(membership, jobLifecycle);
+    JobStateLookup jobStates = new JobStateLookup(membership, knownJobs);
     final LocalCancellation localCancellation =
-        new LocalCancellation(membership, jobLifecycle, jobStates);
+        new LocalCancellation(membership, knownJobs, jobLifecycle, jobStates);
     PeerOwners peerOwners = new PeerOwners(settings.self(), clusterView);
     JobQuery jobQuery =
         new JobQuery(
@@ -323,16 +340,21 @@
                 settings.peers().keySet(),
                 clusterView,
                 peerOwners,
-                new PeerJobViews(peerClient, jobLifecycle),
-                jobLifecycle,
+                new PeerJobViews(peerClient, knownJobs),
+                knownJobs,
+                jobLookup,
                 jobStates));
     api =
         new UserApi(
             loop,
             new JobSubmission(
-                settings.stateStoreLimits().maxValueBytes(), jobLifecycle, jobAdmission, jobQuery),
+                settings.stateStoreLimits().maxValueBytes(),
+                knownJobs,
+                jobLookup,
+                jobAdmission,
+                jobQuery),
             jobQuery,
-            new JobCancellation(localCancellation, jobLifecycle, peerOwners, peerClient),
+            new JobCancellation(localCancellation, knownJobs, jobLookup, peerOwners, peerClient),
             heartbeatHandler,
             new Readiness(membership, machineTypes, configuration),
             jobTracer,
@@ -341,7 +363,7 @@
         new PeerService(
             membership,
             configuration,
-            jobLifecycle,
+            knownJobs,
             jobStates,
             localCancellation,
             workerReachability,
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -1,6 +1,6 @@
 package io.violetrail.controller;
 
-import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.JobRestorer;
 import io.violetrail.api.JobStore;
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.ScaleOutRequests;
@@ -32,7 +32,7 @@
   private final StateStore store;
   private final ClusterView clusterView;
   private final EntityMachines machines;
-  private final JobLifecycle jobLifecycle;
+  private final JobRestorer jobRestorer;
   private final ScaleOutRequests scaleOutRequests;
   private final SchedulingLoop schedulingLoop;
 
@@ -42,7 +42,7 @@
       StateStore store,
       ClusterView clusterView,
       EntityMachines machines,
-      JobLifecycle jobLifecycle,
+      JobRestorer jobRestorer,
       ScaleOutRequests scaleOutRequests,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
@@ -50,7 +50,7 @@
     this.store = store;
     this.clusterView = clusterView;
     this.machines = machines;
-    this.jobLifecycle = jobLifecycle;
+    this.jobRestorer = jobRestorer;
     this.scaleOutRequests = scaleOutRequests;
     this.schedulingLoop = schedulingLoop;
   }
@@ -67,7 +67,7 @@
     var openJobs =
         store
             .list(StateSchema.openJobPrefix(entity.id()))
-            .thenCompose(listing -> jobLifecycle.loadOpenJobs(entity, listing.entries()));
+            .thenCompose(listing -> jobRestorer.loadOpenJobs(entity, listing.entries()));
     var requests = store.list(StateSchema.scaleOutRequestPrefix(entity.id()));
     var progress = store.list(StateSchema.progressPrefix(entity.id()));
     // Rows of machines as of after the move: from here on only this owner changes them.
@@ -99,7 +99,7 @@
       return;
     }
     entity.activate();
-    jobLifecycle.restore(entity, rows.openJobs(), rows.progress());
+    jobRestorer.restore(entity, rows.openJobs(), rows.progress());
     scaleOutRequests.resumeRequests(entity, rows.requests());
     LOG.info(
         "entity {} version {} active: {} jobs, {} machines",
--- a/src/main/java/io/violetrail/peer/PeerJobViews.java
+++ b/src/main/java/io/violetrail/peer/PeerJobViews.java
@@ -1,6 +1,6 @@
 package io.violetrail.peer;
 
-import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.KnownJobs;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
@@ -13,13 +13,13 @@
 /** Asks peers for the states of jobs, many in one message, and remembers what cannot change. */
 public final class PeerJobViews {
   private final PeerClient peerClient;
-  private final JobLifecycle jobLifecycle;
+  private final KnownJobs knownJobs;
   private final JobQueryBatcher batcher = new JobQueryBatcher(this::ask);
 
   /** Lets the jobs learn what peers answer. */
-  public PeerJobViews(PeerClient peerClient, JobLifecycle jobLifecycle) {
+  public PeerJobViews(PeerClient peerClient, KnownJobs knownJobs) {
     this.peerClient = peerClient;
-    this.jobLifecycle = jobLifecycle;
+    this.knownJobs = knownJobs;
   }
 
   /** Asks the owner of a job for its current state; fails if the owner does not know it. */
@@ -38,7 +38,7 @@
       JobView view = status.toView();
       known.put(id, view);
       if (!status.entity().isEmpty()) {
-        jobLifecycle.recordFromPeer(id, new ControllerId(status.entity()), view);
+        knownJobs.recordFromPeer(id, new ControllerId(status.entity()), view);
       }
     }
     return known;
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -2,8 +2,8 @@
 
 import com.esotericsoftware.kryo.KryoException;
 import com.google.common.base.Splitter;
-import io.violetrail.api.JobLifecycle;
 import io.violetrail.api.JobStateLookup;
+import io.violetrail.api.KnownJobs;
 import io.violetrail.api.LocalCancellation;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.configuration.ConfigurationState;
@@ -35,7 +35,7 @@
 
   private final Membership membership;
   private final Configuration configuration;
-  private final JobLifecycle jobLifecycle;
+  private final KnownJobs knownJobs;
   private final JobStateLookup jobStates;
   private final LocalCancellation localCancellation;
   private final WorkerReachability workerReachability;
@@ -48,7 +48,7 @@
   public PeerService(
       Membership membership,
       Configuration configuration,
-      JobLifecycle jobLifecycle,
+      KnownJobs knownJobs,
       JobStateLookup jobStates,
       LocalCancellation localCancellation,
       WorkerReachability workerReachability,
@@ -58,7 +58,7 @@
       PeerCodec codec) {
     this.membership = membership;
     this.configuration = configuration;
-    this.jobLifecycle = jobLifecycle;
+    this.knownJobs = knownJobs;
     this.jobStates = jobStates;
     this.localCancellation = localCancellation;
     this.workerReachability = workerReachability;
@@ -145,7 +145,7 @@
       JobId id = new JobId(text);
       JobView view = jobStates.knownView(id);
       if (view != null) {
-        known.add(JobViewMessage.of(view, jobLifecycle.findEntityOf(id)));
+        known.add(JobViewMessage.of(view, knownJobs.findEntityOf(id)));
       }
     }
     return new PeerResponse(true, known);
@@ -162,8 +162,7 @@
             .get()
             .whenComplete(
                 (view, failure) ->
-                    respond.accept(
-                        failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
+                    respond.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
         "cancel a job for a peer");
   }
 }
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -1,6 +1,8 @@
 package io.violetrail.worker;
 
 import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.KnownJobs;
+import io.violetrail.api.UnknownTaskLookup;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.JobShape;
@@ -34,15 +36,18 @@
   private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
 
   private final JobLifecycle jobLifecycle;
+  private final UnknownTaskLookup unknownTaskLookup;
   private final RuntimeEstimates runtimeEstimates;
   private final TaskFailureHandler failureHandler;
 
   /** Tells the jobs what is done and the failure handler what has failed. */
   public ReportReconciler(
       JobLifecycle jobLifecycle,
+      UnknownTaskLookup unknownTaskLookup,
       RuntimeEstimates runtimeEstimates,
       TaskFailureHandler failureHandler) {
     this.jobLifecycle = jobLifecycle;
+    this.unknownTaskLookup = unknownTaskLookup;
     this.runtimeEstimates = runtimeEstimates;
     this.failureHandler = failureHandler;
   }
@@ -184,7 +189,8 @@
       TaskReport taskReport,
       Map<TaskId, Resources> unknownTasks,
       List<WorkerCommand> commands) {
-    JobLifecycle.KnownJob knownJob = jobLifecycle.findKnownJob(entity, taskReport.taskId().jobId());
+    KnownJobs.KnownJob knownJob =
+        unknownTaskLookup.findKnownJob(entity, taskReport.taskId().jobId());
     if (taskReport.state() != TaskState.EXITED) {
       // Its halt goes with whatever renews the lease.
       unknownTasks.put(
