--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -1,5 +1,7 @@
 package io.violetrail.api;
 
+import io.violetrail.errors.RequestFailedException;
+import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.WarmCapacity;
 import io.violetrail.model.JobId;
@@ -14,7 +16,6 @@
 import io.violetrail.scheduling.PendingQueues;
 import io.violetrail.scheduling.ServiceLevelObjectives;
 import io.violetrail.scheduling.TaskPlacement;
-import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.tracing.JobTracer;
 import io.violetrail.worker.TaskStopper;
 import java.util.concurrent.CompletableFuture;
@@ -110,7 +111,7 @@
    * Stores a new job and opens it.
    *
    * @param coWrittenRow a row that is stored in the same transaction; null if there is none
-   * @return fails with a {@code StateUnavailableException} if it is not known to be stored
+   * @return fails with a {@code RequestFailedException} if it is not known to be stored
    */
   public CompletableFuture<StoreResult> store(
       OwnedEntity entity, JobSpec spec, CoWrittenRow coWrittenRow) {
@@ -126,7 +127,7 @@
             .whenComplete(
                 (stored, failure) -> {
                   if (failure != null) {
-                    result.completeExceptionally(StateUnavailableException.from(failure));
+                    result.completeExceptionally(RequestFailedException.from(failure));
                     return;
                   }
                   if (stored.newlyStored()) {
@@ -193,7 +194,7 @@
         .handle(
             (stored, failure) -> {
               if (failure != null) {
-                membership.verifyOwnership();
+                membership.relist();
                 if (entity.phase() != OwnedEntity.Phase.LOST) {
                   // Refused for a reason that may pass: nobody else would ever store this end.
                   loop.schedule(
@@ -254,8 +255,7 @@
                       if (failure == null && view != null) {
                         cancelled.complete(view);
                       } else {
-                        cancelled.completeExceptionally(
-                            new StateUnavailableException("not stored", 0));
+                        cancelled.completeExceptionally(RequestUndecidedException.notStored());
                       }
                     }));
     return cancelled;
--- a/src/main/java/io/violetrail/api/JobStateResolver.java
+++ b/src/main/java/io/violetrail/api/JobStateResolver.java
@@ -1,5 +1,6 @@
 package io.violetrail.api;
 
+import io.violetrail.errors.PeerUnavailableException;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
@@ -102,7 +103,7 @@
         CompletableFuture.allOf(peerViews.toArray(CompletableFuture[]::new))
             .whenComplete(
                 (nothing, failure) ->
-                    first.completeExceptionally(new IllegalStateException("no peer knows"))),
+                    first.completeExceptionally(PeerUnavailableException.noneKnows(id))),
         "wait for all peers' answers");
     return first;
   }
@@ -116,7 +117,7 @@
   private CompletableFuture<JobView> viewFromOwner(JobId id, ControllerId entity) {
     ControllerId owner = peerOwners.findLivePeerOwning(entity);
     if (owner == null) {
-      return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
+      return CompletableFuture.failedFuture(PeerUnavailableException.noLiveOwner(entity));
     }
     return peerJobViews.view(owner, id);
   }
--- a/src/main/java/io/violetrail/api/JobSubmission.java
+++ b/src/main/java/io/violetrail/api/JobSubmission.java
@@ -92,7 +92,7 @@
 
   private JobSpec parseSpec(JsonNode message) throws MalformedMessageException {
     JobSpec spec = JobMessages.parseSubmission(message);
-    if (Cbor.encode(JobMessages.jobSpec(spec)).length > maxSpecBytes) {
+    if (Cbor.encode(JobMessages.submissionMessage(spec)).length > maxSpecBytes) {
       throw new MalformedMessageException("the job's description is too long");
     }
     return spec;
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -3,6 +3,8 @@
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.RequestHandler;
 import io.violetrail.tracing.JobTracer;
+import io.violetrail.wire.HeartbeatMessages;
+import io.violetrail.wire.JobMessages;
 import io.violetrail.worker.HeartbeatHandler;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,9 +17,7 @@
  * after the start; nothing of it needs to survive a crash.
  */
 public final class UserApi implements RequestHandler {
-  private static final String JOBS_PATH = "/work";
-  private static final String JOB_PATH_PREFIX = JOBS_PATH + "/";
-  private static final String CANCEL_PATH_SUFFIX = "/abort";
+  private static final String JOB_PATH_PREFIX = JobMessages.JOBS_PATH + "/";
 
   /** Below the 2 s that users wait for the answer to a poll. */
   private static final double QUERY_TIMEOUT_SECONDS = 1.8;
@@ -65,13 +65,13 @@
     this.metrics = metrics;
     Map<String, Route> routes = new HashMap<>();
     routes.put(
-        "/agent/beat",
+        HeartbeatMessages.HEARTBEAT_PATH,
         Route.post(
             (body, respond) ->
                 heartbeatHandler.handle(body, metrics.recordLatency("beat", respond))));
     routes.put("/ready", Route.get((body, respond) -> respond.accept(healthAnswer(readiness))));
     routes.put(
-        JOBS_PATH,
+        JobMessages.JOBS_PATH,
         Route.post(
             (body, respond) ->
                 jobSubmission.handle(body, timed("submit", CHANGE_TIMEOUT_SECONDS, respond))));
@@ -114,13 +114,15 @@
   /** The route of a path that names one job. */
   private Route jobRoute(String path) {
     String subpath = path.substring(JOB_PATH_PREFIX.length());
-    if (!path.endsWith(CANCEL_PATH_SUFFIX)) {
+    if (!path.endsWith(JobMessages.CANCEL_PATH_SUFFIX)) {
       return Route.get(
           (body, respond) ->
               jobQuery.handle(subpath, timed("poll", QUERY_TIMEOUT_SECONDS, respond)));
     }
     // The prefix and the suffix share their slash if there is no id between them.
-    String id = subpath.substring(0, Math.max(0, subpath.length() - CANCEL_PATH_SUFFIX.length()));
+    String id =
+        subpath.substring(
+            0, Math.max(0, subpath.length() - JobMessages.CANCEL_PATH_SUFFIX.length()));
     return Route.post(
         (body, respond) ->
             jobCancellation.handle(id, timed("abort", CHANGE_TIMEOUT_SECONDS, respond)));
--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -6,33 +6,40 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import io.violetrail.errors.MalformedDataException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 
 /** CBOR bodies as Jackson trees, with the checks that every message needs. */
 public final class Cbor {
+  private static final int MAX_NESTING_DEPTH = 32;
+  private static final double MAX_AMOUNT = 1e12;
   private static final ObjectMapper MAPPER =
       new ObjectMapper(
           CBORFactory.builder()
-              .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(32).build())
+              .streamReadConstraints(
+                  StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
               .build());
 
   private Cbor() {}
 
   /** A message that breaks the protocol. */
-  public static final class MalformedMessageException extends Exception {
+  public static final class MalformedMessageException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
+    /** A message with the reason for which it is refused, as it is told to its sender. */
     public MalformedMessageException(String reason) {
-      super(reason, null, false, false);
+      super(reason);
     }
   }
 
+  /** An empty map. */
   public static ObjectNode newMap() {
     return MAPPER.createObjectNode();
   }
 
+  /** An empty list. */
   public static ArrayNode newList() {
     return MAPPER.createArrayNode();
   }
@@ -83,7 +90,7 @@
       throw new MalformedMessageException(field + " must be a number");
     }
     double value = node.asDouble();
-    if (!Double.isFinite(value) || value < 0 || value > 1e12) {
+    if (!Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
       throw new MalformedMessageException(field + " is out of range");
     }
     return value;
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -14,6 +14,15 @@
 
 /** The workers' messages. */
 public final class HeartbeatMessages {
+  /** Where a controller takes heartbeats. */
+  public static final String HEARTBEAT_PATH = "/agent/beat";
+
+  /** Where a worker takes direct commands. */
+  public static final String COMMANDS_PATH = "/orders";
+
+  /** Where a worker tells its status. */
+  public static final String STATUS_PATH = "/status";
+
   private HeartbeatMessages() {}
 
   /** A worker's report. {@code spotNoticeSeconds} is null without a spot notice. */
@@ -33,6 +42,7 @@
       return tasks.stream().anyMatch(p -> p.state() != TaskState.EXITED);
     }
 
+    /** Whether the worker sent this report after the one with the given numbers. */
     public boolean isNewerThan(long otherSession, long otherSequence) {
       return session > otherSession || (session == otherSession && sequence > otherSequence);
     }
@@ -44,22 +54,35 @@
 
   /** A task's state on its machine. */
   public enum TaskState {
+    /** Waits for its image. */
     FETCHING,
+    /** Waits for the other tasks of its gang's attempt. */
     WAITING_FOR_GANG,
+    /** Runs, or is being stopped with its gang. */
     RUNNING,
+    /** Was told to stop and saves its progress. */
     CHECKPOINTING,
+    /** Has ended; see its exit cause. */
     EXITED
   }
 
   /** Why a task ended. */
   public enum ExitCause {
+    /** Completed. */
     DONE,
+    /** Stopped by command. */
     STOPPED,
+    /** Another task of its gang is gone. */
     GANG_MEMBER_LOST,
+    /** Its gang was not complete in time. */
     GANG_INCOMPLETE,
+    /** Failed; mostly the machine is faulty. */
     ERROR,
+    /** The machine refused the start: not enough is free. */
     INSUFFICIENT_RESOURCES,
+    /** The machine refused the start: another attempt of the task is there. */
     BUSY,
+    /** The machine refused the start: the job is not known to it. */
     UNKNOWN
   }
 
@@ -67,8 +90,11 @@
   public record WorkerCommand(CommandType type, TaskId taskId, long attempt, double graceSeconds) {
     /** What a worker can be told. */
     public enum CommandType {
+      /** Start an attempt of a task; without effect if the worker has it already. */
       LAUNCH,
+      /** Stop an attempt, with time to save a checkpoint. */
       STOP,
+      /** Remove an exited attempt from the reports. */
       FORGET
     }
   }
@@ -114,7 +140,7 @@
   /**
    * Decodes a worker's heartbeat.
    *
-   * @throws MalformedRequestException if a required field is missing or has the wrong type
+   * @throws MalformedMessageException if a required field is missing or has the wrong type
    */
   public static WorkerReport parseReport(JsonNode message) throws MalformedMessageException {
     List<TaskReport> tasks = new ArrayList<>();
@@ -185,6 +211,16 @@
         taskId, parseCounter(message, "try"), state, exitCause, kept != null && kept.asBoolean());
   }
 
+  /**
+   * Commands that are sent to a worker outside the reply to a heartbeat.
+   *
+   * @param session the only session of the worker in which they are carried out
+   */
+  public static ObjectNode directCommands(
+      Version fencingToken, long session, List<WorkerCommand> commands) {
+    return commandReply(fencingToken, commands).put("tenure", session);
+  }
+
   /** Commands under a token; in an answer to a report this renews the worker's lease. */
   public static ObjectNode commandReply(Version fencingToken, List<WorkerCommand> commands) {
     ObjectNode message = Cbor.newMap().put("baton", fencingToken.requireToken().value());
