--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -1,6 +1,7 @@
 package io.violetrail.worker;
 
 import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.UnknownTaskLookup;
 import io.violetrail.fleet.Machine;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.RuntimeEstimates;
@@ -18,15 +19,18 @@
  */
 public final class ReportReconciler {
   private final JobLifecycle jobLifecycle;
+  private final UnknownTaskLookup unknownTaskLookup;
   private final RuntimeEstimates runtimeEstimates;
   private final TaskFailureHandler failureHandler;
 
   /** Passes progress to {@code jobLifecycle} and failures to {@code failureHandler}. */
   public ReportReconciler(
       JobLifecycle jobLifecycle,
+      UnknownTaskLookup unknownTaskLookup,
       RuntimeEstimates runtimeEstimates,
       TaskFailureHandler failureHandler) {
     this.jobLifecycle = jobLifecycle;
+    this.unknownTaskLookup = unknownTaskLookup;
     this.runtimeEstimates = runtimeEstimates;
     this.failureHandler = failureHandler;
   }
@@ -43,7 +47,14 @@
       double nowSeconds,
       List<WorkerCommand> commands) {
     new ReportReconciliation(
-            jobLifecycle, runtimeEstimates, failureHandler, entity, machine, nowSeconds, commands)
+            jobLifecycle,
+            unknownTaskLookup,
+            runtimeEstimates,
+            failureHandler,
+            entity,
+            machine,
+            nowSeconds,
+            commands)
         .run(report);
   }
 }
--- a/src/main/java/io/violetrail/worker/ReportReconciliation.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciliation.java
@@ -1,6 +1,8 @@
 package io.violetrail.worker;
 
 import io.violetrail.api.JobLifecycle;
+import io.violetrail.api.KnownJobs;
+import io.violetrail.api.UnknownTaskLookup;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.JobShape;
@@ -33,6 +35,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ReportReconciliation.class);
 
   private final JobLifecycle jobLifecycle;
+  private final UnknownTaskLookup unknownTaskLookup;
   private final RuntimeEstimates runtimeEstimates;
   private final TaskFailureHandler failureHandler;
   private final OwnedEntity entity;
@@ -48,6 +51,7 @@
 
   ReportReconciliation(
       JobLifecycle jobLifecycle,
+      UnknownTaskLookup unknownTaskLookup,
       RuntimeEstimates runtimeEstimates,
       TaskFailureHandler failureHandler,
       OwnedEntity entity,
@@ -55,6 +59,7 @@
       double nowSeconds,
       List<WorkerCommand> commands) {
     this.jobLifecycle = jobLifecycle;
+    this.unknownTaskLookup = unknownTaskLookup;
     this.runtimeEstimates = runtimeEstimates;
     this.failureHandler = failureHandler;
     this.entity = entity;
@@ -198,7 +203,8 @@
 
   /** A task of a job that is finished or cancelled, or that this owner has not loaded. */
   private void reconcileUnknownTask(TaskReport taskReport) {
-    JobLifecycle.KnownJob knownJob = jobLifecycle.findKnownJob(entity, taskReport.taskId().jobId());
+    KnownJobs.KnownJob knownJob =
+        unknownTaskLookup.findKnownJob(entity, taskReport.taskId().jobId());
     if (taskReport.state() != TaskState.EXITED) {
       // The stop of a finished or cancelled job's task goes with whatever renews the lease.
       unknownTasks.put(
