--- a/src/main/java/io/violetrail/scheduling/BinPacker.java
+++ b/src/main/java/io/violetrail/scheduling/BinPacker.java
@@ -279,7 +279,7 @@
   private boolean isAffordable(Job job, Machine machine, double nowSeconds) {
     int sharingTaskCount = job.unplacedCount() + machine.placements().size();
     double worth =
-        job.worthAt(
+        job.maxPriceRatio(
             nowSeconds,
             () ->
                 objectives.maxPriceRatio(
--- a/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
+++ b/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
@@ -7,87 +7,109 @@
 import java.util.Map;
 
 /**
- * What the failures of a job say, by contrast: a job of which nothing has ended well anywhere, and
- * that fails on several machines that are not themselves out of use, is suspect. It was accepted
- * and the fault may yet be the machines', so it keeps being tried, but one probe at a time and
- * after ever longer pauses of the whole job.
+ * A job's failures and what they say about it. {@link FailureAttribution} makes a job suspect of
+ * which no task has succeeded anywhere and that fails on several machines that are not quarantined.
+ * It was accepted, and the fault may still be the machines', so it keeps being retried, but one
+ * probe at a time and with exponential backoff of the whole job.
+ *
+ * <p>Part of one {@link Job}, used on the event loop's thread; lost with the process: the next
+ * owner trusts the job again until it fails.
  */
 public final class JobFailureHistory {
   private static final double MAX_BACKOFF_SECONDS = 60;
 
-  /** Failures this close together come of one try: tasks of a wide job start side by side. */
-  private static final double SAME_TRY_SECONDS = 1;
+  /** Having failed on so many machines a job avoids none of them any longer. */
+  private static final int AVOIDED_MACHINES_LIMIT = 3;
 
-  /** A task that runs for so many times as long as any that failed runs well. */
+  /** Failures this close together count as one attempt: tasks of a wide job start side by side. */
+  private static final double SAME_ATTEMPT_SECONDS = 1;
+
+  /** A task that runs for so many times as long as any that failed is healthy. */
   private static final double HEALTHY_RUN_FACTOR = 3;
 
-  /** Reports show starts and ends only so exactly. */
+  /** Heartbeats show starts and exits no more precisely. */
   private static final double MIN_HEALTHY_RUN_SECONDS = 10;
 
   private final Map<MachineId, Machine> failedMachinesById = new HashMap<>();
-  private int tryCount;
-  private double lastTryAtSeconds = Double.NEGATIVE_INFINITY;
+  private int errorCount;
+  private int failedAttemptCount;
+  private double lastFailedAttemptAtSeconds = Double.NEGATIVE_INFINITY;
   private double backoffUntilSeconds = Double.NEGATIVE_INFINITY;
   private double longestFailedRunSeconds;
   private boolean suspect;
+
+  /** A task of the job was healthy after the job had failed. */
   private boolean proven;
 
-  /** A task of the job has failed there after so long. */
+  /**
+   * A task of the job has failed by an error of its own, which extends the backoff.
+   *
+   * @param ranSeconds how long it ran; 0 if it was never seen running
+   */
   void recordFailure(Machine machine, double ranSeconds, double nowSeconds) {
+    errorCount++;
     failedMachinesById.put(machine.id(), machine);
     longestFailedRunSeconds = Math.max(longestFailedRunSeconds, ranSeconds);
-    if (nowSeconds - lastTryAtSeconds > SAME_TRY_SECONDS) {
-      tryCount++;
-      lastTryAtSeconds = nowSeconds;
+    if (nowSeconds - lastFailedAttemptAtSeconds > SAME_ATTEMPT_SECONDS) {
+      failedAttemptCount++;
+      lastFailedAttemptAtSeconds = nowSeconds;
     }
     backoffUntilSeconds =
         Math.max(
-            backoffUntilSeconds, nowSeconds + Math.min(MAX_BACKOFF_SECONDS, Math.pow(2, tryCount)));
+            backoffUntilSeconds,
+            nowSeconds + Math.min(MAX_BACKOFF_SECONDS, Math.pow(2, failedAttemptCount)));
   }
 
-  /** A task of the job runs well: what failed was its machine's doing. */
+  /** A task of the job is healthy or done: the failures before were the machines'. */
   void recordSuccess() {
     suspect = false;
     proven = true;
-    tryCount = 0;
+    failedAttemptCount = 0;
     backoffUntilSeconds = Double.NEGATIVE_INFINITY;
   }
 
-  /** A probe has run for longer than any failure took, so others may follow. */
+  /** Whether a task has run for so much longer than any that failed that it counts as healthy. */
   boolean isHealthyRun(double ranSeconds) {
     return ranSeconds
         > Math.max(MIN_HEALTHY_RUN_SECONDS, HEALTHY_RUN_FACTOR * longestFailedRunSeconds);
   }
 
-  void setSuspect(boolean suspectNow) {
-    suspect = suspectNow;
+  /** The job fails wherever it runs; this ends with {@link #recordSuccess}. */
+  void markSuspect() {
+    suspect = true;
   }
 
+  /** Whether the job fails wherever it runs. */
   public boolean isSuspect() {
     return suspect;
   }
 
-  /** It has run well somewhere after it had failed. */
+  /** Whether a task of it was healthy somewhere after the job had failed. */
   boolean isProven() {
     return proven;
   }
 
-  public boolean hasFailures() {
+  /** How many times tasks of the job have failed by an error of their own. */
+  int errorCount() {
+    return errorCount;
+  }
+
+  boolean hasFailures() {
     return !failedMachinesById.isEmpty();
   }
 
-  /** Whether the whole job waits before it is tried again. */
+  /** Whether the whole job waits before its next probe. */
   boolean isBackingOff(double nowSeconds) {
     return suspect && nowSeconds < backoffUntilSeconds;
   }
 
-  /** When a single task that failed may be tried again. */
+  /** When a task that has failed may be retried. */
   double retryAtSeconds() {
     return backoffUntilSeconds;
   }
 
-  /** Machines on which it failed, as long as they are not out of use for that. */
-  int countMachinesInUse() {
+  /** On how many machines it has failed that are not quarantined. */
+  int countFailedMachinesInUse() {
     int count = 0;
     for (Machine machine : failedMachinesById.values()) {
       count += machine.quarantined() ? 0 : 1;
@@ -95,9 +117,13 @@
     return count;
   }
 
-  /** A machine on which it failed gets it again only once it has failed in several places. */
+  /**
+   * Whether the machine is not given the job again: it has failed there, and not on several other
+   * machines as well.
+   */
   boolean avoidsMachine(MachineId machineId) {
-    return failedMachinesById.size() < 3 && failedMachinesById.containsKey(machineId);
+    return failedMachinesById.size() < AVOIDED_MACHINES_LIMIT
+        && failedMachinesById.containsKey(machineId);
   }
 
   List<Machine> failedMachines() {
--- /dev/null
+++ b/src/main/java/io/violetrail/scheduling/JobTasks.java
@@ -0,0 +1,140 @@
+package io.violetrail.scheduling;
+
+import io.violetrail.evidence.TaskDeparture;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Optional;
+import org.agrona.collections.Int2ObjectHashMap;
+
+/**
+ * The states of a job's tasks by their index: placed, done, done and stored, or none of these, and
+ * where each was last.
+ *
+ * <p>Invariant: a task is done or placed exactly if it is in {@link #doneOrPlaced}; a stored task
+ * is done. Part of one {@link Job}, used on the event loop's thread. After a crash the next owner
+ * loads what is stored; placements come back with the reports of workers, departures are lost.
+ */
+final class JobTasks {
+  private final int taskCount;
+  private final BitSet done = new BitSet();
+  private int doneCount;
+
+  /** Those among the done tasks that the state store has as done. */
+  private final BitSet storedDone = new BitSet();
+
+  private final Int2ObjectHashMap<TaskPlacement> placementsByIndex = new Int2ObjectHashMap<>();
+
+  /** Lets the next unplaced task of a wide job be found without a search. */
+  private final BitSet doneOrPlaced = new BitSet();
+
+  /** Where tasks were last that wait to start again. */
+  private final Int2ObjectHashMap<TaskDeparture> lastDepartures = new Int2ObjectHashMap<>();
+
+  JobTasks(int taskCount) {
+    this.taskCount = taskCount;
+  }
+
+  boolean isDone(int index) {
+    return done.get(index);
+  }
+
+  void markDone(int index) {
+    if (!done.get(index)) {
+      done.set(index);
+      doneCount++;
+      doneOrPlaced.set(index);
+    }
+  }
+
+  int doneCount() {
+    return doneCount;
+  }
+
+  boolean areAllDone() {
+    return doneCount == taskCount;
+  }
+
+  /** A copy. */
+  BitSet doneTasks() {
+    return (BitSet) done.clone();
+  }
+
+  boolean isStored(int index) {
+    return storedDone.get(index);
+  }
+
+  void markStored(int index) {
+    storedDone.set(index);
+  }
+
+  void markAllStored() {
+    storedDone.or(done);
+  }
+
+  boolean areAllDoneStored() {
+    return storedDone.cardinality() >= doneCount;
+  }
+
+  /** Relative to {@code from}; {@code to} is exclusive. */
+  BitSet doneNotStored(int from, int to) {
+    BitSet notStored = done.get(from, to);
+    notStored.andNot(storedDone.get(from, to));
+    return notStored;
+  }
+
+  int unplacedCount() {
+    return taskCount - doneOrPlaced.cardinality();
+  }
+
+  /** The next task at or after {@code from} that is neither done nor placed; -1 if none is. */
+  int findNextUnplaced(int from) {
+    int index = doneOrPlaced.nextClearBit(from);
+    return index < taskCount ? index : -1;
+  }
+
+  /** Null if the task is not placed. */
+  TaskPlacement findPlacement(int index) {
+    return placementsByIndex.get(index);
+  }
+
+  /** A copy. */
+  List<TaskPlacement> placements() {
+    return List.copyOf(placementsByIndex.values());
+  }
+
+  boolean hasNoPlacements() {
+    return placementsByIndex.isEmpty();
+  }
+
+  int runningCount() {
+    int runningCount = 0;
+    for (TaskPlacement placement : placementsByIndex.values()) {
+      runningCount += placement.isRunning() ? 1 : 0;
+    }
+    return runningCount;
+  }
+
+  void addPlacement(TaskPlacement placement) {
+    placementsByIndex.put(placement.taskIndex(), placement);
+    doneOrPlaced.set(placement.taskIndex());
+  }
+
+  /** Nothing happens if the task has another placement by now. */
+  void removePlacement(TaskPlacement placement) {
+    int index = placement.taskIndex();
+    if (placementsByIndex.get(index) == placement) {
+      placementsByIndex.remove(index);
+      doneOrPlaced.set(index, done.get(index));
+    }
+  }
+
+  void recordDeparture(int index, TaskDeparture departure) {
+    lastDepartures.put(index, departure);
+  }
+
+  Optional<TaskDeparture> removeLastDeparture(int index) {
+    return lastDepartures.isEmpty()
+        ? Optional.empty()
+        : Optional.ofNullable(lastDepartures.remove(index));
+  }
+}
--- a/src/main/java/io/violetrail/scheduling/PendingQueue.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueue.java
@@ -66,14 +66,14 @@
       List<DeadlineSelection.PendingJob> pendingJobs = new ArrayList<>();
       List<Job> firstTaskJobs = new ArrayList<>();
       for (Job job : jobs) {
-        job.setToBegin(isOverdueForFirstTask(job, nowSeconds));
+        job.prioritizeForFirstTask(isOverdueForFirstTask(job, nowSeconds));
         if (job.prioritizedForFirstTask()) {
           firstTaskJobs.add(job);
           continue;
         }
         double runtimeSeconds = runtimeEstimates.expectedRuntimeSeconds(job.spec());
         // What fails wherever it goes comes after all that may be in time.
-        boolean suspect = job.failureHistory().isSuspect();
+        boolean suspect = job.isSuspect();
         double deadlineAtSeconds =
             suspect
                 ? Double.POSITIVE_INFINITY
@@ -100,7 +100,7 @@
         && job.hasNoPlacements()
         && job.doneCount() == 0
         && !job.bestEffort()
-        && !job.failureHistory().isSuspect();
+        && !job.isSuspect();
   }
 
   private static boolean usesAccelerators(Job job) {
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -47,11 +47,10 @@
    * stopped tasks are gone; until then the room is reserved for it.
    */
   void preemptFor(OwnedEntity entity, Job job, double nowSeconds) {
-    if (nowSeconds < job.nextPreemptionAtSeconds()
-        || !entity.hasPlacedTaskBelow(job.spec().priority())) {
+    if (!job.mayPreempt(nowSeconds) || !entity.hasPlacedTaskBelow(job.spec().priority())) {
       return;
     }
-    job.makeRoomNotBefore(nowSeconds + RETRY_SECONDS);
+    job.preemptNotBefore(nowSeconds + RETRY_SECONDS);
     Map<String, List<PreemptionCandidate>> candidatesByZone = new HashMap<>();
     for (Machine machine : entity.machines().values()) {
       if (machine.reservedForJob() == job && nowSeconds <= machine.reservedUntilSeconds()) {
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -6,7 +6,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides when a task that has ended without being done may be tried again. */
+/**
+ * Decides when a task that has exited without being done may be retried.
+ *
+ * <p>Called on the event loop's thread; has no state.
+ */
 public final class TaskFailureHandler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailureHandler.class);
   private static final double RETRY_AFTER_REFUSAL_SECONDS = 1.5;
@@ -14,34 +18,32 @@
 
   private final EventLoop loop;
 
-  /** Takes the time of failures from the loop. */
+  /** Reads the time of failures from the loop's clock. */
   public TaskFailureHandler(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** A task has ended on the machine without being done. */
+  /** A task has exited on the machine without being done. */
   public void taskFailed(Machine machine, TaskPlacement placement, ExitCause cause) {
-    double now = loop.monotonicSeconds();
+    double nowSeconds = loop.monotonicSeconds();
     Job job = placement.job();
     int index = placement.taskIndex();
     switch (cause) {
       case ERROR -> {
-        double ranSeconds =
-            placement.runningSinceSeconds() > 0 ? now - placement.runningSinceSeconds() : 0;
+        double ranSeconds = placement.hasRun() ? placement.ranSeconds(nowSeconds) : 0;
         LOG.info(
             "task {}/{} failed on {} after {} s",
             job.spec().id(),
             index,
             machine.id(),
             Math.round(ranSeconds));
-        job.countError();
-        FailureAttribution.recordFailure(machine, job, ranSeconds, now);
-        job.retryNotBefore(index, job.failureHistory().retryAtSeconds());
+        FailureAttribution.recordFailure(machine, job, ranSeconds, nowSeconds);
+        job.retries().retryNotBefore(index, job.failureHistory().retryAtSeconds());
       }
       case INSUFFICIENT_RESOURCES, BUSY ->
-          job.retryNotBefore(index, now + RETRY_AFTER_REFUSAL_SECONDS);
-      case UNKNOWN -> job.retryNotBefore(index, now + RETRY_AFTER_UNKNOWN_SECONDS);
-      default -> job.retryAtOnce(index);
+          job.retries().retryNotBefore(index, nowSeconds + RETRY_AFTER_REFUSAL_SECONDS);
+      case UNKNOWN -> job.retries().retryNotBefore(index, nowSeconds + RETRY_AFTER_UNKNOWN_SECONDS);
+      default -> job.retries().retryAtOnce(index);
     }
   }
 }
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -193,8 +193,7 @@
     for (int taskIndex = job.findNextUnplaced(0);
         taskIndex >= 0 && placedCount < startableCount;
         taskIndex = job.findNextUnplaced(taskIndex + 1)) {
-      Double retryNotBeforeSeconds = job.retryNotBeforeSeconds(taskIndex);
-      if (retryNotBeforeSeconds != null && retryNotBeforeSeconds > nowSeconds) {
+      if (!job.retries().mayStart(taskIndex, nowSeconds)) {
         continue;
       }
       if (fittingMachines == null) {
@@ -212,7 +211,7 @@
       }
       entity.addPlacement(
           new TaskPlacement(job, taskIndex, machine, entity.nextAttemptId(), nowSeconds));
-      job.setToBegin(false);
+      job.prioritizeForFirstTask(false);
       queueNotification(machine);
       placedCount++;
       if (zonesMatter) {
@@ -224,7 +223,7 @@
 
   /** Nothing that runs well is stopped for a job that fails wherever it goes. */
   private void preemptIfWorthwhile(OwnedEntity entity, Job job, double nowSeconds) {
-    if (!job.failureHistory().isSuspect()
+    if (!job.isSuspect()
         && !(BinPacker.startsTaskByTask(job) && preemptBestEffortFor(entity, job, nowSeconds))) {
       preemption.preemptFor(entity, job, nowSeconds);
     }
@@ -268,7 +267,7 @@
     if (!job.hasNoPlacements() || !gangResources.fitsIn(quota)) {
       return Resources.NONE;
     }
-    if (job.anyRetryLater(nowSeconds)) {
+    if (!job.retries().mayStartAll(nowSeconds)) {
       return Resources.NONE;
     }
     List<Machine> chosenMachines = binPacker.planGang(job, schedulableMachines, nowSeconds);
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -2,7 +2,6 @@
 
 import io.violetrail.configuration.Configuration;
 import io.violetrail.evidence.EvidenceLog;
-import io.violetrail.evidence.TaskDeparture;
 import io.violetrail.fleet.Machine;
 import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.tracing.JobTracer;
@@ -67,11 +66,13 @@
     LOG.debug(
         "task {} attempt {} launched on {}", placement.taskId(), placement.attempt(), machine.id());
     jobTracer.taskLaunched(placement.job().spec().id(), machine.id());
-    TaskDeparture departure = placement.job().removeLastDeparture(placement.taskIndex());
-    if (departure != null) {
-      evidence.recordStartElsewhere(
-          placement.taskId(), placement.attempt(), machine.id(), departure);
-    }
+    placement
+        .job()
+        .removeLastDeparture(placement.taskIndex())
+        .ifPresent(
+            departure ->
+                evidence.recordStartElsewhere(
+                    placement.taskId(), placement.attempt(), machine.id(), departure));
   }
 
   /** A task that is saving its checkpoint is left to it, unless it is to stop at once. */
