--- a/src/main/java/io/violetrail/config/Settings.java
+++ b/src/main/java/io/violetrail/config/Settings.java
@@ -47,9 +47,38 @@
   public record Team(
       String name, double guaranteedCpus, double guaranteedGpus, double maxCpus, double maxGpus) {}
 
-  /** An aim that the users state; {@code jobClass} may be null. */
+  /**
+   * A service-level objective that the users state.
+   *
+   * @param kind as in the settings; one that is no {@link Kind} is kept and has no effect
+   * @param jobClass may be null: then it applies to no job class
+   * @param withinSeconds for {@link Kind#WAIT} and {@link Kind#FINISHED}
+   * @param share of the jobs that are to meet it, from 0 to 1
+   * @param deadlineFactor for {@link Kind#DEADLINE}
+   */
   public record Objective(
-      String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {}
+      String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {
+    /** What is expected of a job. */
+    public enum Kind {
+      /** To start within some seconds of its arrival. */
+      WAIT("wait"),
+      /** To be complete within some seconds of its arrival. */
+      FINISHED("finished"),
+      /** To be complete within its own deadline, times a factor. */
+      DEADLINE("deadline");
+
+      private final String settingsText;
+
+      Kind(String settingsText) {
+        this.settingsText = settingsText;
+      }
+    }
+
+    /** Whether it is of that kind and states something of the job class. */
+    public boolean applies(Kind expectedKind, String expectedJobClass) {
+      return expectedKind.settingsText.equals(kind) && expectedJobClass.equals(jobClass);
+    }
+  }
 
   /** What the workers go by. */
   public record WorkerTiming(
--- a/src/main/java/io/violetrail/scheduling/BinPacker.java
+++ b/src/main/java/io/violetrail/scheduling/BinPacker.java
@@ -4,86 +4,72 @@
 import io.violetrail.fleet.Prices;
 import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
-import io.violetrail.model.Resources;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 
 /**
- * Chooses machines for tasks: the best fit among a few sampled ones with room. Plain decisions on
- * what is handed in; nothing is changed here.
+ * Chooses machines for tasks: the best ({@link MachineScorer}) of a few sampled machines that fit
+ * ({@link PlacementConstraints}). It changes neither jobs nor machines.
+ *
+ * <p>Called by {@link TaskScheduler} on the event loop's thread, between {@link #beginPass} and the
+ * end of a pass. Nothing survives the process.
  */
 public final class BinPacker {
-  /** A class of jobs not seen for this long is not kept room for. */
-  private static final double RECENT_DEMAND_SECONDS = 600;
-
-  /** Weight of a fetch that takes all of the time within which the job is to start. */
-  private static final double URGENT_FETCH_WEIGHT = 1.5;
+  /** A machine used less than this may be emptied, so that it can be returned. */
+  private static final double LIGHT_USE_SHARE = 0.5;
 
-  private final ServiceLevelObjectives objectives;
-  private final RuntimeEstimates runtimeEstimates;
+  private final RecentAcceleratorDemand acceleratorDemand = new RecentAcceleratorDemand();
+  private final PlacementConstraints constraints;
+  private final MachineScorer scorer;
   private final Random random;
   private final int sampleSize;
-
-  /** Classes of jobs with accelerators that were here lately, with what their tasks take. */
-  private final Map<String, AcceleratorDemand> recentAcceleratorDemand = new HashMap<>();
-
-  /** Weight of a machine's idleness, below those of price and images. */
-  private static final double IDLENESS_WEIGHT = 0.3;
-
-  /** The idle time at which a machine gets all of that weight. */
-  private static final double FULL_IDLENESS_SECONDS = 60;
-
   private double passStartedAtSeconds;
   private Prices prices;
-  private boolean acceleratorJobPending;
-
-  /** A machine used less than this may be emptied by and by. */
-  private static final double LIGHT_USE_SHARE = 0.5;
-
-  /** Machines looked at so far: what placement costs, for the metrics and the stories. */
   private long examinedCount;
 
-  private record AcceleratorDemand(Resources taskResources, double seenAtSeconds) {}
-
-  /** Compares {@code sampleSize} machines for each task. */
+  /**
+   * Creates a bin packer without any demand recorded.
+   *
+   * @param random samples machines
+   * @param sampleSize how many machines are compared for each task
+   */
   public BinPacker(
       ServiceLevelObjectives objectives,
       RuntimeEstimates runtimeEstimates,
       Random random,
       int sampleSize) {
-    this.objectives = objectives;
-    this.runtimeEstimates = runtimeEstimates;
+    this.constraints = new PlacementConstraints(objectives, runtimeEstimates, acceleratorDemand);
+    this.scorer = new MachineScorer(objectives);
     this.random = random;
     this.sampleSize = sampleSize;
   }
 
-  /** What the next decisions go by: the time, prices, and the jobs that wait. */
+  /** Sets what the next decisions are based on: the time, prices, and the pending jobs. */
   void beginPass(double nowSeconds, Prices currentPrices, List<Job> pendingJobs) {
     passStartedAtSeconds = nowSeconds;
     prices = currentPrices;
-    acceleratorJobPending = pendingJobs.stream().anyMatch(j -> j.spec().taskResources().gpus() > 0);
+    constraints.beginPass(currentPrices, pendingJobs);
   }
 
+  /** Machines examined so far: what placement costs, for metrics and tests. */
   long machinesExamined() {
     return examinedCount;
   }
 
-  /** A job waits or runs here; work without accelerators leaves room for its class from now on. */
+  /** A job is pending; work without accelerators leaves room for its class from now on. */
   void recordDemand(JobSpec job, double nowSeconds) {
-    if (job.taskResources().gpus() > 0) {
-      recentAcceleratorDemand.put(
-          job.jobClass(), new AcceleratorDemand(job.taskResources(), nowSeconds));
-    }
+    acceleratorDemand.record(job, nowSeconds);
   }
 
+  /** Whether a job with accelerators was pending here lately. */
   public boolean hasRecentAcceleratorDemand(double nowSeconds) {
-    return recentAcceleratorDemand.values().stream()
-        .anyMatch(a -> nowSeconds - a.seenAtSeconds() < RECENT_DEMAND_SECONDS);
+    return acceleratorDemand.isPresent(nowSeconds);
   }
 
   /** The machines among {@code schedulableMachines} on which a next task of the job could start. */
@@ -101,31 +87,22 @@
     return fittingMachines;
   }
 
+  /** Whether a task of the job may start on the machine now. */
   boolean fits(
       Job job, Machine machine, Map<String, Integer> placedCountByZone, double nowSeconds) {
     examinedCount++;
-    return job.spec().taskResources().fitsIn(machine.freeCapacity())
-        && (machine.reservedForJob() == null
-            || machine.reservedForJob() == job
-            || nowSeconds > machine.reservedUntilSeconds())
-        && nowSeconds > machine.reservedForTransferUntilSeconds()
-        && !(job.bestEffort() && nowSeconds < machine.bestEffortBarredUntilSeconds())
-        && isAllowed(job, machine, placedCountByZone)
-        && leavesRoomForAccelerators(job, machine, nowSeconds)
-        && isAffordable(job, machine, nowSeconds);
+    return constraints.fits(job, machine, placedCountByZone, nowSeconds);
   }
 
   /** Whether a task of the job could start there if there were room. */
   boolean isSuitable(Job job, Machine machine, double nowSeconds) {
-    return (machine.type().capacity().gpus() == 0 || job.spec().taskResources().gpus() > 0)
-        && isAllowed(job, machine, countPlacedByZone(job))
-        && isAffordable(job, machine, nowSeconds);
+    return constraints.isSuitable(job, machine, nowSeconds);
   }
 
   /**
-   * Whether all that waits of the job has room on machines that are used more than this one. Then
-   * it is left alone, so that it falls idle and can be passed over or returned: filled again after
-   * each report, every machine of a half-used fleet stayed half used.
+   * Whether all pending tasks of the job have room on machines that are used more than this one.
+   * Then this one is left alone, so that it becomes idle and can be transferred or returned: if it
+   * were filled again after each report, every machine of a half-used fleet would stay half used.
    */
   boolean hasRoomOnFullerMachines(
       Job job, Machine machine, Collection<Machine> machines, double nowSeconds) {
@@ -135,7 +112,7 @@
     }
     int roomCount = 0;
     int unplacedCount = job.unplacedCount();
-    Map<String, Integer> placedCountByZone = countPlacedByZone(job);
+    Map<String, Integer> placedCountByZone = PlacementConstraints.countPlacedByZone(job);
     for (Machine other : machines) {
       if (other != machine
           && other.isSchedulable()
@@ -150,8 +127,8 @@
     return false;
   }
 
-  /** The best of a few sampled machines. The list's order is lost; null if it is empty. */
-  Machine chooseBest(Job job, List<Machine> fittingMachines) {
+  /** The best of a few sampled machines; empty if there is none. The list's order is lost. */
+  Optional<Machine> chooseBest(Job job, List<Machine> fittingMachines) {
     Machine bestMachine = null;
     double bestScore = Double.POSITIVE_INFINITY;
     int sampleCount = Math.min(sampleSize, fittingMachines.size());
@@ -159,38 +136,31 @@
       // The first steps of a shuffle: a sample without repetition at the cost of the sample alone.
       Collections.swap(fittingMachines, i, i + random.nextInt(fittingMachines.size() - i));
       Machine machine = fittingMachines.get(i);
-      double score = scoreMachine(job, machine);
+      double score = scorer.score(job, machine, prices, passStartedAtSeconds);
       if (score < bestScore) {
         bestScore = score;
         bestMachine = machine;
       }
     }
     examinedCount += sampleCount;
-    return bestMachine;
-  }
-
-  /** How many of the job's placed tasks are in each zone; empty where zones do not matter. */
-  static Map<String, Integer> countPlacedByZone(Job job) {
-    if (!job.spec().singleZone() && !job.spec().spreadAcrossZones()) {
-      return Map.of();
-    }
-    Map<String, Integer> placedCountByZone = new HashMap<>();
-    job.placements()
-        .forEach(p -> placedCountByZone.merge(p.machine().row().zone(), 1, Integer::sum));
-    return placedCountByZone;
+    return Optional.ofNullable(bestMachine);
   }
 
   /**
-   * Machines for all of a gang's tasks at once, one entry a task; null if they do not fit whole.
-   * Gangs of one zone get the zone whose room exceeds their need the least: a wide one later finds
-   * the widest room whole.
+   * Machines for all of a gang's tasks at once, one entry for each task; empty if the gang does not
+   * fit as a whole. A gang of a single zone gets the zone whose room exceeds its need the least, so
+   * that the widest room stays whole for a wide gang.
    */
-  List<Machine> planGang(Job job, Collection<Machine> schedulableMachines, double nowSeconds) {
+  Optional<List<Machine>> planGang(
+      Job job, Collection<Machine> schedulableMachines, double nowSeconds) {
     List<Machine> fittingMachines =
         findFittingMachines(job, schedulableMachines, Map.of(), nowSeconds);
-    if (!job.spec().singleZone()) {
-      return planTasks(job, fittingMachines);
-    }
+    return job.spec().singleZone()
+        ? findTightestZone(job, fittingMachines).flatMap(zone -> planTasks(job, zone))
+        : planTasks(job, fittingMachines);
+  }
+
+  private static Optional<List<Machine>> findTightestZone(Job job, List<Machine> fittingMachines) {
     Map<String, List<Machine>> machinesByZone = new HashMap<>();
     for (Machine machine : fittingMachines) {
       machinesByZone.computeIfAbsent(machine.row().zone(), z -> new ArrayList<>()).add(machine);
@@ -207,134 +177,33 @@
         bestRoomCount = roomCount;
       }
     }
-    return bestZone == null ? null : planTasks(job, bestZone);
+    return Optional.ofNullable(bestZone);
   }
 
-  private List<Machine> planTasks(Job job, List<Machine> fittingMachines) {
+  private Optional<List<Machine>> planTasks(Job job, List<Machine> fittingMachines) {
+    JobSpec spec = job.spec();
     List<Machine> chosenMachines = new ArrayList<>();
-    Map<String, Integer> placedCountByZone = new HashMap<>();
+    Map<String, Integer> plannedCountByZone = new HashMap<>();
     Map<Machine, Integer> plannedCountByMachine = new HashMap<>();
-    while (chosenMachines.size() < job.spec().taskCount()) {
-      Machine machine = chooseBest(job, fittingMachines);
+    while (chosenMachines.size() < spec.taskCount()) {
+      Machine machine = chooseBest(job, fittingMachines).orElse(null);
       if (machine == null) {
-        return null;
+        return Optional.empty();
       }
       int plannedCount = plannedCountByMachine.getOrDefault(machine, 0);
       boolean zoneFull =
-          job.spec().spreadAcrossZones()
-              && placedCountByZone.getOrDefault(machine.row().zone(), 0)
-                  >= job.spec().maxTasksPerZone();
+          spec.spreadAcrossZones()
+              && plannedCountByZone.getOrDefault(machine.row().zone(), 0) >= spec.maxTasksPerZone();
       if (zoneFull
-          || !job.spec().taskResources().times(plannedCount + 1).fitsIn(machine.freeCapacity())) {
+          || !spec.taskResources().times(plannedCount + 1).fitsIn(machine.freeCapacity())) {
         fittingMachines.remove(machine);
         continue;
       }
       chosenMachines.add(machine);
       plannedCountByMachine.put(machine, plannedCount + 1);
-      placedCountByZone.merge(machine.row().zone(), 1, Integer::sum);
-    }
-    return chosenMachines;
-  }
-
-  static boolean isAllowed(Job job, Machine machine, Map<String, Integer> placedCountByZone) {
-    JobSpec spec = job.spec();
-    if (!spec.allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
-      return false;
-    }
-    if (job.failureHistory().avoidsMachine(machine.id())) {
-      return false;
-    }
-    if (spec.singleZone()
-        && !placedCountByZone.isEmpty()
-        && !(placedCountByZone.size() == 1
-            && placedCountByZone.containsKey(machine.row().zone()))) {
-      return false;
-    }
-    return !spec.spreadAcrossZones()
-        || placedCountByZone.getOrDefault(machine.row().zone(), 0) < spec.maxTasksPerZone();
-  }
-
-  /** Work without accelerators takes only what work with accelerators seen lately cannot use. */
-  private boolean leavesRoomForAccelerators(Job job, Machine machine, double nowSeconds) {
-    if (job.spec().taskResources().gpus() > 0 || machine.type().capacity().gpus() == 0) {
-      return true;
-    }
-    if (job.isAtLastResort(nowSeconds) && !acceleratorJobPending) {
-      // Kept for work that may come, rooms stayed empty while this waited.
-      return true;
-    }
-    Resources room = machine.freeCapacity();
-    Resources remaining = room.minus(job.spec().taskResources());
-    for (AcceleratorDemand demand : recentAcceleratorDemand.values()) {
-      if (nowSeconds - demand.seenAtSeconds() < RECENT_DEMAND_SECONDS
-          && remaining.countFitting(demand.taskResources())
-              < room.countFitting(demand.taskResources())) {
-        return false;
-      }
-    }
-    return true;
-  }
-
-  /** A dear machine is not kept from being returned by work that could run on a cheap one. */
-  private boolean isAffordable(Job job, Machine machine, double nowSeconds) {
-    int sharingTaskCount = job.unplacedCount() + machine.placements().size();
-    double worth =
-        job.maxPriceRatio(
-            nowSeconds,
-            () ->
-                objectives.maxPriceRatio(
-                    job, nowSeconds, runtimeEstimates.expectedRuntimeSeconds(job.spec())));
-    // Late small tasks in the processors left over kept dear machines rented that had no other use.
-    boolean usesLeftoverCpus =
-        job.spec().taskResources().gpus() == 0
-            && machine.type().capacity().gpus() > 0
-            && hasRecentAcceleratorDemand(nowSeconds);
-    if (!usesLeftoverCpus && job.bestEffort()) {
-      // It may use what is there; it does not keep an ordinary machine from being returned.
-      return true;
-    }
-    if (!usesLeftoverCpus
-        && prices.isWorthwhile(
-            job.spec(), machine.type(), machine.row().spot(), sharingTaskCount, worth)) {
-      return true;
-    }
-    // It is kept by other work anyway.
-    for (TaskPlacement placement : machine.placements().values()) {
-      if (placement.job().spec().taskResources().gpus() > job.spec().taskResources().gpus()) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  /** Lower is better: little left over, no idle accelerators, the image at hand. */
-  private double scoreMachine(Job job, Machine machine) {
-    Resources capacity = machine.type().capacity();
-    Resources remaining = machine.freeCapacity().minus(job.spec().taskResources());
-    double score =
-        remaining.cpus() / capacity.cpus()
-            + 0.6
-                * prices.priceRatio(
-                    job.spec(), machine.type(), machine.row().spot(), Integer.MAX_VALUE);
-    if (capacity.gpus() > 0) {
-      score += job.spec().taskResources().gpus() > 0 ? remaining.gpus() / capacity.gpus() : 1;
-    }
-    if (machine.isEmpty()) {
-      // The one that fell idle last: taken at random, each of many idle machines was used again
-      // just before it would have been returned.
-      score +=
-          IDLENESS_WEIGHT
-              * Math.min(
-                  1, (passStartedAtSeconds - machine.idleSinceSeconds()) / FULL_IDLENESS_SECONDS);
-    }
-    if (!machine.hasImage(job.spec().image())) {
-      double fetchSeconds = job.spec().imageGb() / machine.type().fetchGbPerSecond();
-      score +=
-          Math.min(1, fetchSeconds / 20)
-              + URGENT_FETCH_WEIGHT
-                  * Math.min(1, fetchSeconds / objectives.startObjectiveSeconds(job.spec()));
+      plannedCountByZone.merge(machine.row().zone(), 1, Integer::sum);
     }
-    return score;
+    return Optional.of(chosenMachines);
   }
 
   /** Whether the job's tasks start one by one. */
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -147,7 +147,7 @@
     if (reserved
         || !machine.isSchedulable()
         || !taskResources.fitsIn(machine.type().capacity())
-        || !BinPacker.isAllowed(job, machine, Map.of())) {
+        || !PlacementConstraints.isAllowed(job, machine, Map.of())) {
       return null;
     }
     if (machine.type().capacity().gpus() > 0 && taskResources.gpus() == 0) {
--- a/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
@@ -1,6 +1,7 @@
 package io.violetrail.scheduling;
 
 import io.violetrail.config.Settings.Objective;
+import io.violetrail.config.Settings.Objective.Kind;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.model.JobShape;
@@ -9,34 +10,44 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** When jobs are expected to be complete, by their deadlines and by the users' objectives. */
+/**
+ * When jobs are expected to start and to be complete, by their deadlines and by the users'
+ * service-level objectives, and what they are worth while they wait.
+ *
+ * <p>Called on the event loop's thread; has no state, the objectives are read from the
+ * configuration each time.
+ */
 public final class ServiceLevelObjectives {
-  /** Without a moment to be done by: at once this many times the cheapest ordinary price. */
+  /** The worth of a job without a reachable deadline, as a price ratio, when it arrives. */
   private static final double BASE_PRICE_RATIO = 3;
 
-  /** How often that worth is added again while a job waits, one unit for each such time. */
+  /** A job without a reachable deadline is worth 1 more for each such time that it waits. */
   private static final double SECONDS_PER_PRICE_RATIO_STEP = 15;
 
-  /** With one: at first any ordinary machine that is not much dearer than the cheapest. */
+  /**
+   * The worth of a job with a reachable deadline, when it arrives: ordinary machines that are not
+   * much more expensive than the cheapest.
+   */
   private static final double RELAXED_PRICE_RATIO = 1.4;
 
-  /** What is added to that factor at the last moment to start in time. */
+  /** What is added to {@link #RELAXED_PRICE_RATIO} by the last moment to start in time. */
   private static final double URGENT_PRICE_RATIO_INCREASE = 2;
 
-  /** Spare work is worth what is cheaper than any ordinary machine, however long it waits. */
+  /** Best-effort work is worth less than any ordinary machine, however long it waits. */
   private static final double BEST_EFFORT_PRICE_RATIO = 0.99;
 
   private final Configuration configuration;
 
+  /** Reads objectives and teams from the configuration. */
   public ServiceLevelObjectives(Configuration configuration) {
     this.configuration = configuration;
   }
 
   /**
-   * Whether nobody expects the job by any moment: of the lowest priority, of a team without a
-   * guarantee, without a deadline or an objective for its class. It gets done in room that is there
-   * anyway and on cheap machines; rented for like other work, it was paid for at the dearest price
-   * once it had waited long.
+   * Whether the job is best effort: of the lowest priority, of a team without a guaranteed quota,
+   * without a deadline or an objective for its class. It runs in room that is there anyway and on
+   * spot machines. If machines were scaled out for it as for other work, it would be paid for at
+   * the highest price once it had waited long.
    */
   public boolean isBestEffort(JobSpec job) {
     Team team = configuration.findTeam(job.team());
@@ -49,9 +60,9 @@
   }
 
   /**
-   * The first moment by which the job is expected to be complete and that it can still reach with
-   * {@code runtimeSeconds} more seconds; infinite if there is none, so that what is lost makes way
-   * for what is not.
+   * The first of the job's deadlines that it can still meet with {@code runtimeSeconds} more
+   * seconds, in seconds of the monotonic clock; infinite if there is none, so that jobs that are
+   * late in any case make way for those that are not.
    */
   public double nextReachableDeadlineSeconds(Job job, double nowSeconds, double runtimeSeconds) {
     double earliestAtSeconds = Double.POSITIVE_INFINITY;
@@ -64,11 +75,13 @@
   }
 
   /**
-   * The moment by which the job is to be complete for the next thing that is expected of it, starts
-   * counted as well: a job that still can start in time goes before one that has missed that and
-   * has longer until the next. By ends alone, a burst was served in the order of arrival, and then
-   * nearly every urgent job of it started late. An array starts task by task and goes by its end:
-   * with starts, the widest made way too early.
+   * The moment by which the job is to be complete to meet the next objective that it can still
+   * meet, those for its start included: a job that can still start in time goes before one that has
+   * missed its start and has longer until its end. By ends alone, a burst would be served in the
+   * order of arrival, and nearly every urgent job of it would start late.
+   *
+   * <p>Starts count for gangs only. An array starts task by task and goes by its end; if starts
+   * counted, the widest arrays would make way too early.
    */
   double nextReachableObjectiveSeconds(Job job, double nowSeconds, double runtimeSeconds) {
     double earliestAtSeconds = nextReachableDeadlineSeconds(job, nowSeconds, runtimeSeconds);
@@ -77,20 +90,18 @@
     }
     for (Objective objective : configuration.objectives()) {
       double startByAtSeconds = job.arrivedAtSeconds() + objective.withinSeconds();
-      if ("wait".equals(objective.kind())
-          && job.spec().jobClass().equals(objective.jobClass())
-          && nowSeconds <= startByAtSeconds) {
+      if (objective.applies(Kind.WAIT, job.spec().jobClass()) && nowSeconds <= startByAtSeconds) {
         earliestAtSeconds = Math.min(earliestAtSeconds, startByAtSeconds + runtimeSeconds);
       }
     }
     return earliestAtSeconds;
   }
 
-  /** Within how long after its arrival a job's class is expected to start; infinite if at ease. */
+  /** Within how long after arrival jobs of this class are to start; infinite if not stated. */
   public double startObjectiveSeconds(JobSpec job) {
     double withinSeconds = Double.POSITIVE_INFINITY;
     for (Objective objective : configuration.objectives()) {
-      if ("wait".equals(objective.kind()) && job.jobClass().equals(objective.jobClass())) {
+      if (objective.applies(Kind.WAIT, job.jobClass())) {
         withinSeconds = Math.min(withinSeconds, objective.withinSeconds());
       }
     }
@@ -98,11 +109,13 @@
   }
 
   /**
-   * How many times the cheapest ordinary price a waiting task is worth. With a moment to be done
-   * by, that grows as the time to start in runs out: what has time left waits for a cheap place.
+   * How many times the cheapest ordinary price a pending task is worth. With a reachable deadline
+   * that grows as the time left to start in time runs out: a job with time left waits for a cheap
+   * machine.
    */
   public double maxPriceRatio(Job job, double nowSeconds, double runtimeSeconds) {
-    // What may not use spot machines would wait for ever once all others are returned.
+    // A starving job that may not use spot machines is worth more: it would wait for ever once all
+    // ordinary machines are returned.
     if (job.bestEffort() && (job.spec().spotAllowed() || !job.isStarving(nowSeconds))) {
       return BEST_EFFORT_PRICE_RATIO;
     }
@@ -117,19 +130,19 @@
     return RELAXED_PRICE_RATIO + URGENT_PRICE_RATIO_INCREASE * slackUsedShare * slackUsedShare;
   }
 
+  /** By the objectives of its class; its own deadline counts if there is none. */
   private List<Double> completionDeadlinesSeconds(Job job) {
+    JobSpec spec = job.spec();
     List<Double> deadlines = new ArrayList<>();
     for (Objective objective : configuration.objectives()) {
-      if (job.spec().jobClass().equals(objective.jobClass())) {
-        if ("finished".equals(objective.kind())) {
-          deadlines.add(job.arrivedAtSeconds() + objective.withinSeconds());
-        } else if ("deadline".equals(objective.kind()) && job.spec().deadlineSeconds() != null) {
-          deadlines.add(
-              job.arrivedAtSeconds() + job.spec().deadlineSeconds() * objective.deadlineFactor());
-        }
+      if (objective.applies(Kind.FINISHED, spec.jobClass())) {
+        deadlines.add(job.arrivedAtSeconds() + objective.withinSeconds());
+      } else if (objective.applies(Kind.DEADLINE, spec.jobClass())
+          && spec.deadlineSeconds() != null) {
+        deadlines.add(job.arrivedAtSeconds() + spec.deadlineSeconds() * objective.deadlineFactor());
       }
     }
-    if (deadlines.isEmpty() && job.spec().deadlineSeconds() != null) {
+    if (deadlines.isEmpty() && spec.deadlineSeconds() != null) {
       deadlines.add(job.deadlineAtSeconds());
     }
     return deadlines;
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -17,6 +17,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /** Decides which task goes to which machine of its entity. */
@@ -130,7 +131,8 @@
     Map<String, Resources> remainingQuotaByTeam = new HashMap<>();
     for (Job job : pendingJobs) {
       if (!isStartable(job, awaitingFirstReports, nowSeconds)
-          || !binPacker.fits(job, machine, BinPacker.countPlacedByZone(job), nowSeconds)) {
+          || !binPacker.fits(
+              job, machine, PlacementConstraints.countPlacedByZone(job), nowSeconds)) {
         continue;
       }
       Resources quota =
@@ -181,7 +183,7 @@
       Resources quota,
       double nowSeconds) {
     Resources taskResources = job.spec().taskResources();
-    Map<String, Integer> placedCountByZone = BinPacker.countPlacedByZone(job);
+    Map<String, Integer> placedCountByZone = PlacementConstraints.countPlacedByZone(job);
     boolean zonesMatter = job.spec().singleZone() || job.spec().spreadAcrossZones();
     int startableCount =
         Math.min(
@@ -203,7 +205,7 @@
       // A machine once chosen takes as many as it can: they share its image.
       while (machine == null || !binPacker.fits(job, machine, placedCountByZone, nowSeconds)) {
         fittingMachines.remove(machine);
-        machine = binPacker.chooseBest(job, fittingMachines);
+        machine = binPacker.chooseBest(job, fittingMachines).orElse(null);
         if (machine == null) {
           preemptIfWorthwhile(entity, job, nowSeconds);
           return taskResources.times(placedCount);
@@ -270,11 +272,12 @@
     if (!job.retries().mayStartAll(nowSeconds)) {
       return Resources.NONE;
     }
-    List<Machine> chosenMachines = binPacker.planGang(job, schedulableMachines, nowSeconds);
-    if (chosenMachines == null) {
+    Optional<List<Machine>> plan = binPacker.planGang(job, schedulableMachines, nowSeconds);
+    if (plan.isEmpty()) {
       preemptIfWorthwhile(entity, job, nowSeconds);
       return Resources.NONE;
     }
+    List<Machine> chosenMachines = plan.get();
     long attempt = entity.nextAttemptId();
     for (int i = 0; i < chosenMachines.size(); i++) {
       entity.addPlacement(new TaskPlacement(job, i, chosenMachines.get(i), attempt, nowSeconds));
