--- a/src/main/java/io/violetrail/fleet/TeamQuotaShares.java
+++ b/src/main/java/io/violetrail/fleet/TeamQuotaShares.java
@@ -13,26 +13,23 @@
 import java.util.function.BiFunction;
 
 /**
- * The entities' slices of teams' limits as the state service has them, one row for each team.
+ * The entities' shares of teams' quotas as the state service has them, one row for each team.
  *
- * <p>An entity that a team's row does not name has an even part of the limit in the platform's
- * file. A slice does not follow the limit in force by itself: what an entity may use changes by
- * writes of the row alone. Where the limit was lowered, the slices add up to more than it until
- * their entities have given parts of them back, and nothing of the team is started meanwhile; where
- * it was raised, the rest can be claimed.
+ * <p>An entity that a team's row does not name has an even share of the limit in the settings file.
+ * A share does not follow the limit in force by itself: what an entity may use changes by writes of
+ * the row alone. Where the limit was lowered, the shares add up to more than it until their
+ * entities have given parts of them back, and nothing of the team is started meanwhile; where it
+ * was raised, the rest can be claimed.
+ *
+ * <p>A view without state of its own, used by the quota moves on the event loop's thread.
  */
 final class TeamQuotaShares {
-  /** Less of a limit than this is not worth a write. */
-  static final double MIN_SHARE = 1e-3;
-
-  static final Resources NO_QUOTA = new Resources(0, 0, Double.POSITIVE_INFINITY);
-
   /** An amount without a limit, in a row. */
   private static final double UNLIMITED = -1;
 
   /**
-   * The third element of a slice whose row says by itself what is unlimited. Without it that
-   * follows from the platform's file, where 0 means no limit.
+   * The third element of a share whose row says by itself what is unlimited. Without it that
+   * follows from the settings file, where 0 means no limit.
    */
   private static final int EXPLICIT_LIMITS = 1;
 
@@ -46,7 +43,7 @@
     this.configuration = configuration;
   }
 
-  /** An entity's slice. */
+  /** An entity's share of a team's quota; infinite where it is unlimited. */
   Resources shareOf(ControllerId entity, String team) {
     Team configuredTeam = settings.teams().get(team);
     Entry row = clusterView.findQuotaShare(team);
@@ -54,7 +51,7 @@
       return decode(row.value().get(entity.value()), configuredTeam);
     }
     if (configuredTeam == null) {
-      return NO_QUOTA;
+      return QuotaAmounts.NO_QUOTA;
     }
     int controllerCount = settings.controllers().size();
     return new Resources(
@@ -79,7 +76,7 @@
     return unlimited || stored == UNLIMITED ? Double.POSITIVE_INFINITY : stored;
   }
 
-  /** All entities' slices together. */
+  /** All entities' shares together. */
   Resources totalShares(String team) {
     Resources sum = Resources.NONE;
     for (ControllerId entity : settings.controllers()) {
@@ -88,16 +85,17 @@
     return sum;
   }
 
-  /** Whether the slices add up to more than the limit in force. */
+  /** Whether the shares add up to more than the limit in force. */
   boolean isOvercommitted(Team team) {
     if (!configuration.canChange()) {
       return false;
     }
     Resources total = totalShares(team.name());
-    return total.cpus() > team.maxCpus() + MIN_SHARE || total.gpus() > team.maxGpus() + MIN_SHARE;
+    return total.cpus() > team.maxCpus() + QuotaAmounts.MIN_SHARE
+        || total.gpus() > team.maxGpus() + QuotaAmounts.MIN_SHARE;
   }
 
-  /** What of the limit in force is in no entity's slice. */
+  /** What of the limit in force is in no entity's share. */
   Resources unclaimedQuota(Team team) {
     Resources total = totalShares(team.name());
     return new Resources(
@@ -110,7 +108,7 @@
     return Double.isInfinite(claimed) ? 0 : Math.max(0, limit - claimed);
   }
 
-  /** A team's row with each slice changed; its stamp is not part of it. */
+  /** A team's row with each entity's share changed; its revision is not part of it. */
   ObjectNode buildRow(Team team, BiFunction<ControllerId, Resources, Resources> change) {
     ObjectNode row = Cbor.newMap();
     for (ControllerId entity : settings.controllers()) {
@@ -120,8 +118,8 @@
         value.add(encode(share.cpus())).add(encode(share.gpus())).add(EXPLICIT_LIMITS);
       } else {
         value
-            .add(zeroIfUnlimited(share.cpus(), team.maxCpus()))
-            .add(zeroIfUnlimited(share.gpus(), team.maxGpus()));
+            .add(QuotaAmounts.zeroIfUnlimited(share.cpus(), team.maxCpus()))
+            .add(QuotaAmounts.zeroIfUnlimited(share.gpus(), team.maxGpus()));
       }
     }
     return row;
@@ -130,9 +128,4 @@
   private static double encode(double amount) {
     return Double.isInfinite(amount) ? UNLIMITED : amount;
   }
-
-  /** An amount of something that has a limit; 0 of what has none, since nobody lacks it. */
-  static double zeroIfUnlimited(double amount, double limit) {
-    return Double.isInfinite(limit) ? 0 : amount;
-  }
 }
