--- a/src/main/java/io/violetrail/fleet/Autoscaler.java
+++ b/src/main/java/io/violetrail/fleet/Autoscaler.java
@@ -4,7 +4,10 @@
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 
-/** Scales the fleet of each owned entity in and out, once a second. */
+/**
+ * Scales the fleet of each owned entity in and out, once a second on the event loop's thread, while
+ * this controller's lease is valid.
+ */
 public final class Autoscaler {
   private static final double PERIOD_SECONDS = 1;
 
@@ -42,7 +45,7 @@
 
   private void runOnce() {
     double nowSeconds = loop.monotonicSeconds();
-    scaleOut.drawTaste();
+    scaleOut.drawTieBreak();
     scaleOutRequests.dropStale(nowSeconds);
     if (!membership.isLeaseValid()) {
       return;
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -20,7 +20,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Passes machines to entities that lack them: idle ones, or emptied ones for starving jobs. */
+/**
+ * Transfers machines to entities that lack them: idle ones, or emptied ones for starving jobs.
+ * Called by {@link TransferRequests} on the event loop's thread. A transfer is one conditional
+ * write of the machine's record, so after a crash the machine is with one entity or the other.
+ */
 public final class MachineTransfer {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTransfer.class);
 
@@ -41,7 +45,7 @@
   private final QuotaTransfer quotaTransfer;
   private final LongPolls longPolls;
 
-  /** Passes machines by conditional writes, once the drainer has emptied them. */
+  /** Creates the transfer, which empties machines through the drainer. */
   public MachineTransfer(
       EventLoop loop,
       Membership membership,
@@ -59,7 +63,12 @@
     this.longPolls = longPolls;
   }
 
-  /** Gives idle machines of a held entity that suit the request. */
+  /**
+   * Transfers idle machines of an owned entity that suit the request, and empties others for it.
+   *
+   * @param target the recipient's row as it was last read
+   * @param freeQuotas the teams' available quotas in this entity as far as computed; filled here
+   */
   void transferMachines(
       OwnedEntity entity,
       EntityRow target,
@@ -70,13 +79,35 @@
     if (!request.starving() && isWantedHere(entity, request)) {
       return;
     }
-    int tasksLeft = request.tasks();
+    int tasksLeft =
+        transferIdleMachines(entity, target, request, jobsAhead, request.tasks(), nowSeconds);
+    if (tasksLeft <= 0 || !jobsAhead.isEmpty()) {
+      return;
+    }
+    tasksLeft = clearBestEffortMachines(entity, request, tasksLeft);
+    // For the rest of what runs in part already no other entity's work is preempted: wide arrays
+    // wait for long, and what was lost elsewhere was more than they gained.
+    if (tasksLeft > 0 && request.starving() && request.mayEvict()) {
+      evictLeastLoss(entity, request, tasksLeft, nowSeconds);
+    }
+  }
+
+  /** Transfers idle machines until all of the tasks fit, and returns how many do not. */
+  private int transferIdleMachines(
+      OwnedEntity entity,
+      EntityRow target,
+      ResourceRequest request,
+      List<Job> jobsAhead,
+      int taskCount,
+      double nowSeconds) {
+    int tasksLeft = taskCount;
     for (Machine machine : List.copyOf(entity.machines().values())) {
       if (tasksLeft <= 0) {
-        return;
+        return tasksLeft;
       }
-      int taskSlots = machine.type().capacity().countFitting(request.requestedAmounts());
-      // What was emptied for such a request passes, though what was stopped for it waits here now.
+      int taskSlots = taskSlots(machine, request);
+      // What was emptied for such a request passes, though what was preempted for it waits here
+      // now.
       boolean isFree =
           (request.starving() && nowSeconds <= machine.reservedForTransferUntilSeconds())
               || !isWantedHere(jobsAhead, machine);
@@ -85,43 +116,46 @@
         transferMachine(entity, machine, target);
       }
     }
-    if (!jobsAhead.isEmpty()) {
-      return;
-    }
+    return tasksLeft;
+  }
+
+  /**
+   * Clears machines that have best-effort work alone until all of the tasks fit, and returns how
+   * many do not. They pass at the next request, once that work has saved its checkpoints.
+   */
+  private int clearBestEffortMachines(OwnedEntity entity, ResourceRequest request, int taskCount) {
+    int tasksLeft = taskCount;
     for (Machine machine : entity.machines().values()) {
-      int taskSlots = machine.type().capacity().countFitting(request.requestedAmounts());
+      int taskSlots = taskSlots(machine, request);
       if (tasksLeft > 0
           && taskSlots > 0
           && !machine.isEmpty()
           && machine.hasOnlyBestEffortTasks()
           && isTransferable(machine, request)) {
-        // It passes at the next asking, once what runs there in spare room has saved.
         tasksLeft -= taskSlots;
         drainer.clearSpareWork(entity, machine);
       }
     }
-    // For the rest of what runs in part already nobody else's work is stopped: wide arrays wait for
-    // long, and what was lost elsewhere was more than they gained.
-    if (tasksLeft > 0 && request.starving() && request.mayEvict()) {
-      evictLeastLoss(entity, request, tasksLeft, nowSeconds);
-    }
+    return tasksLeft;
+  }
+
+  private static int taskSlots(Machine machine, ResourceRequest request) {
+    return machine.type().capacity().countFitting(request.requestedAmounts());
   }
 
   /**
    * Empties machines with room for a job that has waited too long, where least work is lost: tasks
-   * of two entities cannot share a machine. They pass at a later asking. What waits here itself, or
-   * came just now, is not touched, so that no machine goes to and fro.
+   * of two entities cannot share a machine. They pass at a later request. What waits here itself,
+   * or came just now, is not touched, so that no machine goes to and fro.
    */
   private void evictLeastLoss(
       OwnedEntity entity, ResourceRequest request, int taskCount, double nowSeconds) {
     List<Machine> candidates = new ArrayList<>();
     int tasksLeft = taskCount;
     for (Machine machine : entity.machines().values()) {
-      boolean isUseful =
-          isTransferable(machine, request)
-              && machine.type().capacity().countFitting(request.requestedAmounts()) > 0;
+      boolean isUseful = isTransferable(machine, request) && taskSlots(machine, request) > 0;
       if (isUseful && nowSeconds <= machine.reservedForTransferUntilSeconds()) {
-        tasksLeft -= machine.type().capacity().countFitting(request.requestedAmounts());
+        tasksLeft -= taskSlots(machine, request);
       } else if (isUseful
           && !machine.isEmpty()
           && machine.utilization() <= MAX_EVICTED_UTILIZATION
@@ -136,7 +170,7 @@
     candidates.sort(Comparator.comparingDouble(m -> Preemption.lostCpuSeconds(m, nowSeconds)));
     for (Machine machine : candidates) {
       if (tasksLeft > 0) {
-        tasksLeft -= machine.type().capacity().countFitting(request.requestedAmounts());
+        tasksLeft -= taskSlots(machine, request);
         LOG.info("machine {} is emptied for {} of another entity", machine.id(), request.job());
         drainer.evictAll(entity, machine, EVICTION_HOLD_SECONDS);
       }
@@ -165,15 +199,10 @@
                 request.tasks());
     return machine.isSchedulable()
         && priceRatio <= request.worth()
-        && suitsAcceleratorNeed(machine, request.gpus())
+        && machine.type().suitsAcceleratorNeed(request.requestedAmounts())
         && request.allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot());
   }
 
-  /** Accelerators do not go to work that needs none. */
-  static boolean suitsAcceleratorNeed(Machine machine, double gpus) {
-    return machine.type().capacity().gpus() == 0 || gpus > 0;
-  }
-
   /**
    * Whether an own job that is more urgent, or has waited longer, waits for the same kind of room.
    */
@@ -192,7 +221,7 @@
 
   /**
    * Own jobs that are more urgent, or have waited longer, wait for the same kind of room, and have
-   * the part of their team's limit for it.
+   * the quota for it.
    */
   private List<Job> startableJobsAheadOf(
       OwnedEntity entity,
@@ -226,7 +255,7 @@
     return false;
   }
 
-  /** One conditional write gives the machine to the other entity and raises its term. */
+  /** One conditional write gives the machine to the other entity and raises its fencing token. */
   private void transferMachine(OwnedEntity entity, Machine machine, EntityRow target) {
     machine.startTransfer();
     Version highestVersion =
@@ -246,7 +275,7 @@
                 (row, failure) -> {
                   if (failure == null) {
                     LOG.info(
-                        "machine {} passes from entity {} to {} with term {}",
+                        "machine {} passes from entity {} to {} with fencing token {}",
                         machine.id(),
                         entity.id(),
                         newRow.entity(),
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -9,12 +9,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types that the cloud offers, as this controller was last told by the cloud or as
- * another controller has stored them. Empty until one of the two is known.
+ * The machine types that the provider offers, as it last answered this controller or as another
+ * controller has stored them. Empty until one of the two is known. Used on the event loop's thread;
+ * the stored row survives a crash.
  */
 public final class MachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypes.class);
@@ -22,15 +24,15 @@
   private final ClusterView clusterView;
   private final Map<String, MachineType> byName = new HashMap<>();
 
-  /** The stored row that {@link #byName} was last filled from, told from others by identity. */
+  /** The stored row that {@link #byName} was last filled from, compared by identity. */
   private Object loadedFrom;
 
-  /** Reads the stored types from the rows that the directory follows. */
+  /** Reads the stored types from the rows of the cluster view. */
   public MachineTypes(ClusterView clusterView) {
     this.clusterView = clusterView;
   }
 
-  /** The type of that name; null while it is not known. */
+  /** Finds the type of that name; null while it is not known. */
   public MachineType find(String name) {
     loadStoredTypes();
     return byName.get(name);
@@ -47,12 +49,22 @@
     return all().isEmpty();
   }
 
+  /** The shortest boot of any type, in seconds; empty while no type is known. */
+  public OptionalDouble shortestBootSeconds() {
+    return all().stream().mapToDouble(MachineType::bootSeconds).min();
+  }
+
+  /** The longest boot of any type, in seconds; empty while no type is known. */
+  public OptionalDouble longestBootSeconds() {
+    return all().stream().mapToDouble(MachineType::bootSeconds).max();
+  }
+
   /** What tasks cost on these types, at the prices known now. */
   public Prices prices() {
     return new Prices(all());
   }
 
-  /** Replaces all types by what the cloud has just told. */
+  /** Replaces all types by what the provider has just answered. */
   public void replaceAll(List<MachineType> types) {
     byName.clear();
     types.forEach(type -> byName.put(type.name(), type));
--- /dev/null
+++ b/src/main/java/io/violetrail/fleet/OfferingSelector.java
@@ -0,0 +1,132 @@
+package io.violetrail.fleet;
+
+import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
+import io.violetrail.model.MachineType;
+import io.violetrail.scheduling.Job;
+import java.util.Collection;
+import java.util.Objects;
+import java.util.function.Predicate;
+import java.util.function.ToDoubleFunction;
+
+/**
+ * Chooses the cheapest offering for tasks, out of those that suit them and are not sold out. A
+ * plain decision on what is handed in.
+ */
+final class OfferingSelector {
+  /** Estimates below this many seconds say too little for a boot's part in the cost. */
+  private static final double MIN_RUNTIME_SECONDS = 30;
+
+  /** Equal offerings differ by up to this fraction of their cost, so that one is preferred. */
+  private static final double TIE_BREAK_FRACTION = 0.01;
+
+  private final Collection<MachineType> types;
+  private final boolean acceleratorsWanted;
+  private final Prices prices;
+  private final Predicate<MachineOffering> isSoldOut;
+  private final ToDoubleFunction<Job> maxPriceRatioOf;
+  private final int tieBreakSeed;
+
+  /**
+   * Creates a selector for the offerings of the given types.
+   *
+   * @param acceleratorsWanted work with accelerators was here lately: machines that have them are
+   *     not for other work, as placement sees it too
+   * @param maxPriceRatioOf the most that a job's task may cost, as a multiple of the cheapest
+   * @param tieBreakSeed decides which of equally cheap offerings is preferred
+   */
+  OfferingSelector(
+      Collection<MachineType> types,
+      boolean acceleratorsWanted,
+      Prices prices,
+      Predicate<MachineOffering> isSoldOut,
+      ToDoubleFunction<Job> maxPriceRatioOf,
+      int tieBreakSeed) {
+    this.types = types;
+    this.acceleratorsWanted = acceleratorsWanted;
+    this.prices = prices;
+    this.isSoldOut = isSoldOut;
+    this.maxPriceRatioOf = maxPriceRatioOf;
+    this.tieBreakSeed = tieBreakSeed;
+  }
+
+  /**
+   * Finds the cheapest offering for a job's tasks.
+   *
+   * @param onlyZone the zone to rent in; null for any
+   * @return null if nothing suits, or all of it is sold out or too dear
+   */
+  MachineOffering findCheapest(Job job, int taskCount, String onlyZone) {
+    MachineOffering best = null;
+    double bestCost = Double.POSITIVE_INFINITY;
+    double maxPriceRatio = maxPriceRatioOf.applyAsDouble(job);
+    for (MachineType type : types) {
+      if (type.capacity().countFitting(job.spec().taskResources()) == 0
+          || !suitsAcceleratorNeed(job, type)) {
+        continue;
+      }
+      for (String zone : type.zones()) {
+        if (onlyZone != null && !onlyZone.equals(zone)) {
+          continue;
+        }
+        for (boolean spot : new boolean[] {true, false}) {
+          MachineOffering offering = new MachineOffering(type.name(), zone, spot);
+          if (!isEligible(job, type, offering, taskCount, maxPriceRatio)) {
+            continue;
+          }
+          double cost = costPerTask(job, offering, taskCount);
+          if (cost < bestCost) {
+            bestCost = cost;
+            best = offering;
+          }
+        }
+      }
+    }
+    return best;
+  }
+
+  private boolean isEligible(
+      Job job, MachineType type, MachineOffering offering, int taskCount, double maxPriceRatio) {
+    return job.spec().allowsMachine(offering.type(), offering.zone(), offering.spot())
+        && !isSoldOut.test(offering)
+        && prices.isWorthwhile(job.spec(), type, offering.spot(), taskCount, maxPriceRatio);
+  }
+
+  /**
+   * Whether a machine of the type is for the job's tasks at all. Dear machines with accelerators
+   * were rented for work that waited long, which was then not placed there: one in seven hours of a
+   * day's cost.
+   */
+  boolean suitsAcceleratorNeed(Job job, MachineType type) {
+    return type.suitsAcceleratorNeed(job.spec().taskResources()) || !acceleratorsWanted;
+  }
+
+  /** What a task costs on the offering, counting boot and image fetch. */
+  double costPerTask(Job job, MachineOffering offering, int taskCount) {
+    MachineType type = typeOf(offering);
+    double runSeconds = Math.max(MIN_RUNTIME_SECONDS, job.spec().estimatedRuntimeSeconds());
+    double timeFactor =
+        (runSeconds + type.bootSeconds() + job.spec().imageGb() / type.fetchGbPerSecond())
+            / runSeconds;
+    return type.priceFor(offering.spot())
+        * timeFactor
+        / Prices.sharingTasks(job.spec().taskResources(), type, taskCount)
+        * (1 + TIE_BREAK_FRACTION * tieBreak(offering));
+  }
+
+  MachineType typeOf(MachineOffering offering) {
+    for (MachineType type : types) {
+      if (type.name().equals(offering.type())) {
+        return type;
+      }
+    }
+    throw new IllegalStateException("unknown type " + offering.type());
+  }
+
+  /**
+   * Between 0 and 1: an order of equal offerings that lasts a while, so that requests for one
+   * gather.
+   */
+  private double tieBreak(MachineOffering offering) {
+    return (Objects.hash(offering, tieBreakSeed) & 0xffff) / 65536.0;
+  }
+}
--- a/src/main/java/io/violetrail/fleet/OrphanedMachines.java
+++ b/src/main/java/io/violetrail/fleet/OrphanedMachines.java
@@ -4,7 +4,6 @@
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
-import io.violetrail.model.MachineType;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
 import io.violetrail.ownership.ClusterView;
@@ -20,13 +19,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines that the cloud charges for and that no entity has recorded: those of rental
- * requests carried out late, which never come up. One that reports is adopted long before.
+ * Returns machines that the provider charges for and that no entity has recorded: those of
+ * scale-out requests carried out late, which never come up. One that reports is adopted long
+ * before. Called by the {@link Autoscaler} on the event loop's thread; after a crash the waiting
+ * time starts anew.
  */
 public final class OrphanedMachines {
   private static final Logger LOG = LoggerFactory.getLogger(OrphanedMachines.class);
   private static final double SCAN_INTERVAL_SECONDS = 45;
 
+  /** Assumed while no machine type is known. */
+  private static final double UNKNOWN_BOOT_SECONDS = 60;
+
   private final Settings settings;
   private final EventLoop loop;
   private final ClusterView clusterView;
@@ -41,7 +45,7 @@
   private double lastScanAtSeconds = Double.NEGATIVE_INFINITY;
   private boolean scanInFlight;
 
-  /** Lists the cloud's machines and returns what the directory has no record of. */
+  /** Lists the provider's machines and returns those that the cluster view has no record of. */
   public OrphanedMachines(
       Settings settings,
       EventLoop loop,
@@ -59,7 +63,7 @@
     this.cloud = cloud;
   }
 
-  /** One controller reads for all: the list is long, and calls are few. */
+  /** Whether this controller lists for all: the list is long, and calls are few. */
   private boolean isScanner() {
     for (ControllerId candidate : settings.controllers()) {
       if (clusterView.isAlive(candidate)) {
@@ -69,6 +73,7 @@
     return false;
   }
 
+  /** Begins a scan if the last one is long ago and this controller is the one that scans. */
   void scanIfDue(double nowSeconds) {
     if (!scanInFlight
         && nowSeconds - lastScanAtSeconds > SCAN_INTERVAL_SECONDS
@@ -122,11 +127,11 @@
   }
 
   /**
-   * A rental may be under way, its answer lost and repeated; the list lags by up to twice its lag.
+   * How long a machine must be listed without a record: its scale-out request may be in flight, the
+   * reply lost and the request repeated, and the list lags by up to twice its lag.
    */
   private double orphanedAfterSeconds() {
-    double slowestBootSeconds =
-        machineTypes.all().stream().mapToDouble(MachineType::bootSeconds).max().orElse(60);
-    return 3 * slowestBootSeconds + 2 * settings.cloudLimits().listLagSeconds() + 20;
+    double longestBootSeconds = machineTypes.longestBootSeconds().orElse(UNKNOWN_BOOT_SECONDS);
+    return 3 * longestBootSeconds + 2 * settings.cloudLimits().listLagSeconds() + 20;
   }
 }
--- a/src/main/java/io/violetrail/fleet/Prices.java
+++ b/src/main/java/io/violetrail/fleet/Prices.java
@@ -6,7 +6,10 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What a task costs on a machine, compared with what it costs where it is cheapest. */
+/**
+ * What a task costs on a machine, compared with what it costs where it is cheapest. Plain
+ * computations on the machine types handed in, whose prices are for an hour.
+ */
 public final class Prices {
   private final Collection<MachineType> types;
 
@@ -17,16 +20,20 @@
   /** The hourly price of a type for each of {@code sharingTasks} tasks, or of as many as fit. */
   private static double pricePerTask(
       Resources task, MachineType type, boolean spot, int sharingTasks) {
-    return type.priceFor(spot)
-        / Math.max(1, Math.min(type.capacity().countFitting(task), sharingTasks));
+    return type.priceFor(spot) / sharingTasks(task, type, sharingTasks);
   }
 
-  /** That price as a multiple of the cheapest ordinary one. */
+  /** How many of {@code taskCount} tasks share a machine of the type; at least 1. */
+  static int sharingTasks(Resources task, MachineType type, int taskCount) {
+    return Math.max(1, Math.min(type.capacity().countFitting(task), taskCount));
+  }
+
+  /** A task's price on the type as a multiple of the cheapest on-demand one. */
   public double priceRatio(JobSpec job, MachineType type, boolean spot, int sharingTasks) {
     return priceRatio(job.taskResources(), job.machineTypes(), type, spot, sharingTasks);
   }
 
-  /** The same for a task that may use the types named, or any if that is null. */
+  /** The same for a task that may use the types named, or any if {@code allowedTypes} is null. */
   public double priceRatio(
       Resources task, List<String> allowedTypes, MachineType type, boolean spot, int sharingTasks) {
     double cheapest = Double.POSITIVE_INFINITY;
@@ -40,7 +47,7 @@
   }
 
   /**
-   * Whether tasks worth so many times the cheapest ordinary price may keep a machine of this price
+   * Whether tasks worth so many times the cheapest on-demand price may keep a machine of this price
    * for themselves. A dear machine pays only when enough of them share it.
    */
   public boolean isWorthwhile(
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -12,19 +12,22 @@
 import io.violetrail.scheduling.PendingQueues;
 import io.violetrail.scheduling.RuntimeEstimates;
 import io.violetrail.scheduling.ServiceLevelObjectives;
-import io.violetrail.scheduling.TaskPlacement;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 
-/** Rents machines for the pending tasks of an entity that no machine there or coming can take. */
+/**
+ * Rents machines for the pending tasks of an entity that no machine there or coming can take.
+ * Called by the {@link Autoscaler} on the event loop's thread. Nothing here survives a crash: what
+ * is rented is with {@link ScaleOutRequests}, and the rest is decided anew at each pass.
+ */
 public final class ScaleOut {
-  /**
-   * Tasks of a job that one place is to run one after the other; estimates are too rough for more.
-   */
-  private static final double MAX_TURNS = 4;
+  private static final int MIN_BOOTING_MACHINES = 4;
+
+  /** Writes of a machine's record and its request until it works. */
+  private static final int WRITES_PER_MACHINE = 3;
 
   private final Settings settings;
   private final Random random;
@@ -38,9 +41,10 @@
   private final BootTimes bootTimes;
   private final WarmCapacity warmCapacity;
   private final ScaleOutRequests scaleOutRequests;
-  private int tasteSeed;
+  private final FreeCapacityForecast capacityForecast;
+  private int tieBreakSeed;
 
-  /** Rents through the given requests what {@link PendingQueues} calls for. */
+  /** Creates the scale out, which rents through the given requests. */
   public ScaleOut(
       Settings settings,
       Random random,
@@ -66,194 +70,204 @@
     this.bootTimes = bootTimes;
     this.warmCapacity = warmCapacity;
     this.scaleOutRequests = scaleOutRequests;
+    this.capacityForecast = new FreeCapacityForecast(runtimeEstimates);
+  }
+
+  /** Draws anew which of equally cheap offerings are preferred until the next draw. */
+  void drawTieBreak() {
+    tieBreakSeed = random.nextInt();
   }
 
-  /** Draws anew which of equally good offers are preferred until the next draw. */
-  void drawTaste() {
-    tasteSeed = random.nextInt();
+  /** Packs the entity's waiting tasks into its machines, and rents for the rest. */
+  void rent(OwnedEntity entity, double nowSeconds) {
+    ScaleOutPlan plan = newPlan(nowSeconds);
+    addMachines(entity, plan, nowSeconds);
+    Map<MachineOffering, Integer> pendingCounts = scaleOutRequests.pendingMachineCounts(entity);
+    addPendingMachines(plan, pendingCounts);
+    boolean awaitingFirstReports = entity.hasUncertainMachine(nowSeconds);
+    List<Job> bestEffortJobs = addRegularDemand(entity, plan, awaitingFirstReports, nowSeconds);
+    if (plan.machineCounts().isEmpty() && pendingCounts.isEmpty()) {
+      addWarmCapacity(entity, plan, nowSeconds);
+    }
+    for (Job job : bestEffortJobs) {
+      if (!job.failureHistory().isSuspect() && !(job.loadedFromStore() && awaitingFirstReports)) {
+        plan.addDemand(job, job.unplacedCount(), false);
+      }
+    }
+    plan.machineCountsByUrgency()
+        .forEach(e -> scaleOutRequests.requestMachines(entity, e.getKey(), e.getValue()));
   }
 
-  /** Puts what waits into machines that boot, and rents for the rest. */
-  void rent(OwnedEntity entity, double now) {
-    ScaleOutPlan plan =
-        new ScaleOutPlan(
+  private ScaleOutPlan newPlan(double nowSeconds) {
+    OfferingSelector selector =
+        new OfferingSelector(
             machineTypes.all(),
-            binPacker.hasRecentAcceleratorDemand(now),
+            binPacker.hasRecentAcceleratorDemand(nowSeconds),
             machineTypes.prices(),
             scaleOutRequests::isSoldOut,
             job ->
                 serviceLevelObjectives.maxPriceRatio(
-                    job, now, runtimeEstimates.expectedRuntimeSeconds(job.spec())),
-            mayBoot(),
-            tasteSeed);
-    int replaced = maxReplaced(entity);
+                    job, nowSeconds, runtimeEstimates.expectedRuntimeSeconds(job.spec())),
+            tieBreakSeed);
+    return new ScaleOutPlan(machineTypes.all(), selector, maxBootingMachines());
+  }
+
+  /** Adds the entity's machines to the plan, without those that are late in booting. */
+  private void addMachines(OwnedEntity entity, ScaleOutPlan plan, double nowSeconds) {
+    int replacementsLeft = maxReplacedMachines(entity);
     for (Machine machine : entity.machines().values()) {
       if (!machine.row().hasReported() && !machine.returning()) {
-        if (replaced > 0 && bootTimes.isLate(machine.type(), machine.rentedAtSeconds(), now)) {
-          replaced--;
+        if (replacementsLeft > 0
+            && bootTimes.isLate(machine.type(), machine.rentedAtSeconds(), nowSeconds)) {
+          replacementsLeft--;
         } else {
-          plan.addBooting(offer(machine), machine.type().capacity());
+          plan.addBooting(offeringOf(machine), machine.type().capacity());
         }
       } else if (machine.isSchedulable()) {
-        plan.addRunning(offer(machine), roomSoon(machine, now), later(machine, now));
+        plan.addRunning(
+            offeringOf(machine),
+            capacityForecast.freeAtBootTime(machine, nowSeconds),
+            capacityForecast.sequentialCapacity(machine, nowSeconds));
       }
     }
-    Map<MachineOffering, Integer> pending = scaleOutRequests.pendingMachineCounts(entity);
-    pending.forEach(
-        (offer, count) -> {
-          MachineType type = machineTypes.find(offer.type());
+  }
+
+  private void addPendingMachines(ScaleOutPlan plan, Map<MachineOffering, Integer> pendingCounts) {
+    pendingCounts.forEach(
+        (offering, count) -> {
+          MachineType type = machineTypes.find(offering.type());
           for (int i = 0; type != null && i < count; i++) {
-            plan.addBooting(offer, type.capacity());
+            plan.addBooting(offering, type.capacity());
           }
         });
-    boolean uncertain = entity.hasUncertainMachine(now);
-    Map<String, Resources> left = new HashMap<>();
-    List<Job> spareWork = new ArrayList<>();
+  }
+
+  /** Adds what waits and is not best-effort work, and returns the jobs that are. */
+  private List<Job> addRegularDemand(
+      OwnedEntity entity, ScaleOutPlan plan, boolean awaitingFirstReports, double nowSeconds) {
+    Map<String, Resources> remainingQuotas = new HashMap<>();
+    List<Job> bestEffortJobs = new ArrayList<>();
     for (Job job : pendingQueues.inOrder(entity)) {
       if (job.bestEffort()) {
-        spareWork.add(job);
+        bestEffortJobs.add(job);
         continue;
       }
       boolean urgent = warmCapacity.isUrgent(job.spec(), machineTypes.all());
-      boolean peersFirst =
-          !urgent
-              && now - job.arrivedAtSeconds() < TransferRequests.SCALE_OUT_DELAY_SECONDS
-              && clusterView.aliveControllerCount() > 1;
-      boolean probe = job.failureHistory().isSuspect() && placeable(entity, job);
-      if (job.startableCount(now) == 0
-          || (job.loadedFromStore() && uncertain)
-          || peersFirst
-          || probe) {
+      if (mustWait(entity, job, urgent, awaitingFirstReports, nowSeconds)) {
         continue;
       }
       Resources quota =
-          left.computeIfAbsent(
-              job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, now));
-      int tasks = Math.min(wanted(job, now), quota.countFitting(job.spec().taskResources()));
-      left.put(job.spec().team(), quota.minus(job.spec().taskResources().times(tasks)));
-      plan.addDemand(job, tasks, urgent);
-    }
-    if (plan.machineCounts().isEmpty() && pending.isEmpty()) {
-      keepSpares(entity, plan, now);
+          remainingQuotas.computeIfAbsent(
+              job.spec().team(), team -> quotaTransfer.availableQuota(entity, team, nowSeconds));
+      int taskCount =
+          Math.min(
+              wantedTaskCount(job, nowSeconds), quota.countFitting(job.spec().taskResources()));
+      remainingQuotas.put(
+          job.spec().team(), quota.minus(job.spec().taskResources().times(taskCount)));
+      plan.addDemand(job, taskCount, urgent);
     }
-    for (Job job : spareWork) {
-      if (!job.failureHistory().isSuspect() && !(job.loadedFromStore() && uncertain)) {
-        plan.addDemand(job, job.unplacedCount(), false);
-      }
-    }
-    plan.machineCountsByUrgency()
-        .forEach(e -> scaleOutRequests.requestMachines(entity, e.getKey(), e.getValue()));
+    return bestEffortJobs;
+  }
+
+  /**
+   * Whether nothing is rented for the job yet: peers may give it machines, its tasks may be on
+   * machines that have not reported, or it fails everywhere and has a machine for its probe.
+   */
+  private boolean mustWait(
+      OwnedEntity entity,
+      Job job,
+      boolean urgent,
+      boolean awaitingFirstReports,
+      double nowSeconds) {
+    boolean peersFirst =
+        !urgent
+            && nowSeconds - job.arrivedAtSeconds() < TransferRequests.SCALE_OUT_DELAY_SECONDS
+            && clusterView.aliveControllerCount() > 1;
+    boolean hasProbeMachine = job.failureHistory().isSuspect() && isPlaceable(entity, job);
+    return job.startableCount(nowSeconds) == 0
+        || (job.loadedFromStore() && awaitingFirstReports)
+        || peersFirst
+        || hasProbeMachine;
   }
 
   /**
    * How many machines that are late may be replaced at the same time: where all boots are slow, the
    * fleet must not double.
    */
-  private static int maxReplaced(OwnedEntity entity) {
-    int up = 0;
+  private static int maxReplacedMachines(OwnedEntity entity) {
+    int bootedCount = 0;
     for (Machine machine : entity.machines().values()) {
-      up += machine.row().hasReported() ? 1 : 0;
+      bootedCount += machine.row().hasReported() ? 1 : 0;
     }
-    return Math.max(2, up / 4);
+    return Math.max(2, bootedCount / 4);
   }
 
   /** Whether a probe of a job that fails everywhere finds a machine that is there anyway. */
-  private static boolean placeable(OwnedEntity entity, Job job) {
-    int room = 0;
+  private static boolean isPlaceable(OwnedEntity entity, Job job) {
+    int slots = 0;
     for (Machine machine : entity.machines().values()) {
       if (machine.isSchedulable()
           && job.spec()
               .allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
-        room += machine.type().capacity().countFitting(job.spec().taskResources());
+        slots += machine.type().capacity().countFitting(job.spec().taskResources());
       }
     }
-    return room >= (job.spec().shape() == JobShape.GANG ? job.spec().taskCount() : 1);
+    return slots >= (job.spec().shape() == JobShape.GANG ? job.spec().taskCount() : 1);
   }
 
   /**
-   * How many machines may be on their way: each takes about three writes until it works, and those
-   * must not take longer than a boot.
+   * How many machines may be on their way: the writes that each takes until it works must not take
+   * longer than a boot.
    */
-  private int mayBoot() {
-    double writes = settings.stateStoreLimits().writesPerSecond() / (settings.peers().size() + 1);
-    return (int) Math.max(4, writes * boot() / 3);
+  private int maxBootingMachines() {
+    double writesPerSecond =
+        settings.stateStoreLimits().writesPerSecond() / (settings.peers().size() + 1);
+    double bootSeconds = machineTypes.shortestBootSeconds().orElse(0);
+    return (int) Math.max(MIN_BOOTING_MACHINES, writesPerSecond * bootSeconds / WRITES_PER_MACHINE);
   }
 
-  private void keepSpares(OwnedEntity entity, ScaleOutPlan plan, double now) {
+  private void addWarmCapacity(OwnedEntity entity, ScaleOutPlan plan, double nowSeconds) {
     warmCapacity
-        .wantedTaskCounts(machineTypes.all(), now)
+        .wantedTaskCounts(machineTypes.all(), nowSeconds)
         .forEach(
-            (spec, tasks) -> {
-              int have =
+            (spec, wantedCount) -> {
+              int slots =
                   WarmCapacity.freeTaskSlots(
                       spec, entity.machines().values(), machineTypes.prices());
-              if (have < tasks && entity.id().equals(settings.self())) {
-                plan.addWarmMachine(new Job(spec, 0, now, false));
+              if (slots < wantedCount && entity.id().equals(settings.self())) {
+                plan.addWarmMachine(new Job(spec, 0, nowSeconds, false));
               }
             });
   }
 
-  private double boot() {
-    return machineTypes.all().stream().mapToDouble(MachineType::bootSeconds).min().orElse(0);
-  }
-
-  private static MachineOffering offer(Machine machine) {
+  private static MachineOffering offeringOf(Machine machine) {
     return new MachineOffering(machine.row().type(), machine.row().zone(), machine.row().spot());
   }
 
-  /** What a machine will have free by the time that another of its type would be up. */
-  private Resources roomSoon(Machine machine, double now) {
-    Resources room = machine.freeCapacity();
-    for (TaskPlacement placement : machine.placements().values()) {
-      if (endsInS(placement, now) < machine.type().bootSeconds()) {
-        room = room.plus(placement.job().spec().taskResources());
-      }
-    }
-    return room;
-  }
-
   /**
-   * What may start there after those, one task after the other like what runs there now, before
-   * another machine would be up. Dear machines were rented for short tasks, and had nothing to do
-   * when they came up.
+   * How many of a job's waiting tasks are worth machines of their own; the rest run after them on
+   * the same machines.
    */
-  private Resources later(Machine machine, double now) {
-    Resources room = Resources.NONE;
-    for (TaskPlacement placement : machine.placements().values()) {
-      double left = machine.type().bootSeconds() - endsInS(placement, now);
-      int turns = (int) (left / runtimeEstimates.expectedRuntimeSeconds(placement.job().spec()));
-      if (left > 0 && turns > 0 && placement.job().spec().shape() == JobShape.ARRAY) {
-        room =
-            room.plus(
-                placement.job().spec().taskResources().times((int) Math.min(MAX_TURNS, turns)));
-      }
-    }
-    return room;
-  }
-
-  private double endsInS(TaskPlacement placement, double now) {
-    double began =
-        placement.runningSinceSeconds() > 0
-            ? placement.runningSinceSeconds()
-            : now
-                + placement.job().spec().imageGb() / placement.machine().type().fetchGbPerSecond();
-    return Math.max(
-        0, began + runtimeEstimates.expectedRuntimeSeconds(placement.job().spec()) - now);
-  }
-
-  /** How many of a job's waiting tasks are worth machines of their own, the rest taking turns. */
-  private int wanted(Job job, double now) {
-    int waiting = job.startableCount(now);
+  private int wantedTaskCount(Job job, double nowSeconds) {
+    int waitingCount = job.startableCount(nowSeconds);
     if (job.spec().shape() != JobShape.ARRAY) {
-      return waiting;
+      return waitingCount;
     }
-    double run = runtimeEstimates.expectedRuntimeSeconds(job.spec());
-    double due = serviceLevelObjectives.nextReachableDeadlineSeconds(job, now, run);
-    if (Double.isInfinite(due)) {
-      return waiting;
+    double runSeconds = runtimeEstimates.expectedRuntimeSeconds(job.spec());
+    double deadlineSeconds =
+        serviceLevelObjectives.nextReachableDeadlineSeconds(job, nowSeconds, runSeconds);
+    if (Double.isInfinite(deadlineSeconds)) {
+      return waitingCount;
     }
-    double left = due - now - warmCapacity.secondsUntilStart(job.spec(), machineTypes.all());
-    double turns = Math.max(1, Math.min(MAX_TURNS, Math.floor(left / run)));
-    return (int) Math.ceil(waiting / turns);
+    double secondsLeft =
+        deadlineSeconds
+            - nowSeconds
+            - warmCapacity.secondsUntilStart(job.spec(), machineTypes.all());
+    double rounds =
+        Math.max(
+            1,
+            Math.min(
+                FreeCapacityForecast.MAX_SEQUENTIAL_TASKS, Math.floor(secondsLeft / runSeconds)));
+    return (int) Math.ceil(waitingCount / rounds);
   }
 }
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -25,8 +25,9 @@
 import java.util.Set;
 
 /**
- * Asks the other entities for what waiting jobs lack, idle machines or parts of their teams'
- * limits, and answers what others ask for.
+ * Requests from the other entities what waiting jobs lack, idle machines or parts of their teams'
+ * quotas, and handles the others' requests. Called by scheduling passes and by the peers' messages,
+ * on the event loop's thread. Requests are repeated while jobs wait, so none need survive a crash.
  */
 public final class TransferRequests {
   private static final double REQUEST_INTERVAL_SECONDS = 0.7;
@@ -50,10 +51,10 @@
   private final PeerClient peerClient;
   private double lastRequestAtSeconds = Double.NEGATIVE_INFINITY;
 
-  /** Jobs that have asked chosen entities for parts of a limit; next they ask all of them. */
+  /** Jobs that have asked selected entities for parts of a quota; next they ask all of them. */
   private final Set<JobId> askedSelectedDonors = new HashSet<>();
 
-  /** Asks for what {@link PendingQueues} lacks, and gives through the two transfers. */
+  /** Creates the requests, which are granted through the two transfers. */
   public TransferRequests(
       EventLoop loop,
       Random random,
@@ -79,7 +80,7 @@
     this.peerClient = peerClient;
   }
 
-  /** Asks the peers for what waiting jobs lack. */
+  /** Requests what waiting jobs lack, unless requests were made just now. */
   public void requestMissingResources(OwnedEntity entity) {
     double nowSeconds = loop.monotonicSeconds();
     if (nowSeconds - lastRequestAtSeconds < REQUEST_INTERVAL_SECONDS) {
@@ -124,24 +125,30 @@
     Resources quota = quotaTransfer.availableQuota(entity, job.spec().team(), nowSeconds);
     int allowedCount = quota.countFitting(job.spec().taskResources());
     if (allowedCount < waitingCount && job.mayHoldReservations(nowSeconds)) {
-      Resources lacking = job.spec().taskResources().times(waitingCount).minus(quota).clampToZero();
-      ResourceRequest requestToAll =
-          ResourceRequest.forQuotaShare(job.spec(), lacking, job.arrivedAtMillis());
-      if (quotaTransfer.claimUnclaimed(entity, job.spec().team(), lacking)) {
-        askedSelectedDonors.remove(job.spec().id());
-      } else if (askedSelectedDonors.add(job.spec().id())) {
-        requests.addAll(quotaTransfer.splitAmongDonors(requestToAll, entity.id()));
-      } else {
-        requests.add(requestToAll);
-      }
+      addQuotaRequests(entity, job, quota, requests);
     }
-    // What runs in spare room alone needs its part of a limit all the same, and in the end a
-    // machine of its own.
+    // Best-effort work needs its part of the quota all the same, and in the end a machine of its
+    // own.
     if (allowedCount > 0 && (!job.bestEffort() || job.isStarving(nowSeconds))) {
       requests.add(machineRequest(entity, job, Math.min(waitingCount, allowedCount)));
     }
   }
 
+  private void addQuotaRequests(
+      OwnedEntity entity, Job job, Resources quota, List<ResourceRequest> requests) {
+    Resources lacking =
+        job.spec().taskResources().times(job.unplacedCount()).minus(quota).clampToZero();
+    ResourceRequest requestToAll =
+        ResourceRequest.forQuotaShare(job.spec(), lacking, job.arrivedAtMillis());
+    if (quotaTransfer.claimUnclaimed(entity, job.spec().team(), lacking)) {
+      askedSelectedDonors.remove(job.spec().id());
+    } else if (askedSelectedDonors.add(job.spec().id())) {
+      requests.addAll(quotaTransfer.splitAmongDonors(requestToAll, entity.id()));
+    } else {
+      requests.add(requestToAll);
+    }
+  }
+
   /**
    * Machines for a job. A gang of one zone asks in the zone where it has the most room, for what is
    * missing there: machines of several zones would lie idle in parts.
@@ -150,15 +157,23 @@
     if (!job.spec().singleZone() || job.spec().zone() != null) {
       return buildMachineRequest(job, taskCount);
     }
+    Map<String, Integer> slotsByZone = countSlotsByZone(entity, job);
+    String bestZone = chooseWidestZone(slotsByZone);
+    int missingCount = Math.max(1, taskCount - slotsByZone.getOrDefault(bestZone, 0));
+    return buildMachineRequest(job, missingCount).withZone(bestZone);
+  }
+
+  /** The job's free task slots in each zone that has machine types large enough. */
+  private Map<String, Integer> countSlotsByZone(OwnedEntity entity, Job job) {
     Map<String, Integer> slotsByZone = new HashMap<>();
     for (MachineType machineType : machineTypes.all()) {
       if (machineType.capacity().countFitting(job.spec().taskResources()) > 0) {
-        machineType.zones().forEach(z -> slotsByZone.put(z, 0));
+        machineType.zones().forEach(zone -> slotsByZone.put(zone, 0));
       }
     }
     for (Machine machine : entity.machines().values()) {
       if (machine.isSchedulable()
-          && MachineTransfer.suitsAcceleratorNeed(machine, job.spec().taskResources().gpus())
+          && machine.type().suitsAcceleratorNeed(job.spec().taskResources())
           && job.spec()
               .allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
         slotsByZone.merge(
@@ -167,6 +182,11 @@
             Integer::sum);
       }
     }
+    return slotsByZone;
+  }
+
+  /** The zone with the most slots, a random one of several; empty if there is none. */
+  private String chooseWidestZone(Map<String, Integer> slotsByZone) {
     List<String> zones = new ArrayList<>(slotsByZone.keySet());
     Collections.shuffle(zones, random);
     String bestZone = "";
@@ -175,8 +195,7 @@
         bestZone = zone;
       }
     }
-    int missingCount = Math.max(1, taskCount - slotsByZone.getOrDefault(bestZone, 0));
-    return buildMachineRequest(job, missingCount).withZone(bestZone);
+    return bestZone;
   }
 
   private ResourceRequest buildMachineRequest(Job job, int taskCount) {
@@ -192,7 +211,11 @@
         mayEvict);
   }
 
-  /** Another entity, a peer's or one held here too, lacks something: what is idle goes there. */
+  /**
+   * Handles requests of another entity, a peer's or one owned here too: what is idle goes there.
+   *
+   * @param recipient the entity that lacks something; nothing is done while its row is unknown
+   */
   public void handleRequests(ControllerId recipient, List<ResourceRequest> requests) {
     EntityRow target = clusterView.findEntityRow(recipient);
     if (target == null || !membership.isLeaseValid()) {
@@ -200,18 +223,22 @@
     }
     for (OwnedEntity donor : membership.ownedEntities()) {
       if (donor.isActive() && !donor.id().equals(recipient)) {
-        // Summed up over all machines, so once for all requests.
-        Map<String, Resources> freeQuotas = new HashMap<>();
-        for (ResourceRequest request : requests) {
-          if (!request.isForDonor(donor.id())) {
-            continue;
-          }
-          if (request.slice()) {
-            quotaTransfer.grant(donor, recipient, request);
-          } else {
-            machineTransfer.transferMachines(donor, target, request, freeQuotas);
-          }
-        }
+        handleRequests(donor, target, requests);
+      }
+    }
+  }
+
+  private void handleRequests(OwnedEntity donor, EntityRow target, List<ResourceRequest> requests) {
+    // Summed up over all machines, so once for all requests.
+    Map<String, Resources> freeQuotas = new HashMap<>();
+    for (ResourceRequest request : requests) {
+      if (!request.isForDonor(donor.id())) {
+        continue;
+      }
+      if (request.slice()) {
+        quotaTransfer.grant(donor, target.entity(), request);
+      } else {
+        machineTransfer.transferMachines(donor, target, request, freeQuotas);
       }
     }
   }
--- a/src/main/java/io/violetrail/model/MachineType.java
+++ b/src/main/java/io/violetrail/model/MachineType.java
@@ -12,7 +12,13 @@
     double spotPrice,
     double bootSeconds,
     List<String> zones) {
+  /** The hourly price, of a spot machine or an on-demand one. */
   public double priceFor(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
+
+  /** Whether a task may take the type without idling accelerators: it uses some, or it has none. */
+  public boolean suitsAcceleratorNeed(Resources task) {
+    return capacity.gpus() == 0 || task.gpus() > 0;
+  }
 }
--- a/src/main/java/io/violetrail/scheduling/BinPacker.java
+++ b/src/main/java/io/violetrail/scheduling/BinPacker.java
@@ -117,7 +117,7 @@
 
   /** Whether a task of the job could start there if there were room. */
   boolean isSuitable(Job job, Machine machine, double nowSeconds) {
-    return (machine.type().capacity().gpus() == 0 || job.spec().taskResources().gpus() > 0)
+    return machine.type().suitsAcceleratorNeed(job.spec().taskResources())
         && isAllowed(job, machine, countPlacedByZone(job))
         && isAffordable(job, machine, nowSeconds);
   }
@@ -256,7 +256,7 @@
 
   /** Work without accelerators takes only what work with accelerators seen lately cannot use. */
   private boolean leavesRoomForAccelerators(Job job, Machine machine, double nowSeconds) {
-    if (job.spec().taskResources().gpus() > 0 || machine.type().capacity().gpus() == 0) {
+    if (machine.type().suitsAcceleratorNeed(job.spec().taskResources())) {
       return true;
     }
     if (job.isAtLastResort(nowSeconds) && !acceleratorJobPending) {
@@ -286,8 +286,7 @@
                     job, nowSeconds, runtimeEstimates.expectedRuntimeSeconds(job.spec())));
     // Late small tasks in the processors left over kept dear machines rented that had no other use.
     boolean usesLeftoverCpus =
-        job.spec().taskResources().gpus() == 0
-            && machine.type().capacity().gpus() > 0
+        !machine.type().suitsAcceleratorNeed(job.spec().taskResources())
             && hasRecentAcceleratorDemand(nowSeconds);
     if (!usesLeftoverCpus && job.bestEffort()) {
       // It may use what is there; it does not keep an ordinary machine from being returned.
