--- a/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
@@ -1,34 +1,18 @@
 package io.violetrail.calendar;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.violetrail.api.CoWrittenRow;
 import io.violetrail.api.JobLifecycle;
-import io.violetrail.calendar.CompletionForecast.RunProgress;
-import io.violetrail.calendar.ScheduleTrigger.WriteOutcome;
-import io.violetrail.calendar.ScheduleTrigger.WriteResult;
 import io.violetrail.config.Settings;
-import io.violetrail.fleet.BootTimes;
 import io.violetrail.fleet.MachineTypes;
-import io.violetrail.model.JobId;
-import io.violetrail.model.JobSpec;
-import io.violetrail.model.JobView;
-import io.violetrail.model.MachineType;
 import io.violetrail.net.EventLoop;
-import io.violetrail.net.Futures;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
-import io.violetrail.scheduling.Job;
 import io.violetrail.scheduling.RuntimeEstimates;
-import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.state.InitialListing;
 import io.violetrail.state.PrefixWatcher;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import io.violetrail.wire.StateStoreMessages.RowChange;
-import io.violetrail.wire.StateStoreMessages.Transaction;
-import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.time.LocalDate;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,25 +20,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The schedules of the entities that this controller holds, and the local days that all share.
- * Nothing of it is loaded unless calendars are on.
+ * The schedules of the entities that this controller owns, and the local days that all share. Keeps
+ * a trigger for each owned entity, feeds it the entity's rows, and ticks it while the controller's
+ * lease is valid. Called on the event loop's thread. After a crash or a failover the next owner
+ * reads the rows again. Nothing of it is loaded unless calendars are on.
  */
 public final class ScheduleRegistry implements PrefixWatcher.RowListener {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleRegistry.class);
   private static final double TICK_SECONDS = 0.25;
   private static final String KEY_PREFIX = "cal/";
 
-  /**
-   * Runs that may wait to be stored, and none while anything of users' does: four of them held a
-   * submission up for two seconds where few writes are allowed.
-   */
-  private static final int MAX_PENDING_RUNS = 1;
-
   private final EventLoop loop;
   private final Settings settings;
   private final StateStore store;
@@ -69,14 +48,8 @@
   private final Map<OwnedEntity, EntitySchedules> schedulesByEntity = new HashMap<>();
   private final Set<String> scheduleNames = new HashSet<>();
 
-  private static final class EntitySchedules {
-    final ScheduleTrigger trigger;
-    final InitialListing initialListing = new InitialListing();
-
-    EntitySchedules(ScheduleTrigger trigger) {
-      this.trigger = trigger;
-    }
-  }
+  /** The schedules of one owned entity and whether they have been read since it was acquired. */
+  private record EntitySchedules(ScheduleTrigger trigger, InitialListing initialListing) {}
 
   /** Fires the schedules of the entities owned here. */
   public ScheduleRegistry(
@@ -97,6 +70,7 @@
     this.rowFeed = new PrefixWatcher(store, loop, KEY_PREFIX, this);
   }
 
+  /** Follows the rows and begins to fire. */
   public void start() {
     rowFeed.start();
     loop.scheduleWithFixedDelay(TICK_SECONDS, this::tick);
@@ -110,17 +84,17 @@
     return rowFeed.isReady();
   }
 
-  /** Schedules of all entities. */
+  /** How many schedules there are at all entities. */
   int scheduleCount() {
     return scheduleNames.size();
   }
 
-  /** Schedules of held entities with a report that stands. */
+  /** Schedules of owned entities with a report that was not withdrawn. */
   List<ScheduleRow> findSchedulesWithOpenReports() {
     List<ScheduleRow> rows = new ArrayList<>();
     schedulesByEntity
         .values()
-        .forEach(own -> rows.addAll(own.trigger.findSchedulesWithOpenReports()));
+        .forEach(own -> rows.addAll(own.trigger().findSchedulesWithOpenReports()));
     return rows;
   }
 
@@ -140,31 +114,35 @@
 
   private void applyRow(String key, JsonNode value, long modRevision) {
     if (key.startsWith(ScheduleRow.CALENDAR_KEY_PREFIX)) {
-      String name = key.substring(ScheduleRow.CALENDAR_KEY_PREFIX.length());
-      if (value == null) {
-        namedDays.remove(name);
-      } else {
-        Set<LocalDate> dates = new HashSet<>();
-        value.path("dates").forEach(d -> dates.add(LocalDate.parse(d.asText())));
-        namedDays.put(name, dates);
-      }
-      schedulesByEntity.values().forEach(schedules -> schedules.trigger.onDaysChanged());
-    } else if (key.startsWith(ScheduleRow.KEY_PREFIX)) {
+      applyNamedDays(key.substring(ScheduleRow.CALENDAR_KEY_PREFIX.length()), value);
+    } else if (key.startsWith(ScheduleRow.KEY_PREFIX) && value == null) {
       String name = key.substring(ScheduleRow.KEY_PREFIX.length());
-      if (value == null) {
-        scheduleNames.remove(name);
-        schedulesByEntity.values().forEach(schedules -> schedules.trigger.onScheduleDeleted(name));
-        return;
-      }
-      ScheduleRow row = ScheduleRow.fromRow(key, value, modRevision);
-      scheduleNames.add(name);
-      schedulesByEntity.forEach(
-          (entity, schedules) -> {
-            if (entity.id().equals(row.entity())) {
-              schedules.trigger.onRowChanged(row);
-            }
-          });
+      scheduleNames.remove(name);
+      schedulesByEntity.values().forEach(schedules -> schedules.trigger().onScheduleDeleted(name));
+    } else if (key.startsWith(ScheduleRow.KEY_PREFIX)) {
+      applySchedule(ScheduleRow.fromRow(key, value, modRevision));
+    }
+  }
+
+  private void applyNamedDays(String name, JsonNode value) {
+    if (value == null) {
+      namedDays.remove(name);
+    } else {
+      Set<LocalDate> dates = new HashSet<>();
+      value.path("dates").forEach(date -> dates.add(LocalDate.parse(date.asText())));
+      namedDays.put(name, dates);
     }
+    schedulesByEntity.values().forEach(schedules -> schedules.trigger().onDaysChanged());
+  }
+
+  private void applySchedule(ScheduleRow row) {
+    scheduleNames.add(row.name());
+    schedulesByEntity.forEach(
+        (entity, schedules) -> {
+          if (entity.id().equals(row.entity())) {
+            schedules.trigger().onRowChanged(row);
+          }
+        });
   }
 
   private void tick() {
@@ -175,10 +153,10 @@
     for (OwnedEntity entity : membership.ownedEntities()) {
       EntitySchedules schedules =
           schedulesByEntity.computeIfAbsent(entity, this::createEntitySchedules);
-      if (!schedules.initialListing.isComplete()) {
+      if (!schedules.initialListing().isComplete()) {
         loadRows(entity, schedules);
       } else if (entity.isActive()) {
-        schedules.trigger.tick();
+        schedules.trigger().tick();
       }
     }
   }
@@ -186,148 +164,29 @@
   private EntitySchedules createEntitySchedules(OwnedEntity entity) {
     return new EntitySchedules(
         new ScheduleTrigger(
-            new EntityEnvironment(entity), () -> dayCalendar, settings.clockErrorBoundSeconds()));
+            new OwnedEntityEnvironment(
+                loop, store, membership, machineTypes, jobLifecycle, runtimeEstimates, entity),
+            () -> dayCalendar,
+            settings.clockErrorBoundSeconds()),
+        new InitialListing());
   }
 
-  /** Rows as of after the move: what a former owner settled stands in them. */
+  /** Reads rows as of after the acquisition: they have what a former owner settled. */
   private void loadRows(OwnedEntity entity, EntitySchedules schedules) {
-    schedules.initialListing.startReading(
-        store,
-        ScheduleRow.KEY_PREFIX,
-        entry -> {
-          ScheduleRow row = ScheduleRow.fromRow(entry.key(), entry.value(), entry.modRevision());
-          if (row.entity().equals(entity.id())) {
-            schedules.trigger.onRowChanged(row);
-          }
-        },
-        () -> LOG.info("entity {}: {} schedules", entity.id(), schedules.trigger.scheduleCount()));
-  }
-
-  /** What the schedules of one entity reach. */
-  private final class EntityEnvironment implements ScheduleTrigger.Environment {
-    private final OwnedEntity entity;
-    private final Set<JobId> lookupsInFlight = new HashSet<>();
-
-    EntityEnvironment(OwnedEntity entity) {
-      this.entity = entity;
-    }
-
-    @Override
-    public long wallClockMillis() {
-      return loop.wallMillis();
-    }
-
-    @Override
-    public long monotonicMillis() {
-      return loop.monotonicNanos() / 1_000_000;
-    }
-
-    @Override
-    public int availableRunSlots() {
-      return entity.isActive() && membership.isLeaseValid()
-          ? MAX_PENDING_RUNS - jobLifecycle.pendingSubmissionCount(entity)
-          : 0;
-    }
-
-    @Override
-    public CompletableFuture<WriteOutcome> storeRun(
-        ScheduleRow before, ScheduleRow next, JobSpec spec) {
-      int bytes = Cbor.encode(next.value()).length;
-      CoWrittenRow companionRow =
-          new CoWrittenRow(before.key(), before.modRevision(), next.value(), bytes);
-      return jobLifecycle
-          .store(entity, spec, companionRow)
-          .thenCompose(
-              stored -> {
-                if (stored.newlyStored() && stored.revision() > 0) {
-                  return completedWith(WriteResult.APPLIED, stored.revision());
-                }
-                if (stored.newlyStored() || stored.coWrittenRowConflict()) {
-                  return completedWith(WriteResult.CONFLICT, 0);
-                }
-                // The run's job exists though its row does not say so: only the row is missing.
-                return storeRow(before, next, null, true);
-              });
-    }
-
-    private static CompletableFuture<WriteOutcome> completedWith(
-        WriteResult result, long modRevision) {
-      return CompletableFuture.completedFuture(new WriteOutcome(result, modRevision));
-    }
-
-    @Override
-    public CompletableFuture<WriteOutcome> storeRow(
-        ScheduleRow before, ScheduleRow next, ObjectNode block, boolean urgent) {
-      Transaction transaction =
-          entity
-              .fencedTransaction()
-              .ifRevision(before.key(), before.modRevision())
-              .put(before.key(), next.value());
-      if (block != null) {
-        int number = next.value().path("blocks").asInt() - 1;
-        transaction.put(next.blockKey(number), block);
-        if (number >= ScheduleTrigger.MAX_HISTORY_BLOCKS) {
-          transaction.delete(next.blockKey(number - ScheduleTrigger.MAX_HISTORY_BLOCKS));
-        }
-      }
-      CompletableFuture<TransactionOutcome> outcome =
-          urgent ? store.commit(transaction) : store.commitInBackground(transaction);
-      return outcome.thenApply(
-          o ->
-              new WriteOutcome(
-                  o.applied() ? WriteResult.APPLIED : WriteResult.CONFLICT, o.revision()));
-    }
-
-    @Override
-    public JobView findJobView(JobId id) {
-      Job job = entity.jobs().get(id);
-      if (job != null && job.phase() != Job.Phase.FINISHED) {
-        return job.toView();
-      }
-      JobView terminal = jobLifecycle.findTerminalView(id);
-      if (terminal == null && lookupsInFlight.add(id)) {
-        Futures.logFailure(
-            jobLifecycle.lookUp(id).whenComplete((found, failure) -> lookupsInFlight.remove(id)),
-            "look a run's job up");
-      }
-      return terminal;
-    }
-
-    @Override
-    public RunProgress findRunProgress(JobId id) {
-      Job job = entity.jobs().get(id);
-      if (job == null) {
-        return null;
-      }
-      double nowSeconds = loop.monotonicSeconds();
-      double totalAgeSeconds = 0;
-      int running = 0;
-      for (TaskPlacement placement : job.placements()) {
-        if (placement.runningSinceSeconds() > 0) {
-          running++;
-          totalAgeSeconds += nowSeconds - placement.runningSinceSeconds();
-        }
-      }
-      return new RunProgress(
-          job.spec().taskCount(),
-          job.doneCount(),
-          running,
-          running == 0 ? 0 : totalAgeSeconds / running,
-          runtimeEstimates.expectedRuntimeSeconds(job.spec()),
-          startDelaySeconds(job.spec()));
-    }
-
-    private double startDelaySeconds(JobSpec spec) {
-      double bootSeconds = 0;
-      for (MachineType machineType : machineTypes.all()) {
-        if (machineType.capacity().countFitting(spec.taskResources()) > 0) {
-          bootSeconds =
-              Math.max(
-                  bootSeconds,
-                  machineType.bootSeconds() + spec.imageGb() / machineType.fetchGbPerSecond());
-        }
-      }
-      return bootSeconds + BootTimes.OVERHEAD_SECONDS;
-    }
+    schedules
+        .initialListing()
+        .startReading(
+            store,
+            ScheduleRow.KEY_PREFIX,
+            entry -> {
+              ScheduleRow row =
+                  ScheduleRow.fromRow(entry.key(), entry.value(), entry.modRevision());
+              if (row.entity().equals(entity.id())) {
+                schedules.trigger().onRowChanged(row);
+              }
+            },
+            () ->
+                LOG.info(
+                    "entity {}: {} schedules", entity.id(), schedules.trigger().scheduleCount()));
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
@@ -8,7 +8,6 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.net.Futures;
-import io.violetrail.wire.Cbor;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.List;
@@ -20,50 +19,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fires the schedules of one held entity, watches over their runs, and reports what will be late.
- * Decides by what it has been told of the rows and by the clock; whether a step counts is decided
- * by the transaction behind it, which names the row's last change.
+ * Fires the schedules of one owned entity, follows their runs, and reports what will be late.
+ * Decides by the rows that it knows and by the clock; whether a step counts is decided by its
+ * transaction, which is conditional on the row's revision. So a decision by an old row changes
+ * nothing.
+ *
+ * <p>Called on the event loop's thread by the {@link ScheduleRegistry}. After a crash the entity's
+ * next owner goes on from the rows, which have all that is needed.
  */
 final class ScheduleTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleTrigger.class);
 
-  /** Runs that are looked at, in turn, every so many milliseconds. */
+  /** How often each schedule with open runs is checked. */
   private static final long RUN_CHECK_INTERVAL_MILLIS = 2_000;
 
-  /** A step that could not be taken is tried again after this long. */
+  /** The delay before a step that could not be taken is tried again. */
   private static final long RETRY_DELAY_MILLIS = 1_000;
 
   /** Runs of one schedule that are not over; what is due beyond that waits. */
   static final int MAX_OPEN_RUNS = 12;
 
-  /** Ended runs in a row before they go into a block. */
+  /** Ended runs that a row keeps before they go into a history block. */
   static final int RUNS_PER_BLOCK = 16;
 
-  /** Blocks kept of a schedule; the oldest goes. */
+  /** History blocks kept of a schedule; the oldest is deleted. */
   static final int MAX_HISTORY_BLOCKS = 64;
 
-  /** Steps of one turn: native work comes in between. */
+  /** Steps of one tick: submissions and heartbeats are handled in between. */
   private static final int MAX_STEPS_PER_TICK = 50;
 
-  /** A miss that becomes this much worse is reported again. */
-  private static final long REREPORT_THRESHOLD_MILLIS = 60_000;
-
-  /** A run foreseen in time by this part of its time to the deadline is no longer reported. */
-  private static final double RECOVERY_MARGIN_FRACTION = 0.05;
-
-  /** Wall clock and steady clock may part by twice the bound on the time of day in one step. */
-  private final long maxClockStepMillis;
-
-  private static final long CLOCK_DISTRUST_MILLIS = 5_000;
-
   private final Environment environment;
   private final Supplier<DayCalendar> dayCalendar;
   private final Map<String, ScheduleState> schedulesByName = new HashMap<>();
   private final PriorityQueue<ScheduleTimer> dueTimers = new PriorityQueue<>();
   private final PriorityQueue<ScheduleTimer> runCheckTimers = new PriorityQueue<>();
-  private long clockOffsetMillis;
-  private boolean clockOffsetKnown;
-  private long clockDistrustedUntilMillis;
+  private final ClockJumpGuard clockJumpGuard;
 
   /** The edges: clocks, the state service, and what is known of jobs. */
   interface Environment {
@@ -84,7 +74,7 @@
     /** What is known of a job for sure; null if it has to be looked up, which this begins. */
     JobView findJobView(JobId id);
 
-    /** What is seen of an open job; null if it is not open here. */
+    /** The progress of an open job; null if it is not open here. */
     RunProgress findRunProgress(JobId id);
   }
 
@@ -93,20 +83,11 @@
 
   enum WriteResult {
     APPLIED,
-    /** The row has been changed by somebody else; the feed tells. */
-    CONFLICT,
-    /** Nothing is stored now. */
-    DEFERRED
-  }
-
-  private static final class ScheduleState {
-    ScheduleRow row;
-    ScheduleDefinition scheduleDefinition;
-    long nextDueMillis = Long.MAX_VALUE;
-    boolean writeInFlight;
+    /** The row has been changed by somebody else; the watch delivers the change. */
+    CONFLICT
   }
 
-  /** A turn of a schedule; ones of equal time by the deadline. */
+  /** When a schedule is to be looked at; those of equal time in the order of their deadlines. */
   private record ScheduleTimer(long atMillis, long deadlineMillis, String name)
       implements Comparable<ScheduleTimer> {
     @Override
@@ -121,55 +102,48 @@
       Environment environment, Supplier<DayCalendar> dayCalendar, double clockBoundSeconds) {
     this.environment = environment;
     this.dayCalendar = dayCalendar;
-    this.maxClockStepMillis = (long) (2_000 * clockBoundSeconds) + 1_000;
+    this.clockJumpGuard = new ClockJumpGuard(clockBoundSeconds);
   }
 
-  /** A schedule's row as it stands. */
+  /** Takes a schedule's row over if it is newer than the known one. */
   void onRowChanged(ScheduleRow row) {
-    ScheduleState schedule = schedulesByName.computeIfAbsent(row.name(), n -> new ScheduleState());
-    if (schedule.row != null && schedule.row.modRevision() >= row.modRevision()) {
-      return;
+    ScheduleState schedule = schedulesByName.get(row.name());
+    if (schedule == null) {
+      schedule = new ScheduleState(row);
+      schedulesByName.put(row.name(), schedule);
+      planSteps(schedule);
+    } else if (schedule.row().modRevision() < row.modRevision()) {
+      replaceRow(schedule, row);
     }
-    applyRow(schedule, row);
   }
 
-  private void applyRow(ScheduleState schedule, ScheduleRow row) {
-    boolean definitionUnchanged =
-        schedule.row != null && schedule.row.definition().equals(row.definition());
-    schedule.row = row;
-    try {
-      schedule.scheduleDefinition =
-          definitionUnchanged
-              ? schedule.scheduleDefinition
-              : ScheduleDefinition.parse(row.definition());
-    } catch (ScheduleDefinition.InvalidDefinitionException exception) {
-      LOG.error("schedule {} cannot be read: {}", row.name(), exception.getMessage());
-      schedule.scheduleDefinition = null;
-    }
+  private void replaceRow(ScheduleState schedule, ScheduleRow row) {
+    schedule.replaceRow(row);
+    planSteps(schedule);
+  }
+
+  private void planSteps(ScheduleState schedule) {
     planNextDue(schedule);
-    if (!row.openRuns().isEmpty()) {
+    enqueueRunCheck(schedule);
+  }
+
+  private void enqueueRunCheck(ScheduleState schedule) {
+    if (!schedule.row().openRuns().isEmpty()) {
       runCheckTimers.add(
           new ScheduleTimer(
-              environment.wallClockMillis() + RUN_CHECK_INTERVAL_MILLIS, 0, row.name()));
+              environment.wallClockMillis() + RUN_CHECK_INTERVAL_MILLIS, 0, schedule.row().name()));
     }
   }
 
-  /** Local days have been changed: due times follow. */
+  /** Plans all due times again after a change of local days. */
   void onDaysChanged() {
     schedulesByName.values().forEach(this::planNextDue);
   }
 
   private void planNextDue(ScheduleState schedule) {
-    schedule.nextDueMillis = Long.MAX_VALUE;
-    if (schedule.scheduleDefinition == null || schedule.row.isPaused()) {
-      return;
-    }
-    Instant next =
-        schedule.scheduleDefinition.findNextDue(
-            Instant.ofEpochMilli(schedule.row.cursorMillis()), dayCalendar.get());
-    if (next != null) {
-      schedule.nextDueMillis = next.toEpochMilli();
-      enqueueDue(schedule, schedule.nextDueMillis);
+    schedule.planNextDue(dayCalendar.get());
+    if (schedule.hasNextDue()) {
+      enqueueDue(schedule, schedule.nextDueMillis());
     }
   }
 
@@ -177,8 +151,8 @@
     dueTimers.add(
         new ScheduleTimer(
             atMillis,
-            schedule.nextDueMillis + (long) (1000 * schedule.scheduleDefinition.deadlineSeconds()),
-            schedule.row.name()));
+            schedule.nextDueMillis() + (long) (1000 * schedule.definition().deadlineSeconds()),
+            schedule.row().name()));
   }
 
   void onScheduleDeleted(String name) {
@@ -198,88 +172,60 @@
 
   void tick() {
     long nowMillis = environment.wallClockMillis();
-    if (!isClockTrusted(nowMillis)) {
+    if (!clockJumpGuard.isTrusted(nowMillis, environment.monotonicMillis())) {
       return;
     }
+    settleDueTimes(nowMillis);
+    checkOpenRuns(nowMillis);
+  }
+
+  private void settleDueTimes(long nowMillis) {
     int remainingSteps = MAX_STEPS_PER_TICK;
-    while (remainingSteps > 0 && !dueTimers.isEmpty() && dueTimers.peek().atMillis() <= nowMillis) {
+    while (remainingSteps > 0 && isFirstDue(dueTimers, nowMillis)) {
       remainingSteps--;
       ScheduleState schedule = schedulesByName.get(dueTimers.poll().name());
-      // Turns are not taken back when a schedule changes: one that means nothing now is passed.
-      if (schedule != null && !schedule.writeInFlight && schedule.nextDueMillis <= nowMillis) {
+      // Timers are not taken back when a schedule changes: one that means nothing now is passed.
+      if (schedule != null
+          && !schedule.isWriteInFlight()
+          && schedule.nextDueMillis() <= nowMillis) {
         settleNextDue(schedule, nowMillis);
       }
     }
-    remainingSteps = MAX_STEPS_PER_TICK;
-    while (remainingSteps > 0
-        && !runCheckTimers.isEmpty()
-        && runCheckTimers.peek().atMillis() <= nowMillis) {
+  }
+
+  private void checkOpenRuns(long nowMillis) {
+    int remainingSteps = MAX_STEPS_PER_TICK;
+    while (remainingSteps > 0 && isFirstDue(runCheckTimers, nowMillis)) {
       remainingSteps--;
       ScheduleState schedule = schedulesByName.get(runCheckTimers.poll().name());
-      if (schedule != null && !schedule.row.openRuns().isEmpty()) {
-        boolean checkAgain = schedule.writeInFlight || !checkRuns(schedule, nowMillis);
-        if (checkAgain) {
-          runCheckTimers.add(
-              new ScheduleTimer(nowMillis + RUN_CHECK_INTERVAL_MILLIS, 0, schedule.row.name()));
-        }
+      if (schedule == null || schedule.row().openRuns().isEmpty()) {
+        continue;
+      }
+      boolean checkAgain = schedule.isWriteInFlight() || !checkRuns(schedule, nowMillis);
+      if (checkAgain) {
+        runCheckTimers.add(
+            new ScheduleTimer(nowMillis + RUN_CHECK_INTERVAL_MILLIS, 0, schedule.row().name()));
       }
     }
   }
 
-  /**
-   * Whether the time of day has gone on as the steady clock has. After a leap beyond the bound that
-   * the settings state, nothing is fired for a moment: it may leap back. Exactly one run of each
-   * due time does not depend on this, since the cursor only advances.
-   */
-  private boolean isClockTrusted(long nowMillis) {
-    long offsetMillis = nowMillis - environment.monotonicMillis();
-    if (clockOffsetKnown && Math.abs(offsetMillis - clockOffsetMillis) > maxClockStepMillis) {
-      LOG.info(
-          "the time of day leaps by {} ms: nothing is fired for a moment",
-          offsetMillis - clockOffsetMillis);
-      clockDistrustedUntilMillis = environment.monotonicMillis() + CLOCK_DISTRUST_MILLIS;
-    }
-    clockOffsetMillis = offsetMillis;
-    clockOffsetKnown = true;
-    return environment.monotonicMillis() >= clockDistrustedUntilMillis;
+  private static boolean isFirstDue(PriorityQueue<ScheduleTimer> timers, long nowMillis) {
+    return !timers.isEmpty() && timers.peek().atMillis() <= nowMillis;
   }
 
-  /** Settles the next due time: it gets its run, or a reason why not. */
+  /** Settles the next due time: it gets its run, or a reason why not, or is tried again later. */
   private void settleNextDue(ScheduleState schedule, long nowMillis) {
-    ScheduleRow row = schedule.row;
-    ScheduleDefinition scheduleDefinition = schedule.scheduleDefinition;
-    long oldestDueMillis = nowMillis - (long) (1000 * scheduleDefinition.catchUpSeconds());
+    ScheduleRow row = schedule.row();
+    ScheduleDefinition definition = schedule.definition();
+    OverlapPolicy overlap = definition.overlap();
+    long oldestDueMillis = nowMillis - (long) (1000 * definition.catchUpSeconds());
     boolean unfinished = !row.openRuns().isEmpty();
-    if (schedule.nextDueMillis < oldestDueMillis) {
-      long firstMillis = schedule.nextDueMillis;
-      long lastMillis = firstMillis;
-      int count = 1;
-      for (Instant dueTime =
-              scheduleDefinition.findNextDue(Instant.ofEpochMilli(lastMillis), dayCalendar.get());
-          dueTime != null && dueTime.toEpochMilli() < oldestDueMillis;
-          dueTime = scheduleDefinition.findNextDue(dueTime, dayCalendar.get())) {
-        lastMillis = dueTime.toEpochMilli();
-        count++;
-      }
-      long lastSkippedMillis = lastMillis;
-      int skippedCount = count;
-      writeRow(
-          schedule,
-          row.withChange(
-              v ->
-                  ScheduleRow.recordSkipped(
-                      v, firstMillis, lastSkippedMillis, skippedCount, "too far back")),
-          true);
-    } else if (unfinished && scheduleDefinition.overlap() == OverlapPolicy.SKIP) {
-      long dueMillis = schedule.nextDueMillis;
-      writeRow(
-          schedule,
-          row.withChange(
-              v ->
-                  ScheduleRow.recordSkipped(
-                      v, dueMillis, dueMillis, 1, "the run before is not over")),
-          true);
-    } else if ((unfinished && scheduleDefinition.overlap() == OverlapPolicy.WAIT)
+    if (schedule.nextDueMillis() < oldestDueMillis) {
+      skipDueBefore(schedule, oldestDueMillis);
+    } else if (unfinished && overlap == OverlapPolicy.SKIP) {
+      long dueMillis = schedule.nextDueMillis();
+      recordSkipped(schedule, dueMillis, dueMillis, 1, "the run before is not over");
+    } else if ((unfinished && overlap == OverlapPolicy.WAIT)
         || row.openRuns().size() >= MAX_OPEN_RUNS) {
       enqueueDue(schedule, nowMillis + RUN_CHECK_INTERVAL_MILLIS);
     } else if (environment.availableRunSlots() <= 0) {
@@ -289,17 +235,42 @@
     }
   }
 
+  /** Settles all due times that are too old to be made up, by one write. */
+  private void skipDueBefore(ScheduleState schedule, long oldestDueMillis) {
+    ScheduleDefinition definition = schedule.definition();
+    long lastMillis = schedule.nextDueMillis();
+    int count = 1;
+    Instant dueTime = definition.findNextDue(Instant.ofEpochMilli(lastMillis), dayCalendar.get());
+    while (dueTime != null && dueTime.toEpochMilli() < oldestDueMillis) {
+      lastMillis = dueTime.toEpochMilli();
+      count++;
+      dueTime = definition.findNextDue(dueTime, dayCalendar.get());
+    }
+    recordSkipped(schedule, schedule.nextDueMillis(), lastMillis, count, "too far back");
+  }
+
+  private void recordSkipped(
+      ScheduleState schedule, long firstMillis, long lastMillis, int count, String reason) {
+    writeRow(
+        schedule,
+        schedule
+            .row()
+            .withChange(
+                row -> ScheduleRow.recordSkipped(row, firstMillis, lastMillis, count, reason)),
+        true);
+  }
+
   private void fireRun(ScheduleState schedule, long nowMillis) {
-    ScheduleRow before = schedule.row;
-    long dueMillis = schedule.nextDueMillis;
+    ScheduleRow before = schedule.row();
+    long dueMillis = schedule.nextDueMillis();
     JobSpec spec;
     try {
-      spec = schedule.scheduleDefinition.toJobSpec(ScheduleRow.runJobId(before.uid(), dueMillis));
+      spec = schedule.definition().toJobSpec(ScheduleRow.runJobId(before.uid(), dueMillis));
     } catch (ScheduleDefinition.InvalidDefinitionException exception) {
       throw new IllegalStateException(exception);
     }
     ScheduleRow next = before.withChange(v -> ScheduleRow.recordFired(v, dueMillis, nowMillis));
-    schedule.writeInFlight = true;
+    schedule.onWriteStarted();
     Futures.logFailure(
         environment
             .storeRun(before, next, spec)
@@ -312,7 +283,7 @@
   }
 
   private void writeRow(ScheduleState schedule, ScheduleRow next, boolean urgent) {
-    ScheduleRow before = schedule.row;
+    ScheduleRow before = schedule.row();
     ScheduleRow archived = next;
     ObjectNode block = null;
     if (next.endedRuns().size() >= RUNS_PER_BLOCK) {
@@ -325,7 +296,7 @@
               });
     }
     ScheduleRow stored = archived;
-    schedule.writeInFlight = true;
+    schedule.onWriteStarted();
     Futures.logFailure(
         environment
             .storeRow(before, stored, block, urgent)
@@ -335,38 +306,36 @@
 
   private void onWriteCompleted(
       ScheduleState schedule, ScheduleRow next, WriteOutcome stored, Throwable failure) {
-    schedule.writeInFlight = false;
+    schedule.onWriteCompleted();
     if (failure == null && stored.result() == WriteResult.APPLIED) {
-      if (stored.modRevision() > schedule.row.modRevision()) {
-        applyRow(schedule, next.withModRevision(stored.modRevision()));
+      if (stored.modRevision() > schedule.row().modRevision()) {
+        replaceRow(schedule, next.withModRevision(stored.modRevision()));
       }
-    } else if (schedule.scheduleDefinition != null && schedule.nextDueMillis < Long.MAX_VALUE) {
-      // If the row was changed, the feed tells how; until then a new try would fail as well.
+    } else if (schedule.hasNextDue()) {
+      // If the row was changed, the watch delivers it; until then a new try would fail as well.
       enqueueDue(
           schedule,
-          Math.max(schedule.nextDueMillis, environment.wallClockMillis() + RETRY_DELAY_MILLIS));
-    }
-    if (!schedule.row.openRuns().isEmpty()) {
-      runCheckTimers.add(
-          new ScheduleTimer(
-              environment.wallClockMillis() + RUN_CHECK_INTERVAL_MILLIS, 0, schedule.row.name()));
+          Math.max(schedule.nextDueMillis(), environment.wallClockMillis() + RETRY_DELAY_MILLIS));
     }
+    enqueueRunCheck(schedule);
   }
 
-  /** Looks at a schedule's runs; true if one of them led to a write, after which it goes on. */
+  /** Checks a schedule's runs up to the first that leads to a write; true if one does. */
   private boolean checkRuns(ScheduleState schedule, long nowMillis) {
-    for (Run run : schedule.row.openRuns()) {
-      JobId id = ScheduleRow.runJobId(schedule.row.uid(), run.dueMillis());
+    for (Run run : schedule.row().openRuns()) {
+      JobId id = ScheduleRow.runJobId(schedule.row().uid(), run.dueMillis());
       JobView view = environment.findJobView(id);
       long deadlineMillis =
-          run.dueMillis() + (long) (1000 * schedule.scheduleDefinition.deadlineSeconds());
+          run.dueMillis() + (long) (1000 * schedule.definition().deadlineSeconds());
       if (view != null && view.status().isTerminal()) {
         String outcome = view.status().name();
         boolean late = nowMillis > deadlineMillis || !outcome.equals("DONE");
         writeRow(
             schedule,
-            schedule.row.withChange(
-                v -> ScheduleRow.recordEnded(v, run.dueMillis(), nowMillis, outcome, late)),
+            schedule
+                .row()
+                .withChange(
+                    v -> ScheduleRow.recordEnded(v, run.dueMillis(), nowMillis, outcome, late)),
             false);
         return true;
       }
@@ -384,57 +353,41 @@
     return false;
   }
 
-  /** Reports a miss, that it has become worse, or that it is mended; true if that is written. */
+  /** Writes a report of a miss, of its change or of its recovery; true if there is one to write. */
   private boolean reportForecast(
       ScheduleState schedule, Run run, long nowMillis, long forecastMillis, long deadlineMillis) {
-    boolean late = forecastMillis > deadlineMillis;
-    long marginMillis =
-        (long) (RECOVERY_MARGIN_FRACTION * 1000 * schedule.scheduleDefinition.deadlineSeconds());
-    long reportedForecastMillis = run.report() == null ? 0 : run.report().path("done").asLong();
-    boolean first = late && !run.hasOpenReport();
-    boolean worse =
-        late
-            && run.hasOpenReport()
-            && forecastMillis > reportedForecastMillis + REREPORT_THRESHOLD_MILLIS
-            && nowMillis < deadlineMillis;
-    boolean missed =
-        run.hasOpenReport()
-            && nowMillis > deadlineMillis
-            && !run.report().path("missed").asBoolean();
-    boolean recovered =
-        run.hasOpenReport()
-            && nowMillis < deadlineMillis
-            && forecastMillis <= deadlineMillis - marginMillis;
-    if (!first && !worse && !missed && !recovered) {
+    DeadlineReport.Assessment assessment =
+        DeadlineReport.assess(
+            run,
+            nowMillis,
+            forecastMillis,
+            deadlineMillis,
+            schedule.definition().deadlineSeconds());
+    if (!assessment.reportDue()) {
       return false;
     }
-    ObjectNode report =
-        Cbor.newMap().put("at", run.hasOpenReport() ? run.report().path("at").asLong() : nowMillis);
-    report
-        .put("said", nowMillis)
-        .put("done", forecastMillis)
-        .put("withdrawn", recovered)
-        .put("missed", nowMillis > deadlineMillis);
+    ObjectNode report = DeadlineReport.toJson(run, nowMillis, forecastMillis, assessment);
     LOG.info(
         "schedule {} due {}: {}",
-        schedule.row.name(),
+        schedule.row().name(),
         Instant.ofEpochMilli(run.dueMillis()),
-        recovered
+        assessment.recovered()
             ? "it will be in time after all"
             : "it will miss its deadline " + Instant.ofEpochMilli(deadlineMillis));
     writeRow(
         schedule,
-        schedule.row.withChange(
-            v -> ScheduleRow.runEntry(v, run.dueMillis()).set("report", report)),
+        schedule
+            .row()
+            .withChange(row -> ScheduleRow.runEntry(row, run.dueMillis()).set("report", report)),
         true);
     return true;
   }
 
-  /** Rows with reports that stand. */
+  /** Rows with a report that was not withdrawn. */
   List<ScheduleRow> findSchedulesWithOpenReports() {
     return schedulesByName.values().stream()
-        .map(l -> l.row)
-        .filter(r -> r.openRuns().stream().anyMatch(Run::hasOpenReport))
+        .map(ScheduleState::row)
+        .filter(row -> row.openRuns().stream().anyMatch(Run::hasOpenReport))
         .toList();
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -14,31 +14,43 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds out what a request is about, and answers everything else with a {@code JobStatus}. */
+/**
+ * Routes the requests of the Kubernetes API to what serves them, and answers all others with a
+ * Kubernetes {@code Status}. Called on the event loop's thread.
+ */
 public final class KubernetesApi {
   private static final Logger LOG = LoggerFactory.getLogger(KubernetesApi.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Each holds a connection and some bytes on their way. */
+  /** Each takes a connection and some bytes that are not sent yet. */
   static final int MAX_WATCHES = 64;
 
   private static final Set<String> JSON_MEDIA_TYPES = Set.of("", "application/json");
 
   private final EventLoop loop;
   private final Configuration configuration;
-  private final ObjectStore objectStore;
+  private final ObjectQueries objectQueries;
+  private final ObjectCreator objectCreator;
+  private final ObjectUpdater objectUpdater;
+  private final ObjectDeleter objectDeleter;
   private final PodLister podLister;
   private final WatchCache watchCache;
 
   KubernetesApi(
       EventLoop loop,
       Configuration configuration,
-      ObjectStore objectStore,
+      ObjectQueries objectQueries,
+      ObjectCreator objectCreator,
+      ObjectUpdater objectUpdater,
+      ObjectDeleter objectDeleter,
       PodLister podLister,
       WatchCache watchCache) {
     this.loop = loop;
     this.configuration = configuration;
-    this.objectStore = objectStore;
+    this.objectQueries = objectQueries;
+    this.objectCreator = objectCreator;
+    this.objectUpdater = objectUpdater;
+    this.objectDeleter = objectDeleter;
     this.podLister = podLister;
     this.watchCache = watchCache;
   }
@@ -50,9 +62,7 @@
   private record ResourcePath(
       String group, String plural, String namespace, String name, String subresource) {}
 
-  /**
-   * Handles one request; a malformed one is answered with a Kubernetes {@code JobStatus} object.
-   */
+  /** Handles one request; a malformed one is answered with a Kubernetes {@code Status} object. */
   public void handle(Request request, HttpExchange httpExchange) {
     try {
       route(request, withAuditLog(request, httpExchange));
@@ -202,7 +212,7 @@
         if (options.watch()) {
           startWatch(kind, path.namespace(), options, httpExchange);
         } else {
-          objectStore.list(kind, path.namespace(), options, httpExchange);
+          objectQueries.list(kind, path.namespace(), options, httpExchange);
         }
       }
       case "POST" -> {
@@ -214,7 +224,7 @@
         }
         ObjectNode manifest = readBody(request, httpExchange);
         if (manifest != null) {
-          objectStore.create(kind, path.namespace(), manifest, httpExchange);
+          objectCreator.create(kind, path.namespace(), manifest, httpExchange);
         }
       }
       default ->
@@ -230,13 +240,13 @@
     switch (request.method()) {
       case "GET" -> {
         ListOptions.requireSupported(request.query(), Set.of("resourceVersion"));
-        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
+        objectQueries.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       }
       case "PUT" -> {
         ListOptions.requireSupported(request.query(), Set.of());
         ObjectNode manifest = readBody(request, httpExchange);
         if (manifest != null) {
-          objectStore.replace(
+          objectUpdater.replace(
               new ObjectReference(kind, path.namespace(), path.name()), manifest, httpExchange);
         }
       }
@@ -248,7 +258,7 @@
                 ? KubernetesJson.newObject()
                 : readBody(request, httpExchange);
         if (options != null) {
-          objectStore.delete(
+          objectDeleter.delete(
               new ObjectReference(kind, path.namespace(), path.name()),
               options,
               policy,
@@ -271,16 +281,16 @@
     } else if (request.method().equals("GET")) {
       ListOptions.requireSupported(request.query(), Set.of());
       if (scale) {
-        objectStore.getScale(
+        objectUpdater.getScale(
             new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       } else {
-        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
+        objectQueries.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       }
     } else if (scale && request.method().equals("PUT")) {
       ListOptions.requireSupported(request.query(), Set.of());
       ObjectNode body = readBody(request, httpExchange);
       if (body != null) {
-        objectStore.scale(
+        objectUpdater.scale(
             new ObjectReference(kind, path.namespace(), path.name()), body, httpExchange);
       }
     } else {
@@ -326,7 +336,7 @@
           options.timeoutSeconds());
       return;
     }
-    objectStore.listAll(
+    objectQueries.listAll(
         kind,
         namespace,
         httpExchange,
--- a/src/main/java/io/violetrail/kubernetes/KubernetesSubsystem.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesSubsystem.java
@@ -40,19 +40,33 @@
     NativeJobTranslator translator = new NativeJobTranslator(new ManifestSchema());
     this.reconciler = new ObjectReconciler(loop, store, membership, jobLifecycle, translator);
     this.watchCache = new WatchCache(store, loop, reconciler);
-    ObjectStore objectStore =
-        new ObjectStore(
+    ObjectQueries objectQueries = new ObjectQueries(store);
+    ObjectCreator objectCreator =
+        new ObjectCreator(
             loop,
             random,
             settings,
             store,
             membership,
-            machineTypes,
             jobAdmission,
             translator,
-            watchCache);
+            watchCache,
+            objectQueries);
+    ObjectUpdater objectUpdater =
+        new ObjectUpdater(
+            loop, settings, store, machineTypes, jobAdmission, translator, objectQueries);
+    ObjectDeleter objectDeleter = new ObjectDeleter(loop, store, objectQueries);
     PodLister podLister = new PodLister(settings, clusterView, membership, reconciler, http, port);
-    this.api = new KubernetesApi(loop, configuration, objectStore, podLister, watchCache);
+    this.api =
+        new KubernetesApi(
+            loop,
+            configuration,
+            objectQueries,
+            objectCreator,
+            objectUpdater,
+            objectDeleter,
+            podLister,
+            watchCache);
   }
 
   /** Begins to follow the kept objects and to reconcile jobs with them. */
--- /dev/null
+++ b/src/main/java/io/violetrail/kubernetes/ObjectDeleter.java
@@ -0,0 +1,166 @@
+package io.violetrail.kubernetes;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.Futures;
+import io.violetrail.state.StateStore;
+import io.violetrail.state.Tombstones;
+import io.violetrail.wire.StateStoreMessages.Transaction;
+import io.violetrail.wire.kubernetes.FieldError;
+import io.violetrail.wire.kubernetes.FieldError.Cause;
+import io.violetrail.wire.kubernetes.KubernetesStatus;
+import java.util.List;
+import java.util.Set;
+import java.util.function.LongConsumer;
+
+/**
+ * Deletes kept objects, at any controller and for all of them. In the background an object is gone
+ * at once, and a row of its own says to its entity's owner, the present one or the next, which
+ * tasks are to end; in the foreground the object stays until they have. Called on the event loop's
+ * thread; keeps nothing.
+ */
+final class ObjectDeleter {
+  /** Deletions that name no version are tried this often against changes. */
+  private static final int MAX_ATTEMPTS = 5;
+
+  private static final String BACKGROUND = "Background";
+  private static final Set<String> PROPAGATION_POLICIES = Set.of(BACKGROUND, "Foreground");
+  private static final Set<String> DELETE_OPTION_FIELDS =
+      Set.of("kind", "apiVersion", "propagationPolicy", "preconditions");
+
+  private final EventLoop loop;
+  private final StateStore store;
+  private final ObjectQueries queries;
+
+  ObjectDeleter(EventLoop loop, StateStore store, ObjectQueries queries) {
+    this.loop = loop;
+    this.store = store;
+    this.queries = queries;
+  }
+
+  /**
+   * Deletes an object.
+   *
+   * @param options the request's {@code DeleteOptions}, possibly empty
+   * @param policy the propagation policy where the options name none
+   */
+  void delete(
+      ObjectReference reference, ObjectNode options, String policy, HttpExchange httpExchange) {
+    for (var fields = options.fieldNames(); fields.hasNext(); ) {
+      String field = fields.next();
+      if (!DELETE_OPTION_FIELDS.contains(field)) {
+        httpExchange.answer(
+            KubernetesStatus.invalid(
+                "DeleteOptions",
+                List.of(new FieldError(field, Cause.NOT_SUPPORTED, "the field is not supported"))));
+        return;
+      }
+    }
+    String requestedPolicy = options.path("propagationPolicy").asText(policy);
+    if (!PROPAGATION_POLICIES.contains(requestedPolicy)) {
+      httpExchange.answer(
+          KubernetesStatus.invalid(
+              "DeleteOptions",
+              List.of(
+                  new FieldError(
+                      "propagationPolicy",
+                      Cause.NOT_SUPPORTED,
+                      "must be Background or Foreground: tasks do not outlive their object"))));
+      return;
+    }
+    tryDelete(
+        new DeleteRequest(
+            reference,
+            options.path("preconditions"),
+            requestedPolicy.equals(BACKGROUND),
+            httpExchange),
+        MAX_ATTEMPTS);
+  }
+
+  /** A deletion and what its client expects of the object. */
+  private record DeleteRequest(
+      ObjectReference reference,
+      JsonNode preconditions,
+      boolean background,
+      HttpExchange httpExchange) {
+    boolean matches(KubernetesObject found) {
+      boolean sameObject = preconditions.path("uid").asText(found.uid()).equals(found.uid());
+      String resourceVersion = String.valueOf(found.resourceVersion());
+      return sameObject
+          && preconditions.path("resourceVersion").asText(resourceVersion).equals(resourceVersion);
+    }
+
+    void answerDeleted(String uid) {
+      httpExchange.answer(
+          200, KubernetesStatus.success(reference.kind().plural(), reference.name(), uid), 0);
+    }
+  }
+
+  private void tryDelete(DeleteRequest request, int attemptsLeft) {
+    HttpExchange httpExchange = request.httpExchange();
+    ObjectReference reference = request.reference();
+    queries.read(
+        reference,
+        httpExchange,
+        found -> {
+          if (found == null && attemptsLeft < MAX_ATTEMPTS) {
+            // Deleted by an earlier try of this request whose answer was lost, or by another one.
+            request.answerDeleted("");
+          } else if (found == null) {
+            httpExchange.answer(KubernetesStatus.notFound(reference.displayName()));
+          } else if (!request.matches(found) || attemptsLeft == 0) {
+            httpExchange.answer(KubernetesStatus.conflict(reference.displayName()));
+          } else if (request.background()) {
+            deleteInBackground(request, attemptsLeft, found);
+          } else if (found.isDeleting()) {
+            httpExchange.answer(200, found.toJson(), 0);
+          } else {
+            markDeleting(request, attemptsLeft, found);
+          }
+        });
+  }
+
+  private void deleteInBackground(DeleteRequest request, int attemptsLeft, KubernetesObject found) {
+    long nowMillis = loop.wallMillis();
+    Transaction transaction =
+        new Transaction()
+            .ifRevision(found.key(), found.resourceVersion())
+            .delete(found.key())
+            .put(found.deletedKey(), found.toDeletedRow(nowMillis));
+    Tombstones.markDeletion(transaction, found.key(), nowMillis);
+    commit(request, attemptsLeft, transaction, revision -> request.answerDeleted(found.uid()));
+  }
+
+  /** Says in the row that the object is to be deleted once its tasks have ended. */
+  private void markDeleting(DeleteRequest request, int attemptsLeft, KubernetesObject found) {
+    long nowMillis = loop.wallMillis();
+    KubernetesObject marked = found.withChange(row -> row.put("deleting", nowMillis));
+    commit(
+        request,
+        attemptsLeft,
+        new Transaction()
+            .ifRevision(found.key(), found.resourceVersion())
+            .put(found.key(), marked.value()),
+        revision ->
+            request.httpExchange().answer(200, marked.withResourceVersion(revision).toJson(), 0));
+  }
+
+  private void commit(
+      DeleteRequest request, int attemptsLeft, Transaction transaction, LongConsumer onApplied) {
+    Futures.logFailure(
+        store
+            .commit(transaction)
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (failure != null) {
+                    request.httpExchange().answer(ObjectErrors.stateUnavailable(failure));
+                  } else if (outcome.applied()) {
+                    onApplied.accept(outcome.revision());
+                  } else {
+                    tryDelete(request, attemptsLeft - 1);
+                  }
+                }),
+        "delete an object");
+  }
+}
--- a/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
+++ b/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
@@ -246,16 +246,20 @@
       return true;
     }
 
+    private static IllegalStateException unavailable() {
+      return new IllegalStateException("the state service does not answer");
+    }
+
     private CompletableFuture<WriteOutcome> storeWithFaults(
         ScheduleRow before, ScheduleRow next, ObjectNode block, JobId claimedJob, int tasks) {
       CompletableFuture<WriteOutcome> answer = new CompletableFuture<>();
       int draw = nowMillis < outageUntilMillis ? 0 : random.nextInt(100);
       long delay = 5L + random.nextInt(200);
       if (draw < 2) {
-        runAfter(delay, () -> answer.complete(new WriteOutcome(WriteResult.DEFERRED, 0)));
+        runAfter(delay, () -> answer.completeExceptionally(unavailable()));
       } else if (draw < 5) {
         // Nobody hears of it, and it is applied much later, if it still holds.
-        runAfter(delay, () -> answer.complete(new WriteOutcome(WriteResult.DEFERRED, 0)));
+        runAfter(delay, () -> answer.completeExceptionally(unavailable()));
         runAfter(
             delay + random.nextInt(120_000),
             () -> applyTransaction(before, next, block, claimedJob, tasks));
