--- a/src/test/java/io/violetrail/fakes/ClusterSimulation.java
+++ b/src/test/java/io/violetrail/fakes/ClusterSimulation.java
@@ -19,14 +19,12 @@
 import io.violetrail.tracing.JobTracer;
 import io.violetrail.tracing.OpenTelemetryJobTracer;
 import io.violetrail.wire.Cbor;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -40,19 +38,22 @@
  * service, the cloud, its workers, and controllers that can be killed and started again.
  */
 public final class ClusterSimulation {
-  private static final double DEFAULT_DELAY_SECONDS = 0.005;
-
   /** How long users and workers wait for an answer. */
   private static final double USER_TIMEOUT_SECONDS = 5;
 
   private static final double WORKER_TIMEOUT_SECONDS = 4;
   public static final HostPort STATE_ADDRESS = new HostPort("state", 1);
   public static final HostPort CLOUD_ADDRESS = new HostPort("cloud", 1);
+  public static final int KUBERNETES_PORT = 6443;
 
+  private final VirtualTime time = new VirtualTime();
+  private final ControllerProcesses processes = new ControllerProcesses(time);
+  private final Map<String, Controller> controllers = new LinkedHashMap<>();
+  private final SimulatedTransport transport =
+      new SimulatedTransport(time, processes, controllers::containsKey);
   private final Random random;
   private final FakeStateService stateService = new FakeStateService(this);
   private final FakeCloud cloud = new FakeCloud(this);
-  private final Map<String, Controller> controllers = new LinkedHashMap<>();
   private final List<String> violations = new ArrayList<>();
 
   /** Jobs that were submitted with a mistake: they fail on every machine. */
@@ -64,7 +65,6 @@
   /** Whether controllers fire schedules as well. */
   private boolean schedulesEnabled;
 
-  public static final int KUBERNETES_PORT = 6443;
   private final Map<String, KubernetesApi> kubernetesApis = new HashMap<>();
 
   /** Whether launches are kept in {@link #launches}; not where there are very many. */
@@ -77,17 +77,6 @@
   private WorkerTiming workerSettings = new WorkerTiming(1, 10, 45, 4, 40);
   private final InvariantChecker checker = new InvariantChecker(this);
   private StateStoreLimits stateLimits = new StateStoreLimits(500, 200, 8192, 24);
-  private final Map<HostPort, RequestHandler> services = new HashMap<>();
-  private final Map<String, Integer> incarnations = new HashMap<>();
-  private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final Set<String> standInHosts = new HashSet<>();
-  private final Map<String, Double> frozenUntilSeconds = new HashMap<>();
-
-  /** What is wrong between the hosts. */
-  private final NetworkFaults networkFaults = new NetworkFaults(incarnations::containsKey);
-
-  /** What was sent so far. */
-  private final TrafficCounter traffic = new TrafficCounter();
 
   /**
    * Whether workers report when something changes, as the protocol has it, or by the clock only.
@@ -106,10 +95,6 @@
   /** What workers make of an answer without a token; by default what is harder on controllers. */
   private MissingTokenBehavior missingTokenBehavior = MissingTokenBehavior.TREAT_AS_LOWEST;
 
-  /** How long a message takes between two hosts, one way. */
-  private ToDoubleBiFunction<String, String> oneWayDelaySeconds =
-      (from, to) -> DEFAULT_DELAY_SECONDS;
-
   /** How long a task really runs, from how long its worker's tasks run on average. */
   private DoubleUnaryOperator taskDurationSeconds = averageSeconds -> averageSeconds;
 
@@ -122,31 +107,15 @@
   /** Told of each task that a worker starts. */
   private Consumer<String> onTaskStarted = task -> {};
 
-  /** Told of each message between the hosts. */
-  private MessageObserver onMessage = MessageObserver.NONE;
-
-  private final Map<String, Long> controllerCpuNanos = new HashMap<>();
   private final int controllerCount;
-  private double nowSeconds = 100;
-  private long nextEventSequence;
-
-  private record Event(double atSeconds, long sequence, Runnable task)
-      implements Comparable<Event> {
-    @Override
-    public int compareTo(Event other) {
-      return atSeconds != other.atSeconds
-          ? Double.compare(atSeconds, other.atSeconds)
-          : Long.compare(sequence, other.sequence);
-    }
-  }
 
   /** Creates a cluster with an equal number of names and places; no controller is started yet. */
   public ClusterSimulation(int controllers, long seed) {
     random = new Random(seed);
     controllerCount = controllers;
     teams.put("red", new Team("red", 0, 0, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY));
-    services.put(STATE_ADDRESS, stateService);
-    services.put(CLOUD_ADDRESS, cloud);
+    transport.serve(STATE_ADDRESS, stateService);
+    transport.serve(CLOUD_ADDRESS, cloud);
     checker.start();
   }
 
@@ -191,11 +160,11 @@
   }
 
   public NetworkFaults networkFaults() {
-    return networkFaults;
+    return transport.networkFaults();
   }
 
   public TrafficCounter traffic() {
-    return traffic;
+    return transport.traffic();
   }
 
   public void setKubernetesEnabled(boolean kubernetesEnabled) {
@@ -254,12 +223,13 @@
     this.missingTokenBehavior = missingTokenBehavior;
   }
 
+  /** How long a message takes between two hosts, one way. */
   public ToDoubleBiFunction<String, String> oneWayDelaySeconds() {
-    return oneWayDelaySeconds;
+    return transport.oneWayDelaySeconds();
   }
 
   public void setOneWayDelaySeconds(ToDoubleBiFunction<String, String> oneWayDelaySeconds) {
-    this.oneWayDelaySeconds = oneWayDelaySeconds;
+    transport.setOneWayDelaySeconds(oneWayDelaySeconds);
   }
 
   public DoubleUnaryOperator taskDurationSeconds() {
@@ -286,8 +256,9 @@
     this.onTaskStarted = onTaskStarted;
   }
 
+  /** Has the observer told of each message between the hosts. */
   public void setOnMessage(MessageObserver onMessage) {
-    this.onMessage = onMessage;
+    transport.setObserver(onMessage);
   }
 
   public void setExternalControllers(ExternalControllers externalControllers) {
@@ -317,27 +288,21 @@
   }
 
   public double nowSeconds() {
-    return nowSeconds;
+    return time.nowSeconds();
   }
 
   /** Runs all events of the next {@code seconds} of virtual time. */
   public ClusterSimulation runFor(double seconds) {
-    double untilSeconds = nowSeconds + seconds;
-    while (!events.isEmpty() && events.peek().atSeconds <= untilSeconds) {
-      Event event = events.poll();
-      nowSeconds = Math.max(nowSeconds, event.atSeconds);
-      event.task.run();
-    }
-    nowSeconds = untilSeconds;
+    time.runFor(seconds);
     return this;
   }
 
   /** Runs until the condition holds; fails the story if it does not within the time. */
   public ClusterSimulation runUntil(
       double timeoutSeconds, java.util.function.BooleanSupplier condition) {
-    double deadlineSeconds = nowSeconds + timeoutSeconds;
+    double deadlineSeconds = nowSeconds() + timeoutSeconds;
     while (!condition.getAsBoolean()) {
-      if (nowSeconds >= deadlineSeconds) {
+      if (nowSeconds() >= deadlineSeconds) {
         throw new AssertionError("not within " + timeoutSeconds + " s");
       }
       runFor(0.1);
@@ -346,24 +311,24 @@
   }
 
   public void runAfter(double delaySeconds, Runnable task) {
-    events.add(new Event(nowSeconds + delaySeconds, nextEventSequence++, task));
+    time.runAfter(delaySeconds, task);
   }
 
   /** Starts a new process of the named controller. */
   public Controller startController(String name) {
-    int incarnation = incarnations.merge(name, 1, Integer::sum);
+    int incarnation = processes.start(name);
     Settings settings = settings(name);
-    SimulatedEventLoop loop = new SimulatedEventLoop(name, incarnation);
+    EventLoop loop = processes.eventLoop(name, incarnation);
     HttpClient http =
         (to, method, path, body, timeout) ->
             sendRequest(name, incarnation, to, method, path, body, timeout);
     Controller controller =
         new Controller(settings, options, loop, http, new Random(random.nextLong()), traces(loop));
     controllers.put(name, controller);
-    services.put(settings.apiAddress(), fencedByIncarnation(name, incarnation, controller.api()));
-    services.put(
+    transport.serve(settings.apiAddress(), processes.servedBy(name, incarnation, controller.api()));
+    transport.serve(
         settings.clusterListenAddress(),
-        fencedByIncarnation(name, incarnation, controller.peerService()));
+        processes.servedBy(name, incarnation, controller.peerService()));
     controller.start();
     if (schedulesEnabled) {
       controller.serveSchedules();
@@ -374,9 +339,9 @@
     if (kubernetesEnabled) {
       KubernetesApi kubernetesApi = controller.startKubernetes(KUBERNETES_PORT);
       kubernetesApis.put(name, kubernetesApi);
-      services.put(
+      transport.serve(
           new HostPort(name, KUBERNETES_PORT),
-          fencedByIncarnation(name, incarnation, KubernetesTestClient.asService(kubernetesApi)));
+          processes.servedBy(name, incarnation, KubernetesTestClient.asService(kubernetesApi)));
     }
     return controller;
   }
@@ -389,25 +354,24 @@
 
   /** Ends a controller's process at once, without any of its shutdown steps. */
   public void killController(String name) {
-    incarnations.merge(name, 1, Integer::sum);
+    processes.end(name);
     controllers.remove(name);
     kubernetesApis.remove(name);
   }
 
   /** Something else answers workers and users in the place of a controller that is not running. */
   void startStandIn(String name, RequestHandler api) {
-    standInHosts.add(name);
-    services.put(apiAddress(name), api);
+    transport.startStandIn(name, apiAddress(name), api);
   }
 
   void stopStandIn(String name) {
-    standInHosts.remove(name);
+    transport.stopStandIn(name);
   }
 
   /** A schedule that is there already, as its row would hold it. */
   public void storeSchedule(String name, ObjectNode definition, String entity) {
     ObjectNode row = Cbor.newMap().put("uid", name).put("entity", entity).put("version", 1);
-    row.put("paused", false).put("cursor", 1_700_000_000_000L + (long) (nowSeconds * 1000));
+    row.put("paused", false).put("cursor", time.wallMillis());
     row.put("blocks", 0).set("def", definition);
     row.putArray("runs");
     row.putArray("past");
@@ -419,48 +383,28 @@
    * reach it are all there when it goes on, in their order.
    */
   public void freezeController(String name, double seconds) {
-    frozenUntilSeconds.put(name, nowSeconds + seconds);
-  }
-
-  private void runWhenAwake(String name, int incarnation, Runnable task) {
-    double untilSeconds = frozenUntilSeconds.getOrDefault(name, 0.0);
-    if (nowSeconds < untilSeconds) {
-      runAfter(untilSeconds - nowSeconds, () -> runWhenAwake(name, incarnation, task));
-    } else if (isCurrentIncarnation(name, incarnation)) {
-      long startedAtNanos = System.nanoTime();
-      task.run();
-      controllerCpuNanos.merge(name, System.nanoTime() - startedAtNanos, Long::sum);
-    }
+    processes.freeze(name, seconds);
   }
 
   /** Processor time that a controller's own callbacks have taken, the fakes' share left out. */
   public double controllerCpuSeconds(String name) {
-    return controllerCpuNanos.getOrDefault(name, 0L) / 1e9;
+    return processes.cpuSeconds(name);
   }
 
   /** A worker has started a task. */
   void recordTaskStart(String task, String worker) {
     if (recordsLaunches) {
-      launches.add("%.3f %s %s".formatted(nowSeconds, task, worker));
+      launches.add("%.3f %s %s".formatted(nowSeconds(), task, worker));
     }
     onTaskStarted.accept(task);
   }
 
   /** A worker's own address answers from now on. */
   void registerWorker(FakeWorker worker) {
-    services.put(worker.address(), worker.service());
+    transport.serve(worker.address(), worker.service());
     onWorkerCreated.accept(worker);
   }
 
-  private boolean isCurrentIncarnation(String name, int incarnation) {
-    return incarnations.get(name) == incarnation;
-  }
-
-  private RequestHandler fencedByIncarnation(String name, int incarnation, RequestHandler service) {
-    return (method, path, body, done) ->
-        runWhenAwake(name, incarnation, () -> service.handle(method, path, body, done));
-  }
-
   /**
    * Sends a request over the simulated network on behalf of one life of the sender.
    *
@@ -475,79 +419,7 @@
       String path,
       byte[] body,
       double timeoutSeconds) {
-    CompletableFuture<HttpClient.ClientReply> future = new CompletableFuture<>();
-    final String message = from + " " + to.host() + " " + method + " " + path;
-    String kind = TrafficCounter.kindOf(method, path);
-    traffic.countRequest(kind, body);
-    var observed = new MessageObserver.Request(from, to.host(), method, path, body);
-    onMessage.sent(observed);
-    runAfter(
-        timeoutSeconds,
-        () -> {
-          if (!future.isDone() && isCallerAlive(from, incarnation)) {
-            deliverToCaller(
-                from, incarnation, () -> future.completeExceptionally(new IOException("time out")));
-          }
-        });
-    Runnable deliver =
-        () -> {
-          RequestHandler service = services.get(to);
-          if (service != null) {
-            onMessage.delivered(observed);
-            service.handle(
-                method,
-                isStateOrCloud(to) ? from + " " + path : path,
-                body,
-                answer ->
-                    runAfter(
-                        oneWayDelaySeconds.applyAsDouble(to.host(), from),
-                        () -> {
-                          traffic.countReply(kind, answer.body());
-                          onMessage.answered(observed, answer);
-                          if (!networkFaults.losesMessage(from, to.host(), message)) {
-                            deliverToCaller(
-                                from,
-                                incarnation,
-                                () ->
-                                    future.complete(
-                                        new HttpClient.ClientReply(
-                                            answer.status(), answer.body())));
-                          }
-                        }));
-          }
-        };
-    runAfter(
-        oneWayDelaySeconds.applyAsDouble(from, to.host()),
-        () -> {
-          if (networkFaults.refusesConnection(message)
-              || (incarnations.containsKey(to.host())
-                  && !controllers.containsKey(to.host())
-                  && !standInHosts.contains(to.host()))) {
-            // The host is up but the process is not: its connections are refused.
-            future.completeExceptionally(new IOException("refused"));
-          } else if (!networkFaults.holdIfMatching(message, deliver)
-              && !networkFaults.losesMessage(from, to.host(), message)) {
-            deliver.run();
-          }
-        });
-    return future;
-  }
-
-  /** What comes back to a caller: a controller hears of it when it is awake. */
-  private void deliverToCaller(String from, int incarnation, Runnable task) {
-    if (incarnation < 0) {
-      task.run();
-    } else {
-      runWhenAwake(from, incarnation, task);
-    }
-  }
-
-  private static boolean isStateOrCloud(HostPort to) {
-    return to.equals(STATE_ADDRESS) || to.equals(CLOUD_ADDRESS);
-  }
-
-  private boolean isCallerAlive(String from, int incarnation) {
-    return incarnation < 0 || isCurrentIncarnation(from, incarnation);
+    return transport.send(from, incarnation, to, method, path, body, timeoutSeconds);
   }
 
   /** A way to controllers outside of this world. */
@@ -571,7 +443,7 @@
             ? externalControllers.callController(from, controller, method, path, body)
             : sendRequest(
                 from,
-                -1,
+                SimulatedTransport.NO_INCARNATION,
                 apiAddress(controller),
                 method,
                 path,
@@ -614,49 +486,6 @@
 
   /** Time and turns of a controller that is not running, for tests of its parts. */
   public EventLoop createEventLoop(String name) {
-    return new SimulatedEventLoop(name, incarnations.merge(name, 1, Integer::sum));
-  }
-
-  private final class SimulatedEventLoop implements EventLoop {
-    private final String name;
-    private final int incarnation;
-
-    SimulatedEventLoop(String name, int incarnation) {
-      this.name = name;
-      this.incarnation = incarnation;
-    }
-
-    @Override
-    public long monotonicNanos() {
-      return (long) (nowSeconds * 1e9);
-    }
-
-    @Override
-    public long wallMillis() {
-      return 1_700_000_000_000L + (long) (nowSeconds * 1000);
-    }
-
-    @Override
-    public void execute(Runnable task) {
-      schedule(0, task);
-    }
-
-    @Override
-    public Cancellable schedule(double seconds, Runnable task) {
-      boolean[] cancelled = new boolean[1];
-      runAfter(
-          seconds,
-          () -> {
-            runWhenAwake(
-                name,
-                incarnation,
-                () -> {
-                  if (!cancelled[0]) {
-                    task.run();
-                  }
-                });
-          });
-      return () -> cancelled[0] = true;
-    }
+    return processes.eventLoop(name, processes.start(name));
   }
 }
