--- a/src/main/java/io/violetrail/model/MachineType.java
+++ b/src/main/java/io/violetrail/model/MachineType.java
@@ -21,4 +21,9 @@
   public double priceFor(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
+
+  /** Whether a task may take the type without idling accelerators: it uses some, or it has none. */
+  public boolean suitsAcceleratorNeed(Resources task) {
+    return capacity.gpus() == 0 || task.gpus() > 0;
+  }
 }
--- a/src/main/java/io/violetrail/worker/LongPollReplies.java
+++ b/src/main/java/io/violetrail/worker/LongPollReplies.java
@@ -91,7 +91,7 @@
     }
     // The worker counts its lease from the sending of its report; the reply's time is later, so the
     // lease is taken for expired too late rather than too early.
-    machine.reportAnswered(loop.monotonicSeconds());
+    machine.recordReply(loop.monotonicSeconds());
     List<WorkerCommand> commands = new ArrayList<>(delayedCommands);
     if (isNewestReport(machine, report) && membership.isLeaseValid() && entity.isActive()) {
       commandWriter.addCommands(machine, commands);
--- a/src/main/java/io/violetrail/worker/ReportReconciliation.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciliation.java
@@ -121,7 +121,7 @@
       placement = addReportedPlacement(job, taskReport);
     }
     if (placement.reported(taskReport.state(), nowSeconds)) {
-      machine.imageSeen(job.spec().image());
+      machine.recordImage(job.spec().image());
     }
     if (placement.reportedState() == TaskState.RUNNING && placement.hasRun()) {
       FailureAttribution.recordRunning(job, placement.ranSeconds(nowSeconds));
@@ -174,7 +174,7 @@
     if (succeeded && job.spec().shape() != JobShape.SERVICE && !job.isDone(index)) {
       job.markDone(index);
       FailureAttribution.recordSuccess(machine, job);
-      machine.imageSeen(job.spec().image());
+      machine.recordImage(job.spec().image());
     }
     if (placement != null
         && placement.attempt() == taskReport.attempt()
--- a/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
+++ b/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
@@ -42,7 +42,7 @@
 
   private static Configuration configuration(List<Objective> objectives) {
     ClusterSimulation simulation = new ClusterSimulation(1, 1);
-    simulation.objectives = objectives;
+    simulation.setObjectives(objectives);
     var settings = simulation.settings("c0");
     return new FixedConfiguration(settings, new ClusterView(settings));
   }
@@ -93,7 +93,7 @@
             TYPE,
             new Version(10),
             0);
-    machine.reportTaken(null);
+    machine.recordStatus(null);
     ownedEntity.addMachine(machine);
     return machine;
   }
