--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -14,10 +14,30 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The cloud's client, within this controller's part of the shared rate. */
+/**
+ * The client of the machine provider's API, within this controller's part of the rate limit that
+ * all controllers share. Called on the event loop's thread, on which its futures complete too.
+ * Without state that must survive a crash.
+ */
 public final class CloudClient {
   private static final double TIMEOUT_SECONDS = 5;
 
+  /** The part of the shared rate limit that the controllers split evenly. */
+  private static final double SPLIT_FRACTION = 0.9;
+
+  /** The part of the shared rate limit that one controller may take while the others are idle. */
+  private static final double MAX_FRACTION = 0.8;
+
+  /** So many calls that are not rate limited raise the rate by an even share. */
+  private static final double CALLS_PER_INCREASE = 10;
+
+  private static final int BAD_REQUEST = 400;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  private static final RentalResult UNCERTAIN_RENTAL =
+      new RentalResult(RentalOutcome.UNCERTAIN, List.of());
+
   private final HttpClient http;
   private final Settings settings;
   private final EventLoop loop;
@@ -31,7 +51,7 @@
     this.http = http;
     this.settings = settings;
     this.fairRate =
-        settings.cloudLimits().requestsPerSecond() * 0.9 / (settings.peers().size() + 1);
+        settings.cloudLimits().requestsPerSecond() * SPLIT_FRACTION / (settings.peers().size() + 1);
     this.currentRate = fairRate;
     this.rateLimiter =
         new RateLimiter(currentRate, Math.max(1, currentRate * 2), loop.monotonicSeconds());
@@ -39,15 +59,18 @@
 
   /** What a rental request came to. */
   public enum RentalOutcome {
+    /** It was carried out, maybe with fewer machines than requested. */
     DONE,
+    /** It was refused for good: nothing is, nor will be, rented. */
     NO_CAPACITY,
+    /** It may be carried out, now or later: it must be repeated under its name. */
     UNCERTAIN
   }
 
-  /** A rental request's answer. */
+  /** A rental request's answer; without machines unless it was carried out. */
   public record RentalResult(RentalOutcome outcome, List<MachineId> machines) {}
 
-  /** Whether a call may be made now; takes it from the budget. */
+  /** Whether a call may be made now; if so, it is taken from the rate limit. */
   public boolean tryAcquireCall() {
     return rateLimiter.tryAcquire(1, loop.monotonicSeconds());
   }
@@ -75,25 +98,24 @@
             "POST",
             "/hosts",
             Cbor.encode(CloudMessages.rentalRequest(requestName, type, zone, spot, count)))
-        .handle(
-            (response, failure) -> {
-              try {
-                if (failure == null && response.isOk()) {
-                  return new RentalResult(
-                      RentalOutcome.DONE,
-                      CloudMessages.parseRentedMachines(Cbor.parse(response.body())));
-                }
-                if (failure == null
-                    && (response.status() == 400
-                        || (response.status() == 503
-                            && isNoCapacity(Cbor.parse(response.body()))))) {
-                  return new RentalResult(RentalOutcome.NO_CAPACITY, List.of());
-                }
-              } catch (MalformedMessageException exception) {
-                // Nothing certain was said.
-              }
-              return new RentalResult(RentalOutcome.UNCERTAIN, List.of());
-            });
+        .handle((response, failure) -> failure == null ? parseRental(response) : UNCERTAIN_RENTAL);
+  }
+
+  private static RentalResult parseRental(HttpClient.ClientReply response) {
+    try {
+      if (response.isOk()) {
+        return new RentalResult(
+            RentalOutcome.DONE, CloudMessages.parseRentedMachines(Cbor.parse(response.body())));
+      }
+      if (response.status() == BAD_REQUEST
+          || (response.status() == SERVICE_UNAVAILABLE
+              && isNoCapacity(Cbor.parse(response.body())))) {
+        return new RentalResult(RentalOutcome.NO_CAPACITY, List.of());
+      }
+    } catch (MalformedMessageException exception) {
+      return UNCERTAIN_RENTAL;
+    }
+    return UNCERTAIN_RENTAL;
   }
 
   private static boolean isNoCapacity(ObjectNode message) {
@@ -103,7 +125,13 @@
   /** A page of the machines listed; {@code lastListed} is where the next one begins. */
   public record MachinePage(List<MachineId> machines, String lastListed, boolean hasMore) {}
 
-  /** Machines listed after a name, not all of which may still or already be there. */
+  /**
+   * Lists a page of the machines that are charged for. The list lags: machines may be missing from
+   * it, or listed although they are terminated. The future fails if the reply is an error or
+   * malformed.
+   *
+   * @param after the name that the page begins after; empty for the first page
+   */
   public CompletableFuture<MachinePage> listMachines(String after) {
     String afterParameter = after.isEmpty() ? "" : "&after=" + after;
     return callOrFail(
@@ -125,11 +153,11 @@
             });
   }
 
-  /** What asking for machines to be taken back came to. */
+  /** What a request to take machines back came to. */
   public enum ReturnOutcome {
-    /** They are gone for certain. */
+    /** They are certainly terminated. */
     GONE,
-    /** Nothing was done, nor will be. */
+    /** Nothing was done, nor will be: they go on running. */
     REFUSED,
     /** It may be done later. */
     UNCERTAIN
@@ -142,33 +170,34 @@
   public CompletableFuture<ReturnOutcome> returnMachines(Collection<MachineId> machines) {
     return send("POST", "/hosts/return", Cbor.encode(CloudMessages.returnRequest(machines)))
         .handle(
-            (response, failure) -> {
-              if (failure != null) {
-                return ReturnOutcome.UNCERTAIN;
-              }
-              return response.isOk()
-                  ? ReturnOutcome.GONE
-                  : response.status() == 429 || response.status() == 503
-                      ? ReturnOutcome.REFUSED
-                      : ReturnOutcome.UNCERTAIN;
-            });
+            (response, failure) ->
+                failure == null ? returnOutcome(response) : ReturnOutcome.UNCERTAIN);
+  }
+
+  private static ReturnOutcome returnOutcome(HttpClient.ClientReply response) {
+    if (response.isOk()) {
+      return ReturnOutcome.GONE;
+    }
+    return response.status() == TOO_MANY_REQUESTS || response.status() == SERVICE_UNAVAILABLE
+        ? ReturnOutcome.REFUSED
+        : ReturnOutcome.UNCERTAIN;
   }
 
   /**
-   * One call. What the peers leave unused of the common rate is taken little by little, and given
-   * up at once when the cloud says that it is too much.
+   * Makes one call. What the peers leave unused of the common rate is taken little by little, and
+   * given up at once when the provider says that it is too much.
    */
   private CompletableFuture<HttpClient.ClientReply> send(String method, String path, byte[] body) {
     return http.call(settings.cloudAddress(), method, path, body, TIMEOUT_SECONDS)
         .whenComplete(
             (response, failure) -> {
-              boolean rateLimited = failure == null && response.status() == 429;
+              boolean rateLimited = failure == null && response.status() == TOO_MANY_REQUESTS;
               currentRate =
                   rateLimited
                       ? Math.max(fairRate / 2, currentRate / 2)
                       : Math.min(
-                          settings.cloudLimits().requestsPerSecond() * 0.8,
-                          currentRate + fairRate / 10);
+                          settings.cloudLimits().requestsPerSecond() * MAX_FRACTION,
+                          currentRate + fairRate / CALLS_PER_INCREASE);
               rateLimiter.setRate(currentRate, loop.monotonicSeconds());
             });
   }
--- a/src/main/java/io/violetrail/fleet/BootTimes.java
+++ b/src/main/java/io/violetrail/fleet/BootTimes.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 
 /**
- * What boots of each type were lately observed to take. A boot far over its time is not counted on,
- * and after a while its machine is returned; but where all are slow, neither doubles the fleet nor
- * returns machines just before they would have come up.
+ * How long boots of each type have taken of late. A boot far over its time is not counted on, and
+ * after a while its machine is returned; but where all boots are slow, that must neither double the
+ * fleet nor return machines just before they would have come up. Called on the event loop's thread;
+ * lost in a crash, after which the types' own boot times are assumed.
  */
 public final class BootTimes {
   /** The protocol's usual boot takes up to this many times what its type says. */
@@ -23,7 +24,7 @@
   /** What is remembered of a slow boot fades with each later one. */
   private static final double DECAY_FACTOR = 0.9;
 
-  /** So many machines that came up as usual tell that one rented before them will not. */
+  /** After so many usual boots, a machine rented before them is taken not to come up. */
   private static final int RECENT_BOOTS = 3;
 
   /** How much longer is waited after none of those returned had come up, and how often at most. */
@@ -31,6 +32,9 @@
 
   private static final double MAX_BACKOFF_FACTOR = 4;
 
+  /** No machine is given up sooner after it was rented. */
+  private static final double MIN_WAIT_SECONDS = 40;
+
   private final Map<String, TypeHistory> historyByType = new HashMap<>();
 
   private static final class TypeHistory {
@@ -86,6 +90,6 @@
             ? 2
             : Math.max(3, 1.5 * history.slowestBootRatio) * history.backoffFactor;
     return nowSeconds - rentedAtSeconds
-        > Math.max(40, bootTimesAllowed * type.bootSeconds() + 4 * OVERHEAD_SECONDS);
+        > Math.max(MIN_WAIT_SECONDS, bootTimesAllowed * type.bootSeconds() + 4 * OVERHEAD_SECONDS);
   }
 }
--- a/src/main/java/io/violetrail/fleet/CapacityBin.java
+++ b/src/main/java/io/violetrail/fleet/CapacityBin.java
@@ -1,6 +1,5 @@
 package io.violetrail.fleet;
 
-import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
 import io.violetrail.model.JobShape;
 import io.violetrail.model.Resources;
 import io.violetrail.scheduling.Job;
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -21,6 +21,7 @@
 /**
  * The machines of the entities owned here: how they join an entity, come up, get another fencing
  * token and leave. What must outlive the process goes through {@link OwnedEntity#machineRecords}.
+ * Called on the event loop's thread.
  */
 public final class EntityMachines {
   private static final Logger LOG = LoggerFactory.getLogger(EntityMachines.class);
@@ -32,10 +33,10 @@
   private final BootTimes bootTimes;
   private final SchedulingLoop schedulingLoop;
 
-  /** Machines that the cloud has taken back while their rows still stand. */
+  /** Machines that the provider has taken back while their rows are not removed yet. */
   private final Set<MachineId> returned = new HashSet<>();
 
-  /** Learns boot times, and asks for a scheduling pass when machines become usable. */
+  /** Creates the machines' keeper, which requests scheduling passes as machines become usable. */
   public EntityMachines(
       EventLoop loop,
       ClusterView clusterView,
@@ -51,7 +52,7 @@
     this.schedulingLoop = schedulingLoop;
   }
 
-  /** The machine of an owned entity; null while its type is not known. */
+  /** Finds a machine of an owned entity, or adds it; null while its type is not known. */
   public Machine findOrAdd(OwnedEntity entity, MachineRow row) {
     Machine machine = entity.machines().get(row.id());
     if (machine != null) {
@@ -62,14 +63,22 @@
     return add(entity, row, loop.monotonicSeconds());
   }
 
-  private Machine add(OwnedEntity entity, MachineRow row, double unheardGoneS) {
+  private Machine add(OwnedEntity entity, MachineRow row, double unreportedTasksGoneAtSeconds) {
     MachineType type = machineTypes.find(row.type());
     if (type == null) {
       return null;
     }
-    double now = loop.monotonicSeconds();
-    double rentedS = now - Math.max(0, loop.wallMillis() - row.rentedAtMillis()) / 1000.0;
-    Machine machine = new Machine(row, type, entity.fencingToken(row), now, rentedS, unheardGoneS);
+    double nowSeconds = loop.monotonicSeconds();
+    double rentedAtSeconds =
+        nowSeconds - Math.max(0, loop.wallMillis() - row.rentedAtMillis()) / 1000.0;
+    Machine machine =
+        new Machine(
+            row,
+            type,
+            entity.fencingToken(row),
+            nowSeconds,
+            rentedAtSeconds,
+            unreportedTasksGoneAtSeconds);
     entity.addMachine(machine);
     return machine;
   }
@@ -77,13 +86,13 @@
   /**
    * Adds all recorded machines of an entity that was just taken over.
    *
-   * @param unheardGoneS when the tasks of a machine that has not reported until then are certainly
-   *     gone, in seconds of the steady clock
+   * @param unreportedTasksGoneAtSeconds when the tasks of a machine that has not reported until
+   *     then are certainly gone, in seconds of the steady clock
    * @return false, with no machine added, while some machine's type is not known
    */
-  public boolean addAllRecorded(OwnedEntity entity, double unheardGoneS) {
+  public boolean addAllRecorded(OwnedEntity entity, double unreportedTasksGoneAtSeconds) {
     for (MachineRow row : clusterView.machineRowsOf(entity.id())) {
-      if (add(entity, row, unheardGoneS) == null) {
+      if (add(entity, row, unreportedTasksGoneAtSeconds) == null) {
         entity.removeAllMachines();
         return false;
       }
@@ -91,7 +100,7 @@
     return true;
   }
 
-  /** Adds machines that other entities have passed over to entities owned here. */
+  /** Adds machines that other entities have transferred to entities owned here. */
   public void addTransferred() {
     for (OwnedEntity entity : membership.ownedEntities()) {
       if (entity.isActive()) {
@@ -106,10 +115,10 @@
     }
     Machine machine = add(entity, row, loop.monotonicSeconds());
     if (machine != null) {
-      // A machine is passed over empty, so it hides nothing.
+      // A machine is transferred empty, so it hides nothing.
       machine.markJoinedEmpty();
       LOG.info(
-          "machine {} joins entity {} with term {}",
+          "machine {} joins entity {} with fencing token {}",
           row.id(),
           entity.id(),
           machine.acquiredVersion());
@@ -119,25 +128,29 @@
 
   /** Records that a machine has reported, before anything may be launched on it. */
   public void markUp(OwnedEntity entity, Machine machine) {
-    if (mayRewrite(entity, machine)) {
-      rewrite(entity, machine, machine.row().withReported());
+    if (mayWriteRow(entity, machine)) {
+      writeRow(entity, machine, machine.row().withReported());
     }
   }
 
-  /** The worker has seen a higher token than ours: its term is raised above that. */
+  /**
+   * The worker has seen a higher fencing token than this controller's: the machine's is raised
+   * above that one, since the worker obeys no lower one.
+   */
   public void raiseTerm(OwnedEntity entity, Machine machine, Version seen) {
-    if (mayRewrite(entity, machine)) {
+    if (mayWriteRow(entity, machine)) {
       Version term = seen.nextOwnedBy(entity.row().version().ownerIndex());
-      LOG.info("machine {} has seen {}: its term becomes {}", machine.id(), seen, term);
-      rewrite(entity, machine, machine.row().withTerm(term));
+      LOG.info(
+          "machine {} has seen fencing token {}: its own becomes {}", machine.id(), seen, term);
+      writeRow(entity, machine, machine.row().withTerm(term));
     }
   }
 
-  private boolean mayRewrite(OwnedEntity entity, Machine machine) {
+  private boolean mayWriteRow(OwnedEntity entity, Machine machine) {
     return !machine.rowWriteInFlight() && entity.isActive() && membership.isLeaseValid();
   }
 
-  private void rewrite(OwnedEntity entity, Machine machine, MachineRow next) {
+  private void writeRow(OwnedEntity entity, Machine machine, MachineRow next) {
     machine.startRowWrite();
     Futures.logFailure(
         entity
@@ -147,7 +160,7 @@
                 (stored, failure) -> {
                   machine.endRowWrite();
                   if (failure == null) {
-                    rewritten(machine, stored);
+                    rowWritten(machine, stored);
                   } else {
                     membership.verifyOwnership();
                   }
@@ -155,18 +168,18 @@
         "rewrite a machine's record");
   }
 
-  private void rewritten(Machine machine, MachineRow stored) {
-    double now = loop.monotonicSeconds();
+  private void rowWritten(Machine machine, MachineRow stored) {
+    double nowSeconds = loop.monotonicSeconds();
     if (!machine.row().hasReported()) {
-      bootTimes.recordBoot(machine.type(), now - machine.rentedAtSeconds(), now);
+      bootTimes.recordBoot(machine.type(), nowSeconds - machine.rentedAtSeconds(), nowSeconds);
       // Its boot is not idleness: dear machines were returned the moment they came up.
-      machine.markIdle(now);
+      machine.markIdle(nowSeconds);
     }
     machine.replaceRow(stored);
     schedulingLoop.requestPass();
   }
 
-  /** Removes a machine that the cloud has taken back for sure. */
+  /** Removes a machine that the provider has certainly taken back. */
   public void remove(OwnedEntity entity, Machine machine) {
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       entity.removePlacement(placement, loop.monotonicSeconds(), TerminationEvidence.RETURNED);
@@ -176,17 +189,17 @@
     schedulingLoop.requestPass();
   }
 
-  /** Whether the cloud has taken the machine back while its row still stands. */
+  /** Whether the provider has taken the machine back while its row is not removed yet. */
   public boolean wasReturned(MachineId machine) {
     return returned.contains(machine);
   }
 
-  /** The row of a machine that was taken back stands no more. */
+  /** The row of a machine that was taken back is removed. */
   void rowRemoved(MachineId machine) {
     returned.remove(machine);
   }
 
-  /** After an unclear write: whether a machine is still this entity's. */
+  /** After a write with an uncertain outcome: finds out whether the machine is still here. */
   public void verifyOwner(OwnedEntity entity, Machine machine) {
     membership.relistThen(
         () -> {
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -12,7 +12,10 @@
 import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.List;
 
-/** Keeps the machine types up to date with the cloud, and stored for other controllers. */
+/**
+ * Keeps the machine types up to date with the provider, and stored for other controllers. Called by
+ * the {@link Autoscaler} on the event loop's thread; the stored row survives a crash.
+ */
 public final class MachineTypeRefresh {
   private static final double REFRESH_SECONDS = 240;
 
@@ -30,12 +33,12 @@
   private final CloudClient cloud;
   private double refreshedAtSeconds = Double.NEGATIVE_INFINITY;
 
-  /** As the cloud told them to this process; null before. */
+  /** As the provider last answered this process; null before. */
   private List<MachineType> fromCloud;
 
-  private boolean storing;
+  private boolean storeInFlight;
 
-  /** Asks the cloud, and stores the types where the directory knows of none. */
+  /** Creates the refresh, which asks the provider at its first call. */
   public MachineTypeRefresh(
       EventLoop loop,
       StateStore stateStore,
@@ -51,22 +54,23 @@
     this.cloud = cloud;
   }
 
-  /** Asks the cloud again if the types known here are old. */
+  /** Asks the provider again if the types known here are old. */
   void refresh() {
-    double now = loop.monotonicSeconds();
+    double nowSeconds = loop.monotonicSeconds();
     boolean known = !machineTypes.isEmpty();
-    if (now - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
+    if (nowSeconds - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
         || !cloud.tryAcquireCall()) {
       return;
     }
-    refreshedAtSeconds = now;
+    refreshedAtSeconds = nowSeconds;
     Futures.logFailure(
         cloud
             .fetchMachineTypes()
             .whenComplete(
                 (types, failure) -> {
                   if (failure != null) {
-                    refreshedAtSeconds = known ? now - REFRESH_SECONDS + RETRY_SECONDS : now;
+                    refreshedAtSeconds =
+                        known ? nowSeconds - REFRESH_SECONDS + RETRY_SECONDS : nowSeconds;
                     return;
                   }
                   machineTypes.replaceAll(types);
@@ -77,23 +81,23 @@
   }
 
   /**
-   * The machine types are kept for controllers that start while the cloud does not answer. At its
-   * own start a controller is told them before it has its lease; written only then, they were
-   * missing for minutes, and controllers that ended meanwhile served nothing until the cloud was
-   * back.
+   * Stores the machine types for controllers that start while the provider does not answer, unless
+   * they are stored already. Called at each pass, since at its start a controller learns them
+   * before it has its lease: stored only on an answer, they were missing for minutes, and
+   * controllers that restarted meanwhile served nothing until the provider was back.
    */
   void store() {
-    if (fromCloud == null || storing || clusterView.machineTypes() != null) {
+    if (fromCloud == null || storeInFlight || clusterView.machineTypes() != null) {
       return;
     }
-    storing = true;
+    storeInFlight = true;
     Futures.logFailure(
         stateStore
             .commit(
                 new Transaction()
                     .ifRevision(StateSchema.MACHINE_TYPES_KEY, 0)
                     .put(StateSchema.MACHINE_TYPES_KEY, CloudMessages.machineTypes(fromCloud)))
-            .whenComplete((outcome, failure) -> storing = false),
+            .whenComplete((outcome, failure) -> storeInFlight = false),
         "store the machine types");
   }
 }
--- a/src/main/java/io/violetrail/fleet/OfferingSelector.java
+++ b/src/main/java/io/violetrail/fleet/OfferingSelector.java
@@ -1,6 +1,5 @@
 package io.violetrail.fleet;
 
-import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
 import io.violetrail.model.MachineType;
 import io.violetrail.scheduling.Job;
 import java.util.Collection;
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -18,12 +18,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns machines of no use to the cloud: idle, silent, drained or never up. */
+/**
+ * Returns machines of no use to the provider: idle, unresponsive, drained or never booted. Called
+ * by the {@link Autoscaler} on the event loop's thread. Nothing here survives a crash: the next
+ * owner finds the same machines of no use, and {@link OrphanedMachines} those without a record.
+ */
 public final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
   /** A worker gives a dead controller up after 4 s and tries the next one a second later. */
-  private static final double UNHEARD_S = 5;
+  private static final double SECONDS_PER_DEAD_CONTROLLER = 5;
+
+  /** An unresponsive machine is kept so much longer than its tasks may run. */
+  private static final double UNRESPONSIVE_MARGIN_SECONDS = 5;
 
   private final Settings settings;
   private final double idleSeconds;
@@ -36,10 +43,10 @@
   private final BootTimes bootTimes;
   private final WarmCapacity warmCapacity;
   private final CloudClient cloud;
-  private boolean returning;
+  private boolean returnInFlight;
 
   /**
-   * Made once for a controller.
+   * Creates the scale in of one controller.
    *
    * @param idleSeconds how long the cheapest type of machine may be idle; dearer ones are returned
    *     sooner
@@ -70,49 +77,49 @@
   }
 
   /** Returns the entity's machines that are of no use, as many as one call may name. */
-  void returnUseless(OwnedEntity entity, double now) {
-    List<Machine> out = new ArrayList<>();
-    Map<JobSpec, Integer> surplus = null;
+  void returnUseless(OwnedEntity entity, double nowSeconds) {
+    List<Machine> machines = new ArrayList<>();
+    Map<JobSpec, Integer> surplusByJob = null;
     for (Machine machine : entity.machines().values()) {
       if (machine.returning()) {
-        out.add(machine);
-      } else if (ofNoUse(machine, now)) {
-        if (surplus == null) {
-          surplus = surplus(entity, now);
+        machines.add(machine);
+      } else if (isUseless(machine, nowSeconds)) {
+        if (surplusByJob == null) {
+          surplusByJob = surplusSlots(entity, nowSeconds);
         }
-        if (!idle(machine) || dispensable(machine, surplus)) {
-          takeOutOfUse(machine, out);
+        if (!isIdle(machine) || isDispensable(machine, surplusByJob)) {
+          takeOutOfUse(machine, machines);
         }
       }
     }
-    if (!out.isEmpty() && !returning && cloud.tryAcquireCall()) {
-      returnToCloud(entity, out);
+    if (!machines.isEmpty() && !returnInFlight && cloud.tryAcquireCall()) {
+      returnToCloud(entity, machines);
     }
   }
 
-  private static void takeOutOfUse(Machine machine, List<Machine> out) {
-    if (machine.isEmpty() || !idle(machine)) {
+  private static void takeOutOfUse(Machine machine, List<Machine> machines) {
+    if (machine.isEmpty() || !isIdle(machine)) {
       machine.startReturn();
-      out.add(machine);
+      machines.add(machine);
     } else {
-      // Only spare work is left here: it saves, and the machine goes.
+      // Only best-effort work is left here: it saves its checkpoints, and the machine goes.
       machine.startDraining();
     }
   }
 
-  private void returnToCloud(OwnedEntity entity, List<Machine> out) {
+  private void returnToCloud(OwnedEntity entity, List<Machine> machines) {
     List<Machine> batch =
-        out.subList(0, Math.min(out.size(), CloudMessages.MAX_MACHINES_PER_RETURN));
-    returning = true;
+        machines.subList(0, Math.min(machines.size(), CloudMessages.MAX_MACHINES_PER_RETURN));
+    returnInFlight = true;
     LOG.info("entity {}: returning {}", entity.id(), batch.stream().map(Machine::id).toList());
     Futures.logFailure(
         cloud
             .returnMachines(batch.stream().map(Machine::id).toList())
             .whenComplete(
                 (answer, failure) -> {
-                  returning = false;
+                  returnInFlight = false;
                   switch (failure == null ? answer : ReturnOutcome.UNCERTAIN) {
-                    case GONE -> batch.forEach(m -> forget(entity, m));
+                    case GONE -> batch.forEach(m -> removeReturned(entity, m));
                     case REFUSED -> batch.forEach(Machine::cancelReturn);
                     default -> batch.forEach(Machine::markReturnUncertain);
                   }
@@ -120,77 +127,81 @@
         "return machines to the cloud");
   }
 
-  private static boolean idle(Machine machine) {
+  private static boolean isIdle(Machine machine) {
     return machine.row().hasReported()
         && machine.tasksKnown()
         && !machine.unresponsive()
         && !machine.draining();
   }
 
-  /** How much more room there is than is kept ahead of need, for each class that it is kept for. */
-  private Map<JobSpec, Integer> surplus(OwnedEntity entity, double now) {
-    Map<JobSpec, Integer> surplus = new HashMap<>();
+  /**
+   * How many more task slots there are than are kept warm, for each class that they are kept for.
+   */
+  private Map<JobSpec, Integer> surplusSlots(OwnedEntity entity, double nowSeconds) {
+    Map<JobSpec, Integer> surplusByJob = new HashMap<>();
     warmCapacity
-        .wantedTaskCounts(machineTypes.all(), now)
+        .wantedTaskCounts(machineTypes.all(), nowSeconds)
         .forEach(
             (spec, tasks) ->
-                surplus.put(
+                surplusByJob.put(
                     spec,
                     WarmCapacity.freeTaskSlots(
                             spec, entity.machines().values(), machineTypes.prices())
                         - tasks));
-    return surplus;
+    return surplusByJob;
   }
 
-  /** Whether an idle machine can go without room kept ahead of need; takes it off the surplus. */
-  private boolean dispensable(Machine machine, Map<JobSpec, Integer> surplus) {
-    Map<JobSpec, Integer> rooms = new HashMap<>();
-    for (var entry : surplus.entrySet()) {
-      int room =
+  /** Whether an idle machine can go without touching warm capacity; takes it off the surplus. */
+  private boolean isDispensable(Machine machine, Map<JobSpec, Integer> surplusByJob) {
+    Map<JobSpec, Integer> slotsByJob = new HashMap<>();
+    for (var entry : surplusByJob.entrySet()) {
+      int slots =
           WarmCapacity.freeTaskSlots(entry.getKey(), List.of(machine), machineTypes.prices());
-      if (room > 0 && room > entry.getValue()) {
+      if (slots > 0 && slots > entry.getValue()) {
         return false;
       }
-      rooms.put(entry.getKey(), room);
+      slotsByJob.put(entry.getKey(), slots);
     }
-    rooms.forEach((spec, room) -> surplus.merge(spec, -room, Integer::sum));
+    slotsByJob.forEach((spec, slots) -> surplusByJob.merge(spec, -slots, Integer::sum));
     return true;
   }
 
   /** How long a worker may need to find a new owner, trying dead controllers on its way. */
-  private double findsUsS() {
+  private double reconnectSeconds() {
     long dead = settings.peers().keySet().stream().filter(p -> !clusterView.isAlive(p)).count();
-    return UNHEARD_S * Math.max(1, dead) + 2 * settings.workerTiming().heartbeatIntervalSeconds();
+    return SECONDS_PER_DEAD_CONTROLLER * Math.max(1, dead)
+        + 2 * settings.workerTiming().heartbeatIntervalSeconds();
   }
 
-  private boolean ofNoUse(Machine machine, double now) {
+  private boolean isUseless(Machine machine, double nowSeconds) {
     if (machine.transferInFlight()) {
       return false;
     }
     if (!machine.row().hasReported()) {
-      return bootTimes.isGivenUp(machine.type(), machine.rentedAtSeconds(), now);
+      return bootTimes.isGivenUp(machine.type(), machine.rentedAtSeconds(), nowSeconds);
     }
-    if (machine.mayHoldUnreportedTasks(now)
-        && now - machine.lastHeartbeatAtSeconds() > findsUsS()) {
-      // Everything recovered waits for what it may hold, and the cloud's answer settles that.
+    if (machine.mayHoldUnreportedTasks(nowSeconds)
+        && nowSeconds - machine.lastHeartbeatAtSeconds() > reconnectSeconds()) {
+      // Everything recovered waits for what it may hold, and the provider's answer settles that.
       return true;
     }
     if (machine.unresponsive()) {
       return machine.isEmpty()
-          && now - machine.lastHeartbeatAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds() + 5;
+          && nowSeconds - machine.lastHeartbeatAtSeconds()
+              > leaseTiming.tasksGoneAfterReplySeconds() + UNRESPONSIVE_MARGIN_SECONDS;
     }
     if (machine.draining()) {
       return machine.isEmpty();
     }
     return machine.tasksKnown()
         && (machine.isEmpty() || (machine.hasOnlyBestEffortTasks() && !machine.row().spot()))
-        && now - machine.idleSinceSeconds()
+        && nowSeconds - machine.idleSinceSeconds()
             > machineTypes
                 .prices()
                 .maxIdleSeconds(machine.type(), machine.row().spot(), idleSeconds);
   }
 
-  private void forget(OwnedEntity entity, Machine machine) {
+  private void removeReturned(OwnedEntity entity, Machine machine) {
     if (entity.machines().get(machine.id()) != machine) {
       return;
     }
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -1,7 +1,6 @@
 package io.violetrail.fleet;
 
 import io.violetrail.config.Settings;
-import io.violetrail.fleet.ScaleOutRequests.MachineOffering;
 import io.violetrail.model.JobShape;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Resources;
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
@@ -1,5 +1,6 @@
 package io.violetrail.fleet;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.cloud.CloudClient;
 import io.violetrail.cloud.CloudClient.RentalOutcome;
 import io.violetrail.model.MachineId;
@@ -16,6 +17,7 @@
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.CloudMessages;
 import io.violetrail.wire.StateStoreMessages.Entry;
+import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -23,12 +25,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rental requests, from the decision until every machine that came of them is recorded. */
+/**
+ * An entity's scale-out requests, from the decision until every machine that came of them is
+ * recorded. A request survives a crash by its stored row: the entity's next owner resumes it.
+ * Called on the event loop's thread, by {@link ScaleOut}, by recovery and by peers' messages.
+ */
 public final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
   private static final double SOLD_OUT_SECONDS = 20;
 
-  /** Cheap machines come back rarely, and asking uses up calls. */
+  /** Spot machines come back rarely, and asking uses up calls. */
   private static final double SOLD_OUT_SPOT_SECONDS = 75;
 
   private final EventLoop loop;
@@ -38,34 +44,13 @@
   private final PeerClient peerClient;
   private final CloudClient cloud;
 
-  /** Rental requests whose outcome is not known yet, by name. */
+  /** Requests whose machines are not all recorded yet, by name. */
   private final Map<String, ScaleOutRequest> requestsByName = new HashMap<>();
 
-  /** Until when a type, zone and kind counts as sold out. */
+  /** Until when an offering counts as sold out, by the steady clock. */
   private final Map<MachineOffering, Double> soldOutUntilSeconds = new HashMap<>();
 
-  /** What can be rented. */
-  public record MachineOffering(String type, String zone, boolean spot) {}
-
-  private static final class ScaleOutRequest {
-    final OwnedEntity entity;
-    final String name;
-    final MachineOffering offering;
-    final int count;
-    boolean callInFlight;
-
-    /** Its machines are known one by one. */
-    boolean machinesRecorded;
-
-    ScaleOutRequest(OwnedEntity entity, String name, MachineOffering offering, int count) {
-      this.entity = entity;
-      this.name = name;
-      this.offering = offering;
-      this.count = count;
-    }
-  }
-
-  /** Stores requests before the cloud hears of them, and records what came of them. */
+  /** Creates the requests of one controller, with none in flight. */
   public ScaleOutRequests(
       EventLoop loop,
       StateStore store,
@@ -81,66 +66,70 @@
     this.cloud = cloud;
   }
 
-  /** Rents machines, as many as one request may ask for. */
+  /** Rents machines, as many as one request may ask for; none if no call may be made now. */
   void requestMachines(OwnedEntity entity, MachineOffering offering, int wantedCount) {
     int count = Math.min(wantedCount, CloudMessages.MAX_MACHINES_PER_RENTAL);
     if (!cloud.tryAcquireCall()) {
       return;
     }
     ScaleOutRequest request =
-        new ScaleOutRequest(entity, entity.nextScaleOutRequestId(), offering, count);
-    request.callInFlight = true;
-    requestsByName.put(request.name, request);
-    var storedRequest =
-        Cbor.newMap()
-            .put("type", offering.type())
-            .put("zone", offering.zone())
-            .put("spot", offering.spot())
-            .put("count", count);
-    // The name is stored before the cloud hears it: whoever owns the entity next repeats the
-    // request.
+        ScaleOutRequest.storing(entity, entity.nextScaleOutRequestId(), offering, count);
+    requestsByName.put(request.name(), request);
+    // The request is stored before the provider hears of it: whoever owns the entity next repeats
+    // it. Otherwise its machines would be paid for without an owner after a crash.
     Futures.logFailure(
         store
             .commit(
                 entity
                     .fencedTransaction()
-                    .ifRevision(StateSchema.scaleOutRequestPrefix(entity.id()) + request.name, 0)
-                    .put(
-                        StateSchema.scaleOutRequestPrefix(entity.id()) + request.name,
-                        storedRequest))
+                    .ifRevision(rowKey(request), 0)
+                    .put(rowKey(request), encode(request)))
             .whenComplete(
                 (outcome, failure) -> {
-                  request.callInFlight = false;
-                  // "Exists" can only mean that an earlier try of this write got through: names are
-                  // unique.
-                  boolean stored =
-                      failure == null
-                          && (outcome.applied()
-                              || !outcome
-                                  .failedKeys()
-                                  .contains(StateSchema.entityKey(entity.id())));
-                  if (!stored) {
-                    requestsByName.remove(request.name);
-                    membership.verifyOwnership();
-                  } else {
+                  if (failure == null && isStored(request, outcome)) {
+                    request.markStored();
                     sendRequest(request);
+                  } else {
+                    requestsByName.remove(request.name());
+                    membership.verifyOwnership();
                   }
                 }),
         "store a request for machines");
   }
 
+  private static String rowKey(ScaleOutRequest request) {
+    return StateSchema.scaleOutRequestPrefix(request.entity().id()) + request.name();
+  }
+
+  private static ObjectNode encode(ScaleOutRequest request) {
+    return Cbor.newMap()
+        .put("type", request.offering().type())
+        .put("zone", request.offering().zone())
+        .put("spot", request.offering().spot())
+        .put("count", request.count());
+  }
+
+  /**
+   * Whether the request's row is stored. Where the write was refused although the entity is still
+   * owned, the row exists: names are unique, so an earlier attempt of the same write was applied.
+   */
+  private static boolean isStored(ScaleOutRequest request, TransactionOutcome outcome) {
+    return outcome.applied()
+        || !outcome.failedKeys().contains(StateSchema.entityKey(request.entity().id()));
+  }
+
   /** Repeats the entity's requests that have no certain answer yet. */
   void resendUncertain(OwnedEntity entity) {
     for (ScaleOutRequest request : List.copyOf(requestsByName.values())) {
-      if (request.entity == entity && !request.callInFlight && cloud.tryAcquireCall()) {
+      if (request.entity() == entity && request.maySend() && cloud.tryAcquireCall()) {
         sendRequest(request);
       }
     }
   }
 
-  /** Lets go of what concerns nobody here any more. */
+  /** Drops requests of entities that are no longer owned, and outdated sold-out marks. */
   void dropStale(double nowSeconds) {
-    requestsByName.values().removeIf(request -> request.entity.phase() == OwnedEntity.Phase.LOST);
+    requestsByName.values().removeIf(request -> request.entity().phase() == OwnedEntity.Phase.LOST);
     soldOutUntilSeconds.values().removeIf(until -> until < nowSeconds);
   }
 
@@ -148,73 +137,68 @@
     return soldOutUntilSeconds.containsKey(offering);
   }
 
-  /** Machines asked for in an entity's name whose names are not known yet. */
+  /** How many machines were requested for an entity and are not recorded yet, by offering. */
   Map<MachineOffering, Integer> pendingMachineCounts(OwnedEntity entity) {
     Map<MachineOffering, Integer> countByOffering = new HashMap<>();
     for (ScaleOutRequest request : requestsByName.values()) {
-      if (request.entity == entity && !request.machinesRecorded) {
-        countByOffering.merge(request.offering, request.count, Integer::sum);
+      if (request.entity() == entity && !request.isRecorded()) {
+        countByOffering.merge(request.offering(), request.count(), Integer::sum);
       }
     }
     return countByOffering;
   }
 
   private void sendRequest(ScaleOutRequest request) {
-    request.callInFlight = true;
-    MachineOffering offering = request.offering;
+    request.startCall();
+    MachineOffering offering = request.offering();
     Futures.logFailure(
         cloud
             .rentMachines(
-                request.name, offering.type(), offering.zone(), offering.spot(), request.count)
+                request.name(), offering.type(), offering.zone(), offering.spot(), request.count())
             .whenComplete(
                 (result, failure) -> {
-                  request.callInFlight = false;
                   if (failure != null || result.outcome() == RentalOutcome.UNCERTAIN) {
-                    return;
-                  }
-                  LOG.info(
-                      "entity {}: hire {} of {} {}: {}",
-                      request.entity.id(),
-                      request.name,
-                      request.count,
-                      offering,
-                      result.machines());
-                  if (result.machines().size() < request.count) {
-                    markSoldOut(offering);
-                    peerClient.soldOut(offering.type(), offering.zone(), offering.spot());
+                    request.markUncertain();
+                  } else {
+                    handleAnswer(request, result.machines());
                   }
-                  request.callInFlight = true;
-                  recordMachines(request, result.machines());
                 }),
         "rent machines");
   }
 
-  /** The cloud has none of these for now. */
+  private void handleAnswer(ScaleOutRequest request, List<MachineId> machines) {
+    MachineOffering offering = request.offering();
+    LOG.info(
+        "entity {}: scale-out request {} for {} of {}: {}",
+        request.entity().id(),
+        request.name(),
+        request.count(),
+        offering,
+        machines);
+    if (machines.size() < request.count()) {
+      markSoldOut(offering);
+      peerClient.soldOut(offering.type(), offering.zone(), offering.spot());
+    }
+    request.startRecording();
+    recordMachines(request, machines);
+  }
+
+  /** The provider has none of these for now, as it answered here or as a peer says. */
   public void markSoldOut(MachineOffering offering) {
     soldOutUntilSeconds.put(
         offering,
         loop.monotonicSeconds() + (offering.spot() ? SOLD_OUT_SPOT_SECONDS : SOLD_OUT_SECONDS));
   }
 
-  /** Records the machines rented, each unless somebody has adopted it, and drops the request. */
+  /** Records the machines rented, each unless it is adopted already, and drops the request. */
   private void recordMachines(ScaleOutRequest request, List<MachineId> machines) {
-    OwnedEntity entity = request.entity;
+    OwnedEntity entity = request.entity();
     List<MachineRow> rows = new ArrayList<>();
     for (MachineId machineId : machines) {
-      // A request's row may come back by a late write after it was dropped; the cloud's answer to
-      // its repeat then names machines that are long gone.
+      // A request's row may come back by a late write after it was dropped; the answer to its
+      // repetition then names machines that were terminated long ago.
       if (clusterView.findMachineRow(machineId) == null && !clusterView.wasTerminated(machineId)) {
-        MachineOffering offering = request.offering;
-        rows.add(
-            new MachineRow(
-                machineId,
-                entity.id(),
-                offering.type(),
-                offering.zone(),
-                offering.spot(),
-                false,
-                Version.NONE,
-                loop.wallMillis()));
+        rows.add(newRow(request, machineId));
       }
     }
     Futures.logFailure(
@@ -223,28 +207,39 @@
             .addAll(rows)
             .whenComplete(
                 (nothing, failure) -> {
-                  request.machinesRecorded = true;
+                  request.markRecorded();
                   membership.rowsChanged();
                   if (entity.phase() == OwnedEntity.Phase.LOST) {
-                    requestsByName.remove(request.name);
-                    return;
+                    requestsByName.remove(request.name());
+                  } else {
+                    removeRow(request);
                   }
-                  Futures.logFailure(
-                      store
-                          .commit(
-                              entity
-                                  .fencedTransaction()
-                                  .delete(
-                                      StateSchema.scaleOutRequestPrefix(entity.id())
-                                          + request.name))
-                          .whenComplete(
-                              (outcome, dropFailure) -> requestsByName.remove(request.name)),
-                      "remove a request for machines");
                 }),
         "record rented machines");
   }
 
-  /** Repeats the rental requests that a former owner left open. */
+  private MachineRow newRow(ScaleOutRequest request, MachineId machineId) {
+    MachineOffering offering = request.offering();
+    return new MachineRow(
+        machineId,
+        request.entity().id(),
+        offering.type(),
+        offering.zone(),
+        offering.spot(),
+        false,
+        Version.NONE,
+        loop.wallMillis());
+  }
+
+  private void removeRow(ScaleOutRequest request) {
+    Futures.logFailure(
+        store
+            .commit(request.entity().fencedTransaction().delete(rowKey(request)))
+            .whenComplete((outcome, failure) -> requestsByName.remove(request.name())),
+        "remove a request for machines");
+  }
+
+  /** Resumes the requests that a former owner of the entity left stored. */
   public void resumeRequests(OwnedEntity entity, List<Entry> entries) {
     for (Entry entry : entries) {
       String name = entry.key().substring(StateSchema.scaleOutRequestPrefix(entity.id()).length());
@@ -254,7 +249,8 @@
               entry.value().path("zone").asText(),
               entry.value().path("spot").asBoolean());
       requestsByName.put(
-          name, new ScaleOutRequest(entity, name, offering, entry.value().path("count").asInt()));
+          name,
+          ScaleOutRequest.stored(entity, name, offering, entry.value().path("count").asInt()));
     }
   }
 }
--- a/src/main/java/io/violetrail/fleet/WarmCapacity.java
+++ b/src/main/java/io/violetrail/fleet/WarmCapacity.java
@@ -13,17 +13,18 @@
 import java.util.Map;
 
 /**
- * How much room to keep ahead of need for classes of jobs that are to start sooner than a machine
- * boots. Peers get at it too, by asking, so each entity keeps only what its own arrivals call for.
+ * How much capacity to keep warm for classes of jobs that are to start sooner than a machine boots.
+ * Peers can request it too, so each entity keeps only what its own arrivals call for. Called on the
+ * event loop's thread; after a crash the arrivals are counted anew.
  */
 public final class WarmCapacity {
   /** Arrivals are counted over this long. */
   private static final double WINDOW_SECONDS = 240;
 
-  /** Room kept ahead may cost this many times the cheapest ordinary price. */
+  /** Warm capacity may cost this many times the cheapest on-demand price. */
   private static final double MAX_PRICE_RATIO = 3;
 
-  /** Arrivals remembered of a class; more tell nothing new. */
+  /** Arrivals remembered of a class; more add nothing to the estimate. */
   private static final int MAX_ARRIVALS = 400;
 
   /** A boot may take half as long again as its type says. */
@@ -77,7 +78,7 @@
         && startWithin < SLOW_BOOT_FACTOR * bootSeconds(job, types) + BootTimes.OVERHEAD_SECONDS;
   }
 
-  /** How long until a task could run on a machine rented now. */
+  /** How many seconds until a task could run on a machine rented now. */
   public double secondsUntilStart(JobSpec job, Collection<MachineType> types) {
     double fetchSeconds = 0;
     for (MachineType machineType : types) {
@@ -116,7 +117,7 @@
     }
   }
 
-  /** Examples of jobs for which room is kept, with the tasks for which there is to be room. */
+  /** Examples of jobs that capacity is kept warm for, with the number of tasks to keep it for. */
   public Map<JobSpec, Integer> wantedTaskCounts(Collection<MachineType> types, double nowSeconds) {
     Map<JobSpec, Integer> taskCounts = new HashMap<>();
     for (JobClassArrivals arrivals : arrivalsByClass.values()) {
@@ -130,7 +131,7 @@
     return taskCounts;
   }
 
-  /** How many more tasks of the job would fit, less urgent ones giving way. */
+  /** How many more tasks of the job would fit if less urgent ones were preempted. */
   public static int freeTaskSlots(JobSpec job, Collection<Machine> machines, Prices prices) {
     int slots = 0;
     for (Machine machine : machines) {
