--- a/src/main/java/io/violetrail/calendar/ScheduleRow.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRow.java
@@ -3,23 +3,24 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.google.common.hash.Hashing;
 import io.violetrail.model.ControllerId;
+import io.violetrail.model.DerivedJobId;
 import io.violetrail.model.JobId;
 import io.violetrail.wire.Cbor;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
- * A schedule as its row holds it. Everything that decides whether a due time has had its run stands
- * in this one row: the cursor says up to which due time all is settled, and it advances only by the
- * transaction that stores the run's job. Never changed; {@link #withChange} makes the next one.
+ * A schedule's stored row. Everything that decides whether a due time has had its run is in this
+ * one row: the cursor says up to which due time all is settled, and it advances only by the
+ * transaction that stores the run's job. So a due time gets one run, whoever crashes. Immutable;
+ * {@link #withChange} makes the next state.
  */
 public final class ScheduleRow {
   static final String KEY_PREFIX = "cal/s/";
   static final String CALENDAR_KEY_PREFIX = "cal/d/";
+  private static final String RUN_JOB_ID_PREFIX = "job-8";
   private static final String HISTORY_KEY_PREFIX = "cal/h/";
 
   private final String name;
@@ -186,10 +187,6 @@
    * same job, whose claim exists.
    */
   static JobId runJobId(String uid, long dueMillis) {
-    long number =
-        Hashing.sha256()
-            .hashString("violetrail run " + uid + " " + dueMillis, StandardCharsets.UTF_8)
-            .asLong();
-    return new JobId("job-8" + "%019d".formatted(number & Long.MAX_VALUE));
+    return DerivedJobId.of(RUN_JOB_ID_PREFIX, "violetrail run " + uid + " " + dueMillis);
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
@@ -16,8 +16,10 @@
 import java.util.Set;
 
 /**
- * The next step of a Deployment at its entity's owner. Each replica is a native service of one
- * task. Its number stands in the row before it is submitted and until it is over.
+ * Decides the next step of a Deployment at its entity's owner. Each replica is a native service of
+ * one task. Its number is in the row before it is submitted and until it is over, so no replica is
+ * lost or doubled by a crash. Called on the event loop's thread by the {@link ObjectReconciler};
+ * keeps nothing.
  */
 final class DeploymentReconciler {
   /** New replicas that one write announces; a row holds at most 8 KiB. */
@@ -39,59 +41,101 @@
     this.translator = translator;
   }
 
-  /** The object's next state if it is to be stored, otherwise null. */
+  /** Takes the next step; returns the object's next state, or null if nothing is to be stored. */
   KubernetesObject reconcile(OwnedEntity entity, KubernetesObject object) {
     if (entity.hasUncertainMachine(loop.monotonicSeconds())) {
-      // After a move replicas are seen one by one. Those that had not been seen yet were taken for
-      // not running, and a rollout ended all of them at once.
+      // After an acquisition heartbeats show the replicas one by one. Those that had not been shown
+      // yet were taken for not running, and a rollout ended all of them at once.
       return null;
     }
-    JsonNode spec = object.spec();
-    int desired = object.isDeleting() ? 0 : spec.path("replicas").asInt();
-    String templateHash = object.templateHash();
-    List<Replica> replicas = new ArrayList<>();
+    int desired = object.isDeleting() ? 0 : object.spec().path("replicas").asInt();
     Set<Long> finishedNumbers = new HashSet<>();
+    List<Replica> replicas = submitAndObserve(entity, object, finishedNumbers);
+    Plan plan = planRollout(object, desired, replicas);
+    cancelReplicas(entity, object, plan);
+    if (object.isDeleting() && finishedNumbers.size() == object.nativeJobs().size()) {
+      return object.withTasksGone();
+    }
+    ObjectNode status = buildStatus(object, desired, replicas);
+    int startCount = Math.min(MAX_NEW_REPLICAS_PER_WRITE, plan.startCount());
+    if (finishedNumbers.isEmpty() && startCount == 0 && status.equals(object.status())) {
+      return null;
+    }
+    return withNextReplicas(object, finishedNumbers, startCount, status);
+  }
+
+  /**
+   * Observes the replicas that the row names and submits those that are wanted and were not
+   * submitted yet.
+   *
+   * @param finishedNumbers gets the numbers of those that are over, which are not among the result
+   */
+  private List<Replica> submitAndObserve(
+      OwnedEntity entity, KubernetesObject object, Set<Long> finishedNumbers) {
+    List<Replica> replicas = new ArrayList<>();
     for (NativeJob nativeJob : object.nativeJobs()) {
-      boolean upToDate = nativeJob.templateHash().equals(templateHash);
       Job job = entity.jobs().get(nativeJob.id());
-      if (job != null) {
-        boolean stopping = job.phase() != Job.Phase.OPEN;
-        boolean ready = !stopping && job.toView().runningCount() > 0;
-        replicas.add(new Replica(nativeJob.number(), upToDate, ready, stopping));
-      } else if (jobLifecycle.findTerminalView(nativeJob.id()) != null
-          || reconciler.isNeverSubmitted(entity, nativeJob.id())) {
+      if (job == null && isFinished(entity, nativeJob)) {
         finishedNumbers.add(nativeJob.number());
-      } else if (reconciler.hasOperationInFlight(entity, nativeJob.id())) {
-        replicas.add(new Replica(nativeJob.number(), upToDate, false, true));
-      } else if (!upToDate || object.isDeleting()) {
-        // Announced and, as far as is known here, never begun.
-        reconciler.confirmNeverSubmitted(entity, nativeJob.id());
-        replicas.add(new Replica(nativeJob.number(), upToDate, false, true));
       } else {
-        reconciler.ensureSubmitted(
-            entity, object, translator.toJobSpec(object, nativeJob.id().value()));
-        replicas.add(new Replica(nativeJob.number(), true, false, false));
+        replicas.add(
+            job != null
+                ? observeReplica(object, nativeJob, job)
+                : submitReplica(entity, object, nativeJob));
       }
     }
-    boolean recreate = spec.path("strategy").path("type").asText().equals("Recreate");
-    JsonNode rollingUpdate = spec.path("strategy").path("rollingUpdate");
-    int maxSurge =
-        recreate
-            ? 0
-            : NativeJobTranslator.resolveCountOrPercentage(
-                rollingUpdate.get("maxSurge"), desired, true);
-    int maxUnavailable =
-        recreate
-            ? 0
-            : NativeJobTranslator.resolveCountOrPercentage(
-                rollingUpdate.get("maxUnavailable"), desired, false);
+    return replicas;
+  }
+
+  private boolean isFinished(OwnedEntity entity, NativeJob nativeJob) {
+    return jobLifecycle.findTerminalView(nativeJob.id()) != null
+        || reconciler.isNeverSubmitted(entity, nativeJob.id());
+  }
+
+  private static boolean isUpToDate(KubernetesObject object, NativeJob nativeJob) {
+    return nativeJob.templateHash().equals(object.templateHash());
+  }
+
+  private static Replica observeReplica(KubernetesObject object, NativeJob nativeJob, Job job) {
+    boolean stopping = job.phase() != Job.Phase.OPEN;
+    boolean ready = !stopping && job.toView().runningCount() > 0;
+    return new Replica(nativeJob.number(), isUpToDate(object, nativeJob), ready, stopping);
+  }
+
+  /** A replica that the row names and that is, as far as is known here, not submitted. */
+  private Replica submitReplica(OwnedEntity entity, KubernetesObject object, NativeJob nativeJob) {
+    boolean upToDate = isUpToDate(object, nativeJob);
+    if (reconciler.hasOperationInFlight(entity, nativeJob.id())) {
+      return new Replica(nativeJob.number(), upToDate, false, true);
+    }
+    if (!upToDate || object.isDeleting()) {
+      reconciler.confirmNeverSubmitted(entity, nativeJob.id());
+      return new Replica(nativeJob.number(), upToDate, false, true);
+    }
+    reconciler.ensureSubmitted(
+        entity, object, translator.toJobSpec(object, nativeJob.id().value()));
+    return new Replica(nativeJob.number(), true, false, false);
+  }
+
+  private static Plan planRollout(KubernetesObject object, int desired, List<Replica> replicas) {
+    JsonNode strategy = object.spec().path("strategy");
+    boolean recreate = strategy.path("type").asText().equals("Recreate");
+    int maxSurge = recreate ? 0 : resolve(strategy, "maxSurge", desired, true);
+    int maxUnavailable = recreate ? 0 : resolve(strategy, "maxUnavailable", desired, false);
     if (!recreate && maxSurge == 0 && maxUnavailable == 0) {
-      // Percentages of few replicas round to nothing both ways, as published one may be missing.
+      // Percentages of few replicas round to nothing both ways; as published, one may be missing.
       maxUnavailable = 1;
     }
-    Plan plan =
-        RolloutPlanner.plan(
-            desired, replicas, maxSurge, maxUnavailable, recreate || object.isDeleting());
+    return RolloutPlanner.plan(
+        desired, replicas, maxSurge, maxUnavailable, recreate || object.isDeleting());
+  }
+
+  private static int resolve(JsonNode strategy, String field, int desired, boolean roundUp) {
+    return NativeJobTranslator.resolveCountOrPercentage(
+        strategy.path("rollingUpdate").get(field), desired, roundUp);
+  }
+
+  private void cancelReplicas(OwnedEntity entity, KubernetesObject object, Plan plan) {
     for (NativeJob nativeJob : object.nativeJobs()) {
       Job job =
           plan.stopNumbers().contains(nativeJob.number())
@@ -101,20 +145,16 @@
         reconciler.cancelJob(entity, job);
       }
     }
-    if (object.isDeleting() && finishedNumbers.size() == object.nativeJobs().size()) {
-      return object.withChange(row -> row.put("over", true));
-    }
-    ObjectNode status = buildStatus(object, desired, replicas);
-    int startCount = Math.min(MAX_NEW_REPLICAS_PER_WRITE, plan.startCount());
-    if (finishedNumbers.isEmpty() && startCount == 0 && status.equals(object.status())) {
-      return null;
-    }
+  }
+
+  private static KubernetesObject withNextReplicas(
+      KubernetesObject object, Set<Long> finishedNumbers, int startCount, ObjectNode status) {
     return object.withChange(
         row -> {
-          KubernetesObject.retainNativeJobs(row, n -> !finishedNumbers.contains(n));
+          KubernetesObject.retainNativeJobs(row, number -> !finishedNumbers.contains(number));
           long lastNumber = row.path("made").asLong();
           for (int i = 0; i < startCount; i++) {
-            KubernetesObject.addNativeJob(row, ++lastNumber, templateHash);
+            KubernetesObject.addNativeJob(row, ++lastNumber, object.templateHash());
           }
           row.put("made", lastNumber);
           row.set("status", status);
@@ -138,19 +178,17 @@
     }
     boolean available = ready >= desired;
     JsonNode previous = object.status().path("conditions").path(0);
-    boolean unchanged = previous.path("status").asText().equals(available ? "True" : "False");
-    status
-        .putArray("conditions")
-        .addObject()
-        .put("type", "Available")
-        .put("status", available ? "True" : "False")
-        .put("reason", available ? "MinimumReplicasAvailable" : "MinimumReplicasUnavailable")
-        .put("message", available ? "all replicas run" : "some replicas do not run")
-        .put(
-            "lastTransitionTime",
+    boolean unchanged =
+        previous.path("status").asText().equals(available ? Condition.TRUE : Condition.FALSE);
+    new Condition(
+            "Available",
+            available,
+            available ? "MinimumReplicasAvailable" : "MinimumReplicasUnavailable",
+            available ? "all replicas run" : "some replicas do not run",
             unchanged
                 ? previous.path("lastTransitionTime").asText()
-                : KubernetesObject.formatTime(loop.wallMillis()));
+                : KubernetesObject.formatTime(loop.wallMillis()))
+        .writeTo(status);
     return status;
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/JobReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/JobReconciler.java
@@ -10,9 +10,14 @@
 import io.violetrail.scheduling.Job;
 import io.violetrail.wire.Cbor;
 
-/** The next step of a kept Job at its entity's owner. */
+/**
+ * Decides the next step of a kept Job at its entity's owner: sees to it that its native job is
+ * submitted or cancelled, and gives the next status. Called on the event loop's thread by the
+ * {@link ObjectReconciler}; keeps nothing. A step that a crash cuts off is decided again from the
+ * row.
+ */
 final class JobReconciler {
-  /** Counts alone are written down this often; beginnings and ends at once. */
+  /** How often changed counts are written; changes of readiness and of failures are at once. */
   private static final long COUNT_WRITE_INTERVAL_MILLIS = 10_000;
 
   private final EventLoop loop;
@@ -31,12 +36,12 @@
     this.translator = translator;
   }
 
-  /** The object's next state if it is to be stored, otherwise null. */
+  /** Takes the next step; returns the object's next state, or null if nothing is to be stored. */
   KubernetesObject reconcile(OwnedEntity entity, KubernetesObject object) {
     if (isFinished(object)) {
       boolean tasksGone =
           object.isDeleting() && !entity.jobs().containsKey(object.nativeJobs().get(0).id());
-      return tasksGone ? object.withChange(v -> v.put("over", true)) : null;
+      return tasksGone ? object.withTasksGone() : null;
     }
     if (object.spec().path("suspend").asBoolean()) {
       return withSuspendedStatus(object);
@@ -51,7 +56,7 @@
       if (!object.isDeleting()) {
         reconciler.ensureSubmitted(entity, object, translator.toJobSpec(object, id.value()));
       } else if (reconciler.isNeverSubmitted(entity, id)) {
-        return object.withChange(v -> v.put("over", true));
+        return object.withTasksGone();
       } else {
         reconciler.confirmNeverSubmitted(entity, id);
       }
@@ -70,8 +75,9 @@
   }
 
   /**
-   * Failures counted before this owner's time. It counts its own from its version on; what it did
-   * not get to write down is lost with it, which grants a few more tries.
+   * Failures counted before this owner acquired the entity. An owner counts its own failures from
+   * its version on; those that it had not written when it crashed are lost, which grants the Job a
+   * few more attempts.
    */
   private static int failuresBeforeOwnership(OwnedEntity entity, KubernetesObject object) {
     boolean countedByThisOwner =
@@ -86,15 +92,15 @@
 
   private KubernetesObject withSuspendedStatus(KubernetesObject object) {
     if (object.isDeleting()) {
-      return object.withChange(v -> v.put("over", true));
+      return object.withTasksGone();
     }
     if (object.status().has("conditions")) {
       return null;
     }
     return object.withChange(
-        v ->
+        row ->
             setCondition(
-                v.putObject("status"),
+                row.putObject("status"),
                 "Suspended",
                 "JobSuspended",
                 "nothing runs until it is resumed"));
@@ -105,7 +111,7 @@
     return seconds > 0 && loop.wallMillis() > object.startedMillis() + seconds * 1000;
   }
 
-  /** Written once the native job's end is stored, which nothing changes any more. */
+  /** Written once the native job's final state is stored, which does not change any more. */
   private KubernetesObject withFinalStatus(KubernetesObject object, JobView view) {
     return object.withChange(
         row -> {
@@ -115,28 +121,30 @@
           if (failed > 0) {
             status.put("failed", failed);
           }
-          if (view.status() == JobStatus.DONE) {
-            status.put("completionTime", KubernetesObject.formatTime(loop.wallMillis()));
-            setCondition(status, "Complete", "CompletionsReached", "all tasks are done");
-          } else if (failed > object.spec().path("backoffLimit").asInt()) {
-            setCondition(
-                status,
-                "Failed",
-                "BackoffLimitExceeded",
-                "tasks failed more often than backoffLimit");
-          } else if (isPastDeadline(object)) {
-            setCondition(status, "Failed", "DeadlineExceeded", "activeDeadlineSeconds are over");
-          } else {
-            setCondition(status, "Failed", "Cancelled", "the native job was cancelled");
-          }
+          setFinalCondition(object, view, failed, status);
           row.set("status", status);
         });
   }
 
+  private void setFinalCondition(
+      KubernetesObject object, JobView view, int failed, ObjectNode status) {
+    if (view.status() == JobStatus.DONE) {
+      status.put("completionTime", KubernetesObject.formatTime(loop.wallMillis()));
+      setCondition(status, "Complete", "CompletionsReached", "all tasks are done");
+    } else if (failed > object.spec().path("backoffLimit").asInt()) {
+      setCondition(
+          status, "Failed", "BackoffLimitExceeded", "tasks failed more often than backoffLimit");
+    } else if (isPastDeadline(object)) {
+      setCondition(status, "Failed", "DeadlineExceeded", "activeDeadlineSeconds are over");
+    } else {
+      setCondition(status, "Failed", "Cancelled", "the native job was cancelled");
+    }
+  }
+
   private KubernetesObject withProgressStatus(
       OwnedEntity entity, KubernetesObject object, Job job, JobView view, int failed) {
     if (job.loadedFromStore() && entity.hasUncertainMachine(loop.monotonicSeconds())) {
-      // Tasks that have not been seen since a move would be counted as not running.
+      // Tasks that no heartbeat has shown since the acquisition would be counted as not running.
       return null;
     }
     ObjectNode status = startedStatus(object);
@@ -175,13 +183,7 @@
   }
 
   private void setCondition(ObjectNode status, String type, String reason, String message) {
-    status
-        .putArray("conditions")
-        .addObject()
-        .put("type", type)
-        .put("status", "True")
-        .put("reason", reason)
-        .put("message", message)
-        .put("lastTransitionTime", KubernetesObject.formatTime(loop.wallMillis()));
+    String now = KubernetesObject.formatTime(loop.wallMillis());
+    new Condition(type, true, reason, message, now).writeTo(status);
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.hash.Hashing;
 import io.violetrail.model.ControllerId;
+import io.violetrail.model.DerivedJobId;
 import io.violetrail.model.JobId;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
@@ -24,6 +25,8 @@
 public final class KubernetesObject {
   public static final String KEY_PREFIX = "k8s/";
   private static final String DELETED_KEY_PREFIX = KEY_PREFIX + "gone/";
+  private static final String NATIVE_JOB_ID_PREFIX = "job-9";
+  private static final String TASKS_GONE_FIELD = "over";
   static final String REQUEST_ID_ANNOTATION = "violetrail.io/request-id";
 
   private final ObjectKind kind;
@@ -32,7 +35,7 @@
   private final ObjectNode value;
   private final long resourceVersion;
 
-  /** Worked out once: steps ask for them twice a second. */
+  /** Computed once: reconciliation asks for them twice a second. */
   private List<NativeJob> nativeJobs;
 
   private String templateHash;
@@ -140,6 +143,15 @@
     return new KubernetesObject(kind, namespace, name, next, resourceVersion);
   }
 
+  /** The last state of an object whose tasks are gone: its row is to be deleted. */
+  KubernetesObject withTasksGone() {
+    return withChange(row -> row.put(TASKS_GONE_FIELD, true));
+  }
+
+  boolean areTasksGone() {
+    return value.has(TASKS_GONE_FIELD);
+  }
+
   KubernetesObject withResourceVersion(long revision) {
     return new KubernetesObject(kind, namespace, name, value, revision);
   }
@@ -227,16 +239,11 @@
   }
 
   /**
-   * The id of the object's {@code number}-th native job. Twenty digits that follow from the
-   * object's own identity: whoever repeats a step names the same job, and no user's id is met by
-   * chance.
+   * The id of the object's {@code number}-th native job. It follows from the object's own identity,
+   * so whoever repeats a step names the same job.
    */
   static JobId nativeJobId(String uid, long number) {
-    long digest =
-        Hashing.sha256()
-            .hashString("violetrail native job " + uid + " " + number, StandardCharsets.UTF_8)
-            .asLong();
-    return new JobId("job-9" + "%019d".formatted(digest & Long.MAX_VALUE));
+    return DerivedJobId.of(NATIVE_JOB_ID_PREFIX, "violetrail native job " + uid + " " + number);
   }
 
   static String hash(String text) {
--- a/src/main/java/io/violetrail/kubernetes/ObjectReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectReconciler.java
@@ -27,20 +27,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings the native jobs of kept objects in line with what their rows say, and writes down what
- * became of them. Only an entity's owner does this for the entity's objects, and every step is
- * fenced by the entity's row and conditional on the object's own, so a step of a former owner
- * changes nothing. A row says first what is meant; whoever owns the entity next repeats it by the
- * same names.
+ * Reconciles the native jobs of kept objects with the objects' rows, and writes their statuses.
+ * Only an entity's owner does this for the entity's objects, and every write is fenced by the
+ * entity's row and conditional on the object's own, so a write of a former owner changes nothing. A
+ * row names a native job before it is submitted; after a crash the entity's next owner submits it
+ * under the same id.
+ *
+ * <p>Called on the event loop's thread.
  */
 final class ObjectReconciler implements WatchCache.ObjectListener {
   private static final Logger LOG = LoggerFactory.getLogger(ObjectReconciler.class);
   private static final double TICK_SECONDS = 0.5;
 
-  /** Objects looked at in one turn, so that reports come in between however many there are. */
+  /** Objects reconciled in one tick, so that heartbeats are handled in between. */
   private static final int MAX_OBJECTS_PER_TICK = 100;
 
-  /** Rows written for statuses in one turn: native work has the budget first. */
+  /** Rows written for statuses in one tick: native jobs have the write budget first. */
   private static final int MAX_WRITES_PER_TICK = 5;
 
   private final EventLoop loop;
@@ -51,7 +53,7 @@
   private final DeploymentReconciler deploymentReconciler;
   private final Map<OwnedEntity, EntityState> stateByEntity = new HashMap<>();
 
-  /** What is kept of one held entity. */
+  /** What is known of one owned entity's objects; gone after a crash, and read again. */
   private static final class EntityState {
     final Map<String, KubernetesObject> objects = new LinkedHashMap<>();
     final Map<String, DeletedObject> deletedObjects = new LinkedHashMap<>();
@@ -111,7 +113,12 @@
     stateByEntity.values().forEach(state -> state.objects.remove(key));
   }
 
-  /** The kept objects of a namespace that this controller's entities hold, by name. */
+  /**
+   * An entity's objects by namespace and name.
+   *
+   * @param namespace null for all
+   * @return null if the entity is not owned here, or not read yet
+   */
   List<KubernetesObject> findOwnedObjects(ControllerId entity, String namespace) {
     for (var ownedEntry : stateByEntity.entrySet()) {
       if (ownedEntry.getKey().id().equals(entity)
@@ -152,7 +159,7 @@
     }
   }
 
-  /** Rows as of after the move: from here on the feed tells of every change. */
+  /** Reads rows as of after the acquisition; the watch delivers every later change. */
   private void loadObjects(OwnedEntity entity, EntityState state) {
     state.initialListing.startReading(
         store,
@@ -204,7 +211,7 @@
     String key = before.key();
     state.operationsInFlight.add(key);
     var transaction = entity.fencedTransaction().ifRevision(key, before.resourceVersion());
-    if (next.value().has("over")) {
+    if (next.areTasksGone()) {
       // Its tasks are gone, and so is what was kept of them in this process.
       transaction.delete(key).put(next.deletedKey(), next.toDeletedRow(loop.wallMillis()));
       Tombstones.markDeletion(transaction, key, loop.wallMillis());
@@ -217,15 +224,15 @@
             .whenComplete(
                 (outcome, failure) -> {
                   state.operationsInFlight.remove(key);
-                  if (failure == null && outcome.applied() && !next.value().has("over")) {
+                  if (failure == null && outcome.applied() && !next.areTasksGone()) {
                     putIfNewer(state, next.withResourceVersion(outcome.revision()));
                   }
-                  // Otherwise the feed tells what stands there now.
+                  // Otherwise the watch delivers what is stored now.
                 }),
         "write an object's status");
   }
 
-  /** Ends what a deleted object has left; its last row goes when nothing is. */
+  /** Cancels what a deleted object has left; its last row is deleted when nothing is left. */
   private void cleanUpDeleted(
       OwnedEntity entity, EntityState state, String key, DeletedObject deleted) {
     boolean tasksRemain = false;
