--- a/src/test/java/io/violetrail/compatibility/RecordedRun.java
+++ b/src/test/java/io/violetrail/compatibility/RecordedRun.java
@@ -10,6 +10,7 @@
 import io.violetrail.net.HttpClient;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
+import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -156,7 +157,7 @@
   }
 
   private void put(String path, String json) {
-    HttpClient.ClientReply reply = user.send("c1", "PUT", path, json.getBytes());
+    HttpClient.ClientReply reply = user.send("c1", "PUT", path, json.getBytes(StandardCharsets.UTF_8));
     expect(200, reply.status());
   }
 
