--- a/src/main/java/io/violetrail/errors/RequestRejectedException.java
+++ b/src/main/java/io/violetrail/errors/RequestRejectedException.java
@@ -1,6 +1,9 @@
 package io.violetrail.errors;
 
-/** The receiver answered with an error: the request was not carried out and will not be. */
+/**
+ * The receiver answered with an error. The state service has then not carried the request out, nor
+ * will it. Of other receivers that is certain only for the statuses for which the protocol says so.
+ */
 public final class RequestRejectedException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
