--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -75,7 +75,10 @@
     return rateLimiter.tryAcquire(1, loop.monotonicSeconds());
   }
 
-  /** Fetches the machine types on offer; the future fails if the reply is an error or malformed. */
+  /**
+   * Fetches the machine types on offer; the future fails with a {@link CloudReplyException} if the
+   * reply is an error or malformed.
+   */
   public CompletableFuture<List<MachineType>> fetchMachineTypes() {
     return callOrFail("GET", "/flavors", null)
         .thenApply(
@@ -83,7 +86,7 @@
               try {
                 return CloudMessages.machineTypes(Cbor.parse(response.body()));
               } catch (MalformedMessageException exception) {
-                throw new IllegalStateException(exception);
+                throw CloudReplyException.malformed(response.status(), exception);
               }
             });
   }
@@ -148,7 +151,7 @@
                     lastListed,
                     CloudMessages.isTruncated(message) && !machines.isEmpty());
               } catch (MalformedMessageException exception) {
-                throw new IllegalStateException(exception);
+                throw CloudReplyException.malformed(response.status(), exception);
               }
             });
   }
@@ -208,7 +211,7 @@
         .thenApply(
             response -> {
               if (!response.isOk()) {
-                throw new IllegalStateException("the cloud answered " + response.status());
+                throw CloudReplyException.errorStatus(response.status());
               }
               return response;
             });
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -1,6 +1,7 @@
 package io.violetrail.fleet;
 
 import io.violetrail.config.Settings.HostPort;
+import io.violetrail.model.JobSpec;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Resources;
@@ -102,6 +103,11 @@
     return lifecycle.isInService() && worker.isReadyForTasks();
   }
 
+  /** Whether the job's constraints on types, zones and spot machines allow this machine. */
+  public boolean isAllowedFor(JobSpec job) {
+    return job.allowsMachine(row().type(), row().zone(), row().spot());
+  }
+
   // ---- the stored record and the life cycle
 
   /** The machine's record as it was last stored. */
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -187,7 +187,7 @@
   }
 
   private boolean isTransferable(Machine machine, ResourceRequest request) {
-    // Too dear for the request, a machine only passed to and fro, idle and paid for.
+    // Without this limit, a machine too dear for the request went to and fro, idle and paid for.
     double priceRatio =
         machineTypes
             .prices()
@@ -247,7 +247,7 @@
   /** Whether one of the jobs may and could start on the machine. */
   private static boolean isWantedHere(List<Job> jobs, Machine machine) {
     for (Job job : jobs) {
-      if (job.spec().allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())
+      if (machine.isAllowedFor(job.spec())
           && machine.type().capacity().countFitting(job.spec().taskResources()) > 0) {
         return true;
       }
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -205,9 +205,7 @@
   private static boolean isPlaceable(OwnedEntity entity, Job job) {
     int slots = 0;
     for (Machine machine : entity.machines().values()) {
-      if (machine.isSchedulable()
-          && job.spec()
-              .allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
+      if (machine.isSchedulable() && machine.isAllowedFor(job.spec())) {
         slots += machine.type().capacity().countFitting(job.spec().taskResources());
       }
     }
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -174,8 +174,7 @@
     for (Machine machine : entity.machines().values()) {
       if (machine.isSchedulable()
           && machine.type().suitsAcceleratorNeed(job.spec().taskResources())
-          && job.spec()
-              .allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot())) {
+          && machine.isAllowedFor(job.spec())) {
         slotsByZone.merge(
             machine.row().zone(),
             machine.freeCapacity().countFitting(job.spec().taskResources()),
--- a/src/main/java/io/violetrail/fleet/WarmCapacity.java
+++ b/src/main/java/io/violetrail/fleet/WarmCapacity.java
@@ -137,8 +137,7 @@
     for (Machine machine : machines) {
       boolean usable =
           (machine.isSchedulable() || (!machine.row().hasReported() && !machine.returning()))
-              && job.allowsMachine(
-                  machine.row().type(), machine.row().zone(), machine.row().spot());
+              && machine.isAllowedFor(job);
       if (usable
           && prices.isWorthwhile(
               job, machine.type(), machine.row().spot(), job.taskCount(), MAX_PRICE_RATIO)) {
