--- a/src/test/java/io/violetrail/configuration/ConfigurationInvariantChecker.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationInvariantChecker.java
@@ -16,8 +16,8 @@
 /**
  * What must hold at every moment while the configuration changes, by the rows of the state service:
  * no team uses more than the largest limit that could be in force, no controller starts tasks by a
- * revision that was replaced longer ago than the bound, and slices only add up to more where a
- * limit allows it.
+ * revision that was replaced longer ago than the bound, and quota shares only add up to more where
+ * a limit allows it.
  */
 final class ConfigurationInvariantChecker {
   private static final double CHECK_INTERVAL_SECONDS = 0.05;
--- a/src/test/java/io/violetrail/fakes/ClusterSimulation.java
+++ b/src/test/java/io/violetrail/fakes/ClusterSimulation.java
@@ -297,7 +297,7 @@
     return this;
   }
 
-  /** Runs until the condition holds; fails the story if it does not within the time. */
+  /** Runs until the condition holds; fails the test if it does not within the time. */
   public ClusterSimulation runUntil(
       double timeoutSeconds, java.util.function.BooleanSupplier condition) {
     double deadlineSeconds = nowSeconds() + timeoutSeconds;
@@ -422,7 +422,7 @@
     return transport.send(from, incarnation, to, method, path, body, timeoutSeconds);
   }
 
-  /** A way to controllers outside of this world. */
+  /** A way to controllers outside of this simulation. */
   public interface ExternalControllers {
     CompletableFuture<HttpClient.ClientReply> callController(
         String from, String controller, String method, String path, byte[] body);
--- a/src/test/java/io/violetrail/fakes/FakeStateService.java
+++ b/src/test/java/io/violetrail/fakes/FakeStateService.java
@@ -1,12 +1,11 @@
 package io.violetrail.fakes;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.net.RateLimiter;
 import io.violetrail.net.RequestHandler;
 import io.violetrail.wire.Cbor;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -22,20 +21,8 @@
 
   private static final long NO_LEASE = -1;
 
-  /** As many changes are kept for watches. */
-  private static final int MAX_KEPT_CHANGES = 10_000;
-
   private record StoredEntry(JsonNode value, long revision, long leaseId) {}
 
-  /** One change as watches are told of it. */
-  private record LoggedChange(String key, long revision, ObjectNode message) {}
-
-  private static final class PendingWatch {
-    String prefix;
-    long afterRevision;
-    Consumer<HttpAnswer> done;
-  }
-
   private static final class StoredLease {
     double ttlSeconds;
     double expiresAtSeconds;
@@ -43,8 +30,7 @@
 
   private final ClusterSimulation simulation;
   private final TreeMap<String, StoredEntry> entries = new TreeMap<>();
-  private final ArrayDeque<LoggedChange> changeLog = new ArrayDeque<>();
-  private final List<PendingWatch> watches = new ArrayList<>();
+  private final StateWatchLog watchLog = new StateWatchLog();
   private final Map<Long, StoredLease> leases = new HashMap<>();
   private final Set<String> refusedControllers = new HashSet<>();
   private boolean unavailable;
@@ -80,9 +66,6 @@
   private RateLimiter requestLimiter;
   private RateLimiter writeLimiter;
 
-  /** The highest revision whose change is no longer kept. */
-  private long compactedRevision;
-
   private long revision;
 
   /** Any number may name a lease, the first one too. */
@@ -190,14 +173,7 @@
 
   private void deleteKey(String key) {
     if (entries.remove(key) != null) {
-      logChange(key, Cbor.newMap().put("drop", key));
-    }
-  }
-
-  private void logChange(String key, ObjectNode message) {
-    changeLog.add(new LoggedChange(key, revision, message.put("stamp", revision)));
-    if (changeLog.size() > MAX_KEPT_CHANGES) {
-      compactedRevision = changeLog.poll().revision();
+      watchLog.append(key, revision, Cbor.newMap().put("drop", key));
     }
   }
 
@@ -230,41 +206,61 @@
         respond.accept(HttpAnswer.error(429, "too many requests"));
         return;
       }
-      if (path.startsWith("/keys/")) {
-        readKey(path.substring(6), respond);
-      } else if (path.startsWith("/keys?")) {
-        listKeys(path, respond);
-      } else if (path.equals("/txn") && lateTransactionSeconds.containsKey(caller)) {
-        simulation.runAfter(
-            lateTransactionSeconds.get(caller), () -> executeTransaction(body, nobody -> {}));
-      } else if (path.equals("/txn") && drawFault(lateTransactionShare, caller)) {
-        simulation.runAfter(
-            2 + 10 * simulation.random().nextDouble(),
-            () -> executeTransaction(body, nobody -> {}));
-      } else if (path.equals("/txn") && drawFault(lostReplyShare, caller)) {
-        executeTransaction(body, nobody -> {});
-      } else if (path.equals("/txn")) {
-        executeTransaction(body, respond);
-      } else if (path.equals("/leases")) {
-        StoredLease lease = new StoredLease();
-        lease.ttlSeconds = body.get("life_ms").asLong() / 1000.0;
-        lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds;
-        leases.put(nextLeaseId, lease);
-        simulation.runAfter(lease.ttlSeconds + 0.05, this::expireLeases);
-        respond.accept(HttpAnswer.of(200, Cbor.newMap().put("hold", nextLeaseId++)));
-      } else {
-        StoredLease lease = leases.get(Long.parseLong(path.split("/", 0)[2]));
-        if (lease != null) {
-          lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds;
-          simulation.runAfter(lease.ttlSeconds + 0.05, this::expireLeases);
-        }
-        respond.accept(lease == null ? HttpAnswer.empty(404) : HttpAnswer.of(200, Cbor.newMap()));
-      }
-    } catch (Cbor.MalformedMessageException entry) {
-      respond.accept(HttpAnswer.error(400, entry.getMessage()));
+      serve(caller, path, body, respond);
+    } catch (Cbor.MalformedMessageException exception) {
+      respond.accept(HttpAnswer.error(400, exception.getMessage()));
+    }
+  }
+
+  private void serve(String caller, String path, ObjectNode body, Consumer<HttpAnswer> respond) {
+    if (path.startsWith("/keys/")) {
+      readKey(path.substring(6), respond);
+    } else if (path.startsWith("/keys?")) {
+      listKeys(path, respond);
+    } else if (path.equals("/txn")) {
+      executeWithFaults(caller, body, respond);
+    } else if (path.equals("/leases")) {
+      grantLease(body, respond);
+    } else {
+      renewLease(Long.parseLong(path.split("/", 0)[2]), respond);
+    }
+  }
+
+  /** Executes a transaction now or late, with or without an answer, as the caller's faults say. */
+  private void executeWithFaults(String caller, ObjectNode body, Consumer<HttpAnswer> respond) {
+    if (lateTransactionSeconds.containsKey(caller)) {
+      simulation.runAfter(
+          lateTransactionSeconds.get(caller), () -> executeTransaction(body, nobody -> {}));
+    } else if (drawFault(lateTransactionShare, caller)) {
+      simulation.runAfter(
+          2 + 10 * simulation.random().nextDouble(), () -> executeTransaction(body, nobody -> {}));
+    } else if (drawFault(lostReplyShare, caller)) {
+      executeTransaction(body, nobody -> {});
+    } else {
+      executeTransaction(body, respond);
     }
   }
 
+  private void grantLease(ObjectNode body, Consumer<HttpAnswer> respond) {
+    StoredLease lease = new StoredLease();
+    lease.ttlSeconds = body.get("life_ms").asLong() / 1000.0;
+    lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds;
+    leases.put(nextLeaseId, lease);
+    simulation.runAfter(lease.ttlSeconds + 0.05, this::expireLeases);
+    respond.accept(HttpAnswer.of(200, Cbor.newMap().put("hold", nextLeaseId++)));
+  }
+
+  private void renewLease(long leaseId, Consumer<HttpAnswer> respond) {
+    StoredLease lease = leases.get(leaseId);
+    if (lease == null) {
+      respond.accept(HttpAnswer.empty(404));
+      return;
+    }
+    lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds;
+    simulation.runAfter(lease.ttlSeconds + 0.05, this::expireLeases);
+    respond.accept(HttpAnswer.of(200, Cbor.newMap()));
+  }
+
   private boolean drawFault(Map<String, Double> shares, String caller) {
     Double share = shares.get(caller);
     return share != null && simulation.random().nextDouble() < share;
@@ -316,25 +312,17 @@
   }
 
   private void executeTransaction(ObjectNode body, Consumer<HttpAnswer> done) {
-    writeCount += body.path("writes").size();
-    for (JsonNode write : body.path("writes")) {
-      writeCountByUse.merge(
-          useOf(write.path(write.has("set") ? "set" : "drop").asText()), 1L, Long::sum);
-    }
-    if (body.path("writes").size() > simulation.stateLimits().maxTransactionOperations()
-        || body.path("if").size() > 4 * simulation.stateLimits().maxTransactionOperations()) {
+    JsonNode writes = body.path("writes");
+    countWrites(writes);
+    int maxOperations = simulation.stateLimits().maxTransactionOperations();
+    if (writes.size() > maxOperations || body.path("if").size() > 4 * maxOperations) {
       done.accept(HttpAnswer.error(400, "the transaction is too large"));
       return;
     }
     ObjectNode message = Cbor.newMap();
-    var failed = message.putArray("failed");
-    for (JsonNode condition : body.path("if")) {
-      StoredEntry entry = entries.get(condition.get("key").asText());
-      if ((entry == null ? 0 : entry.revision()) != condition.get("stamp").asLong()) {
-        failed.add(condition.get("key").asText());
-      }
-    }
-    for (JsonNode write : body.path("writes")) {
+    ArrayNode failed = message.putArray("failed");
+    addFailedConditions(body.path("if"), failed);
+    for (JsonNode write : writes) {
       if (write.has("hold") && !leases.containsKey(write.get("hold").asLong())) {
         done.accept(HttpAnswer.error(400, "no such lease"));
         return;
@@ -344,77 +332,61 @@
       done.accept(HttpAnswer.of(409, message.put("epoch", revision)));
       return;
     }
-    if (!body.path("writes").isEmpty()) {
+    if (!writes.isEmpty()) {
       revision++;
     }
-    for (JsonNode write : body.path("writes")) {
-      if (write.has("drop")) {
-        deleteKey(write.get("drop").asText());
-      } else {
-        String key = write.get("set").asText();
-        largestValueLength = Math.max(largestValueLength, write.get("v").toString().length());
-        entries.put(
-            key, new StoredEntry(write.get("v"), revision, write.path("hold").asLong(NO_LEASE)));
-        ObjectNode change = Cbor.newMap().put("set", key);
-        change.set("v", write.get("v"));
-        logChange(key, change);
-      }
-    }
+    writes.forEach(this::applyWrite);
     done.accept(HttpAnswer.of(200, Cbor.newMap().put("epoch", revision)));
     notifyWatches();
   }
 
-  private void openWatch(String path, Consumer<HttpAnswer> done) {
-    if (Long.parseLong(queryParameter(path, "after")) < compactedRevision) {
-      done.accept(HttpAnswer.error(410, "no longer kept"));
-      return;
+  private void countWrites(JsonNode writes) {
+    writeCount += writes.size();
+    for (JsonNode write : writes) {
+      writeCountByUse.merge(
+          useOf(write.path(write.has("set") ? "set" : "drop").asText()), 1L, Long::sum);
     }
-    PendingWatch watch = new PendingWatch();
-    watch.prefix = queryParameter(path, "under");
-    watch.afterRevision = Long.parseLong(queryParameter(path, "after"));
-    watch.done = done;
-    watches.add(watch);
-    simulation.runAfter(
-        Double.parseDouble(queryParameter(path, "block_ms")) / 1000,
-        () -> {
-          if (watches.remove(watch)) {
-            done.accept(watchReply(changesFor(watch), revision));
-          }
-        });
-    notifyWatches();
   }
 
-  private static HttpAnswer watchReply(List<ObjectNode> changes, long revision) {
-    ObjectNode message = Cbor.newMap().put("epoch", revision);
-    message.putArray("log").addAll(changes);
-    return HttpAnswer.of(200, message);
+  private void addFailedConditions(JsonNode conditions, ArrayNode failed) {
+    for (JsonNode condition : conditions) {
+      StoredEntry entry = entries.get(condition.get("key").asText());
+      if ((entry == null ? 0 : entry.revision()) != condition.get("stamp").asLong()) {
+        failed.add(condition.get("key").asText());
+      }
+    }
   }
 
-  /** What a watch has not been told yet, in the order of the revisions. */
-  private List<ObjectNode> changesFor(PendingWatch watch) {
-    ArrayDeque<ObjectNode> fresh = new ArrayDeque<>();
-    for (var newestFirst = changeLog.descendingIterator(); newestFirst.hasNext(); ) {
-      LoggedChange change = newestFirst.next();
-      if (change.revision() <= watch.afterRevision) {
-        break;
-      }
-      if (change.key().startsWith(watch.prefix)) {
-        fresh.addFirst(change.message());
-      }
+  private void applyWrite(JsonNode write) {
+    if (write.has("drop")) {
+      deleteKey(write.get("drop").asText());
+      return;
     }
-    return List.copyOf(fresh);
+    String key = write.get("set").asText();
+    largestValueLength = Math.max(largestValueLength, write.get("v").toString().length());
+    entries.put(
+        key, new StoredEntry(write.get("v"), revision, write.path("hold").asLong(NO_LEASE)));
+    ObjectNode change = Cbor.newMap().put("set", key);
+    change.set("v", write.get("v"));
+    watchLog.append(key, revision, change);
   }
 
-  private void notifyWatches() {
-    if (unavailable) {
+  private void openWatch(String path, Consumer<HttpAnswer> done) {
+    long afterRevision = Long.parseLong(queryParameter(path, "after"));
+    if (!watchLog.keepsChangesAfter(afterRevision)) {
+      done.accept(HttpAnswer.error(410, "no longer kept"));
       return;
     }
-    for (PendingWatch watch : List.copyOf(watches)) {
-      List<ObjectNode> fresh = changesFor(watch);
-      if (!fresh.isEmpty()) {
-        watches.remove(watch);
-        watch.done.accept(watchReply(fresh, revision));
-      }
+    StateWatchLog.Watch watch = watchLog.open(queryParameter(path, "under"), afterRevision, done);
+    simulation.runAfter(
+        Double.parseDouble(queryParameter(path, "block_ms")) / 1000,
+        () -> watchLog.close(watch, revision));
+    notifyWatches();
+  }
+
+  private void notifyWatches() {
+    if (!unavailable) {
+      watchLog.answerWatches(revision);
     }
   }
 
--- a/src/test/java/io/violetrail/fakes/FakeWorker.java
+++ b/src/test/java/io/violetrail/fakes/FakeWorker.java
@@ -561,7 +561,7 @@
     }
   }
 
-  /** A worker whose report was not taken goes on soon, to the node after the one it has tried. */
+  /** A worker whose heartbeat was not taken goes on soon, to the controller after the one tried. */
   private void retryAtNextController(String tried) {
     nextControllerIndex = ClusterSimulation.controllerIndex(tried) + 1;
     simulation.runAfter(
--- a/src/test/java/io/violetrail/fakes/InvariantChecker.java
+++ b/src/test/java/io/violetrail/fakes/InvariantChecker.java
@@ -33,7 +33,7 @@
   private final Map<String, ReportedOutcome> outcomes = new HashMap<>();
   private final Map<String, Double> cancelledAtSeconds = new HashMap<>();
 
-  /** Orders what users ask and are answered, also within one moment of the world's time. */
+  /** Orders what users ask and are answered, also within one moment of virtual time. */
   private long logicalClock;
 
   /** Starts of tasks whose cancellation had been confirmed, which {@code cancel_s} still allows. */
--- a/src/test/java/io/violetrail/fakes/InvariantCheckerTest.java
+++ b/src/test/java/io/violetrail/fakes/InvariantCheckerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each rule that the stories rest on can be broken, and is seen to be. */
+/** Each invariant that the simulations rest on can be broken, and is seen to be. */
 class InvariantCheckerTest {
   private final ClusterSimulation simulation = new ClusterSimulation(1, 1);
   private final FakeWorker firstWorker = simulation.cloud().addRunningMachine("plain", "a");
--- a/src/test/java/io/violetrail/fakes/RealTimeSimulation.java
+++ b/src/test/java/io/violetrail/fakes/RealTimeSimulation.java
@@ -13,8 +13,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Runs a world's parts by the real clock and serves them on loopback, for controllers that are real
- * processes. Everything happens on one I/O thread, under the loop's lock.
+ * Runs a simulation's parts by the real clock and serves them on loopback, for controllers that are
+ * real processes. Everything happens on one I/O thread, under the loop's lock.
  */
 public final class RealTimeSimulation {
   public static final String HOST = "127.0.0.1";
@@ -54,7 +54,7 @@
     return loop;
   }
 
-  /** Lets the world's time pass from now on. */
+  /** Lets the simulation's time pass from now on. */
   public void start() {
     lastStepAtSeconds = loop.monotonicSeconds();
     loop.schedule(STEP_SECONDS, this::advance);
@@ -80,7 +80,7 @@
     return (method, path, body, done) -> service.handle(method, caller + " " + path, body, done);
   }
 
-  /** Ends the world's time and all connections. */
+  /** Ends the simulation's time and all connections. */
   public void stop() {
     stopped = true;
     worker.shutdownNow();
--- /dev/null
+++ b/src/test/java/io/violetrail/fakes/StateWatchLog.java
@@ -0,0 +1,93 @@
+package io.violetrail.fakes;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.wire.Cbor;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** The latest changes of a {@link FakeStateService}, and the open watches that wait for changes. */
+final class StateWatchLog {
+  private static final int MAX_KEPT_CHANGES = 10_000;
+
+  private final ArrayDeque<LoggedChange> changes = new ArrayDeque<>();
+  private final List<Watch> watches = new ArrayList<>();
+
+  /** The highest revision whose change is no longer kept. */
+  private long compactedRevision;
+
+  /** One change as watches are told of it. */
+  private record LoggedChange(String key, long revision, ObjectNode message) {}
+
+  /** One open watch; no two are equal. */
+  static final class Watch {
+    private final String prefix;
+    private final long afterRevision;
+    private final Consumer<HttpAnswer> done;
+
+    private Watch(String prefix, long afterRevision, Consumer<HttpAnswer> done) {
+      this.prefix = prefix;
+      this.afterRevision = afterRevision;
+      this.done = done;
+    }
+  }
+
+  void append(String key, long revision, ObjectNode message) {
+    changes.add(new LoggedChange(key, revision, message.put("stamp", revision)));
+    if (changes.size() > MAX_KEPT_CHANGES) {
+      compactedRevision = changes.poll().revision();
+    }
+  }
+
+  /** Whether all changes after the revision are still kept. */
+  boolean keepsChangesAfter(long revision) {
+    return revision >= compactedRevision;
+  }
+
+  Watch open(String prefix, long afterRevision, Consumer<HttpAnswer> done) {
+    Watch watch = new Watch(prefix, afterRevision, done);
+    watches.add(watch);
+    return watch;
+  }
+
+  /** Answers the watch with what there is, unless it has been answered. */
+  void close(Watch watch, long currentRevision) {
+    if (watches.remove(watch)) {
+      watch.done.accept(reply(changesFor(watch), currentRevision));
+    }
+  }
+
+  /** Answers the watches for which there are changes. */
+  void answerWatches(long currentRevision) {
+    for (Watch watch : List.copyOf(watches)) {
+      List<ObjectNode> fresh = changesFor(watch);
+      if (!fresh.isEmpty()) {
+        watches.remove(watch);
+        watch.done.accept(reply(fresh, currentRevision));
+      }
+    }
+  }
+
+  /** What a watch has not been told yet, in the order of the revisions. */
+  private List<ObjectNode> changesFor(Watch watch) {
+    ArrayDeque<ObjectNode> fresh = new ArrayDeque<>();
+    for (var newestFirst = changes.descendingIterator(); newestFirst.hasNext(); ) {
+      LoggedChange change = newestFirst.next();
+      if (change.revision() <= watch.afterRevision) {
+        break;
+      }
+      if (change.key().startsWith(watch.prefix)) {
+        fresh.addFirst(change.message());
+      }
+    }
+    return List.copyOf(fresh);
+  }
+
+  private static HttpAnswer reply(List<ObjectNode> changes, long revision) {
+    ObjectNode message = Cbor.newMap().put("epoch", revision);
+    message.putArray("log").addAll(changes);
+    return HttpAnswer.of(200, message);
+  }
+}
--- a/src/test/java/io/violetrail/simulation/GangAndQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/GangAndQuotaTest.java
@@ -88,13 +88,13 @@
                   .sum());
     }
     assertTrue(mostRunning <= 6, "used " + mostRunning);
-    assertTrue(mostRunning >= 4, "the slices are used");
+    assertTrue(mostRunning >= 4, "the quota shares are used");
   }
 
   @Test
   void quotaShareIsNotPassedBackAndForth() {
     resetSimulation(11);
-    // Seen on a small simulated day: each second two entities gave one slice to each other.
+    // Seen on a small simulated day: each second two entities gave one quota share to each other.
     simulation.teams().put("blue", new Team("blue", 0, 0, 24, 0));
     simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
--- a/src/test/java/io/violetrail/simulation/JobRecordsTest.java
+++ b/src/test/java/io/violetrail/simulation/JobRecordsTest.java
@@ -33,7 +33,7 @@
 
   @Test
   void finishedJobStaysFinishedWhenItsOpenJobSegmentIsReread() {
-    // A sheet still shows jobs that are over until it is next written.
+    // An open-job segment still shows jobs that are over until it is next written.
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     simulation.runUntil(60, () -> user.pollStatus("c0", "job-1").equals("done"));
--- a/src/test/java/io/violetrail/simulation/KubernetesApiTest.java
+++ b/src/test/java/io/violetrail/simulation/KubernetesApiTest.java
@@ -126,7 +126,7 @@
   }
 
   /**
-   * The hard case: a Job and its equal as a native job. Two worlds from one seed, one given
+   * The hard case: a Job and its equal as a native job. Two simulations from one seed, one given
    * manifests and one messages: every launch is at the same moment on the same machine, and the
    * same is stored of each job.
    */
--- a/src/test/java/io/violetrail/simulation/ScheduleTest.java
+++ b/src/test/java/io/violetrail/simulation/ScheduleTest.java
@@ -76,7 +76,7 @@
     simulation.startController("c0");
     simulation.startController("c1");
     simulation.runFor(120);
-    // The wall clock stands at 1,700,000,000 s and the world's time.
+    // The wall clock stands at 1,700,000,000 s and the virtual time.
     long minutes =
         (long) Math.floor((1_700_000_000L + simulation.nowSeconds()) / 60)
             - (long) Math.floor((1_700_000_000L + createdAtSeconds) / 60);
--- a/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
@@ -130,7 +130,7 @@
     simulation.startController("c0");
   }
 
-  // Slices: an entity starts with a third of each limit.
+  // Quota shares: an entity starts with a third of each limit.
 
   @Test
   void taskLargerThanOneQuotaShareIsRun() {
--- a/src/test/java/io/violetrail/tools/KubernetesEquivalenceCheck.java
+++ b/src/test/java/io/violetrail/tools/KubernetesEquivalenceCheck.java
@@ -14,7 +14,7 @@
 
 /**
  * Submits the same work as a Job and as a native job to a controller on loopback, pair by pair, and
- * compares when both are done and what is told of them. Real time, so not a test: the stories
+ * compares when both are done and what is told of them. Real time, so not a test: the simulations
  * compare launch by launch in virtual time.
  */
 public final class KubernetesEquivalenceCheck {
--- a/src/test/java/io/violetrail/tools/StandaloneFakes.java
+++ b/src/test/java/io/violetrail/tools/StandaloneFakes.java
@@ -14,7 +14,7 @@
 /**
  * The state service, the cloud and its workers as one process on loopback, for controllers that are
  * real processes: to try violetrail without anything else, and to measure its interfaces. The
- * stories' own fakes, run by the real clock.
+ * simulation's own fakes, run by the real clock.
  */
 public final class StandaloneFakes {
   private static final double REQUEST_TIMEOUT_SECONDS = 4;
--- a/src/test/java/io/violetrail/tools/scale/DeploymentSetup.java
+++ b/src/test/java/io/violetrail/tools/scale/DeploymentSetup.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Sets a world up as a deployment of a load's shape: machine types, teams, zones, delays. */
+/** Sets a simulation up as a deployment of a load's shape: machine types, teams, zones, delays. */
 final class DeploymentSetup {
   static final String GENERAL_TYPE = "general32";
   static final String ACCELERATED_TYPE = "accel48";
--- a/src/test/java/io/violetrail/tools/scale/ScaleRun.java
+++ b/src/test/java/io/violetrail/tools/scale/ScaleRun.java
@@ -558,7 +558,7 @@
     }
   }
 
-  /** Runs a step on the world's thread and waits for it. */
+  /** Runs a step on the simulation's thread and waits for it. */
   private <T> T onLoop(Supplier<T> step)
       throws InterruptedException, ExecutionException, TimeoutException {
     CompletableFuture<T> done = new CompletableFuture<>();
