--- a/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
+++ b/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
@@ -14,7 +14,7 @@
 /** What is decided by the kind of a failure, and the messages that users get. */
 final class RequestFailedExceptionTest {
   @Test
-  void theCauseOfAFailedFutureIsUnwrapped() {
+  void causeOfFailedFutureIsUnwrapped() {
     RequestFailedException moved = new EntityMovedException(new ControllerId("c1"));
     assertSame(moved, RequestFailedException.from(moved));
     assertSame(moved, RequestFailedException.from(new CompletionException(moved)));
