--- a/src/main/java/io/violetrail/scheduling/DeadlineSelection.java
+++ b/src/main/java/io/violetrail/scheduling/DeadlineSelection.java
@@ -6,17 +6,20 @@
 import java.util.PriorityQueue;
 
 /**
- * Orders jobs that are due so that as many as possible are in time: by due times, but where they do
- * not all fit, the largest make way. By due times alone, an overload spent itself on jobs that were
- * late in the end, and one after the other became late (after Moore and Hodgson).
+ * Orders pending jobs so that as many as possible meet their deadlines (after Moore and Hodgson):
+ * by deadline, but where not all can meet theirs, those with the most work make way. By deadline
+ * alone, an overload would be spent on jobs that are late in the end, and one after the other would
+ * be late.
+ *
+ * <p>Has no state.
  */
 final class DeadlineSelection {
   /**
-   * A job with what is left of it.
+   * A pending job with the work that is left of it.
    *
-   * @param deadlineAtSeconds infinite if it cannot be in time any more
-   * @param workSeconds seconds that the whole room for its kind needs for it
-   * @param runtimeSeconds the least that it takes
+   * @param deadlineAtSeconds in seconds of the monotonic clock; infinite if it cannot meet any
+   * @param workSeconds how long all machines of its kind together would work on it
+   * @param runtimeSeconds how long one task takes, a lower bound however much room there is
    */
   record PendingJob(Job job, double deadlineAtSeconds, double workSeconds, double runtimeSeconds) {}
 
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -9,7 +9,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The periodic work on each owned entity: silent machines, incomplete gangs, unstored progress. */
+/**
+ * The periodic work on each owned entity: silent machines, incomplete gangs, unstored progress, and
+ * passes for pending jobs.
+ *
+ * <p>Runs on the event loop's thread; has no state.
+ */
 public final class EntityMaintenance {
   /** How often it runs. */
   public static final double PERIOD_SECONDS = 0.5;
@@ -48,42 +53,45 @@
   }
 
   private void runOnce() {
-    double now = loop.monotonicSeconds();
+    double nowSeconds = loop.monotonicSeconds();
     pendingQueues.retainOnly(membership.ownedEntities());
     for (OwnedEntity entity : membership.ownedEntities()) {
       if (entity.isActive()) {
-        maintain(entity, now);
+        maintain(entity, nowSeconds);
       }
     }
   }
 
-  private void maintain(OwnedEntity entity, double now) {
+  private void maintain(OwnedEntity entity, double nowSeconds) {
     for (Machine machine : List.copyOf(entity.machines().values())) {
-      liveness.check(entity, machine, now);
+      liveness.check(entity, machine, nowSeconds);
     }
     for (Job job : List.copyOf(entity.jobs().values())) {
-      gangRepair.stopIncomplete(entity, job, now);
+      gangRepair.stopIncomplete(entity, job, nowSeconds);
       jobLifecycle.handleProgress(entity, job);
     }
     jobLifecycle.flushProgress(entity);
     if (!pendingQueues.inOrder(entity).isEmpty()) {
       schedulingLoop.requestPass();
     }
-    noteRecovery(entity, now);
+    recordRecovery(entity, nowSeconds);
   }
 
-  /** From here on tasks start that were open before the move and that no report has shown since. */
-  private static void noteRecovery(OwnedEntity entity, double now) {
-    if (entity.machinesReconciled() || entity.hasUncertainMachine(now)) {
+  /**
+   * Once every machine has reported or has no tasks for certain, tasks may start that were open
+   * before the failover or handover and that no report has shown since.
+   */
+  private static void recordRecovery(OwnedEntity entity, double nowSeconds) {
+    if (entity.machinesReconciled() || entity.hasUncertainMachine(nowSeconds)) {
       return;
     }
     entity.markRecovered();
     LOG.info(
-        "entity {} version {}: {} s after the move all of {} machines have reported or hold"
-            + " nothing; what no report shows may start",
+        "entity {} version {}: {} s after its acquisition all of {} machines have reported or have"
+            + " no tasks; tasks that no report shows may start",
         entity.id(),
         entity.row().version(),
-        MachineLivenessMonitor.tenths(now - entity.acquiredAtSeconds()),
+        MachineLivenessMonitor.tenths(nowSeconds - entity.acquiredAtSeconds()),
         entity.machines().size());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -7,7 +7,11 @@
 import io.violetrail.ownership.OwnedEntity;
 import java.util.List;
 
-/** Stops what runs on machines that are to be emptied, with time to save a checkpoint. */
+/**
+ * Drains machines: stops what runs there, with time to save a checkpoint.
+ *
+ * <p>Called on the event loop's thread; has no state.
+ */
 public final class MachineDrainer {
   private final EventLoop loop;
   private final Preemption preemption;
@@ -18,13 +22,16 @@
     this.preemption = preemption;
   }
 
-  /** Saves and stops what runs on a machine that its cloud takes back or that goes out of use. */
+  /**
+   * Stops what runs on a machine that its cloud preempts or that is draining; nothing happens on
+   * others. On a preempted machine only tasks with checkpoints are stopped, and whole gangs.
+   */
   public void drain(Machine machine) {
     if (machine.preemptionNoticeSeconds() == null && !machine.draining()) {
       return;
     }
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
-      if (placement.isRevocable() || placement.stopGraceSeconds() >= 0) {
+      if (placement.isRevocable() || placement.isStopRequested()) {
         continue;
       }
       JobSpec spec = placement.job().spec();
@@ -39,28 +46,28 @@
     }
   }
 
-  /** Stops spare work on a machine that others need, and keeps it away for a while. */
+  /** Stops best-effort work on a machine that others need, and bars it from there for a while. */
   public void clearSpareWork(OwnedEntity entity, Machine machine) {
-    double now = loop.monotonicSeconds();
-    if (now < machine.bestEffortBarredUntilSeconds()) {
+    double nowSeconds = loop.monotonicSeconds();
+    if (nowSeconds < machine.bestEffortBarredUntilSeconds()) {
       return;
     }
     double graceSeconds = 0;
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       if (placement.job().bestEffort()) {
-        graceSeconds = Math.max(graceSeconds, preemption.preempt(entity, placement, now));
+        graceSeconds = Math.max(graceSeconds, preemption.preempt(entity, placement, nowSeconds));
       }
     }
-    machine.keepSpareWorkAway(now + graceSeconds + Preemption.RESERVATION_SECONDS);
+    machine.keepSpareWorkAway(nowSeconds + graceSeconds + Preemption.RESERVATION_SECONDS);
   }
 
-  /** Stops all that runs on a machine and starts nothing there for that many seconds after. */
+  /** Stops all tasks on a machine and starts none there for {@code reservedSeconds} after that. */
   public void evictAll(OwnedEntity entity, Machine machine, double reservedSeconds) {
-    double now = loop.monotonicSeconds();
+    double nowSeconds = loop.monotonicSeconds();
     double graceSeconds = 0;
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
-      graceSeconds = Math.max(graceSeconds, preemption.preempt(entity, placement, now));
+      graceSeconds = Math.max(graceSeconds, preemption.preempt(entity, placement, nowSeconds));
     }
-    machine.keepEmpty(now + graceSeconds + reservedSeconds);
+    machine.keepEmpty(nowSeconds + graceSeconds + reservedSeconds);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -10,8 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices machines that stop sending heartbeats: first nothing more is placed there, and once their
- * worker's lease is certainly over their tasks are gone and may start elsewhere.
+ * Detects machines whose heartbeats stop. First nothing more is placed there; once their worker's
+ * lease has expired for certain, their tasks are gone ({@link TerminationEvidence#LEASE_OVER}) and
+ * may start elsewhere.
+ *
+ * <p>Called by {@link EntityMaintenance} on the event loop's thread; has no state. What is known of
+ * a machine's lease is in {@link Machine}; after a failover the new owner waits for the longest
+ * lease that its worker may have.
  */
 public final class MachineLivenessMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MachineLivenessMonitor.class);
@@ -27,7 +32,7 @@
   private final double periodSeconds;
 
   /**
-   * Made once for a controller.
+   * Creates a monitor for all entities of this controller.
    *
    * @param heartbeatSeconds the interval at which workers send heartbeats
    * @param periodSeconds the interval at which {@link #check} is called
@@ -43,25 +48,27 @@
     this.periodSeconds = periodSeconds;
   }
 
-  /** Looks at one machine of an active entity at the given second of the steady clock. */
-  void check(OwnedEntity entity, Machine machine, double now) {
+  /** Checks one machine of an active entity; {@code nowSeconds} is of the monotonic clock. */
+  void check(OwnedEntity entity, Machine machine, double nowSeconds) {
     if (!machine.row().hasReported()) {
       return;
     }
     machine.countUse(periodSeconds);
-    if (!machine.unresponsive() && now - machine.lastHeartbeatAtSeconds() > silentAfterSeconds()) {
-      markSilent(entity, machine, now);
+    if (!machine.unresponsive()
+        && nowSeconds - machine.lastHeartbeatAtSeconds() > silentAfterSeconds()) {
+      markSilent(entity, machine, nowSeconds);
     }
     if (!machine.tasksKnown() && clusterView.anyControllerRepliesWithoutToken()) {
-      // Its worker may have seen no token yet, and then that controller's answers keep its lease.
+      // Its worker may have seen no token yet, and then that controller's replies renew its lease.
       // This ends with the upgrade, or with the machine's return to the cloud.
-      double keptUntil = now + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
-      machine.mayHoldTasksUntil(keptUntil);
+      double leaseKeptUntilSeconds =
+          nowSeconds + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
+      machine.mayHoldTasksUntil(leaseKeptUntilSeconds);
     }
     if (machine.unresponsive()
-        && leaseIsOver(machine, now)
+        && isLeaseExpired(machine, nowSeconds)
         && machine.firstValidSession() <= machine.lastSession()) {
-      expireLease(entity, machine, now);
+      expireLease(entity, machine, nowSeconds);
     }
   }
 
@@ -69,40 +76,40 @@
     return SILENT_INTERVALS * heartbeatSeconds + SILENT_SLACK_SECONDS;
   }
 
-  private boolean leaseIsOver(Machine machine, double now) {
+  private boolean isLeaseExpired(Machine machine, double nowSeconds) {
     return machine.tasksKnown()
-        ? now - machine.lastAnsweredAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds()
-        : now > machine.unreportedTasksGoneAtSeconds();
+        ? nowSeconds - machine.lastAnsweredAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds()
+        : nowSeconds > machine.unreportedTasksGoneAtSeconds();
   }
 
-  private static void markSilent(OwnedEntity entity, Machine machine, double now) {
+  private static void markSilent(OwnedEntity entity, Machine machine, double nowSeconds) {
     machine.markSilent();
     LOG.info(
-        "machine {} of entity {} is silent: last report {} s ago in session {}, {} tasks",
+        "machine {} of entity {} is silent: last heartbeat {} s ago in session {}, {} tasks",
         machine.id(),
         entity.id(),
-        tenths(now - machine.lastHeartbeatAtSeconds()),
+        tenths(nowSeconds - machine.lastHeartbeatAtSeconds()),
         machine.lastSession(),
         machine.placements().size());
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       if (placement.isRevocable()) {
-        entity.removePlacement(placement, now, TerminationEvidence.NEVER_SENT);
+        entity.removePlacement(placement, nowSeconds, TerminationEvidence.NEVER_SENT);
       }
     }
   }
 
-  private void expireLease(OwnedEntity entity, Machine machine, double now) {
+  private void expireLease(OwnedEntity entity, Machine machine, double nowSeconds) {
     LOG.info(
-        "machine {}: its worker's lease is over, and so are {} tasks: last answer {} s ago, a lease"
-            + " ends after {} s; heard under this version: {}",
+        "machine {}: its worker's lease has expired and {} tasks are gone: last reply {} s ago, a"
+            + " lease expires after {} s; has reported under this version: {}",
         machine.id(),
         machine.placements().size(),
-        tenths(now - machine.lastAnsweredAtSeconds()),
+        tenths(nowSeconds - machine.lastAnsweredAtSeconds()),
         tenths(leaseTiming.tasksGoneAfterReplySeconds()),
         machine.tasksKnown());
     machine.leaseExpired();
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
-      entity.removePlacement(placement, now, TerminationEvidence.LEASE_OVER);
+      entity.removePlacement(placement, nowSeconds, TerminationEvidence.LEASE_OVER);
     }
   }
 
--- a/src/main/java/io/violetrail/scheduling/PendingQueue.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueue.java
@@ -4,6 +4,7 @@
 import io.violetrail.model.JobShape;
 import io.violetrail.model.Resources;
 import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.scheduling.DeadlineSelection.PendingJob;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -11,17 +12,20 @@
 import java.util.TreeMap;
 
 /**
- * Jobs of an entity with tasks that wait, the most urgent first. The order is kept for a moment:
- * due times pass slowly, and reports that need the order come many times a second.
+ * Jobs of an entity with unplaced tasks, the most urgent first. The order is cached for a moment:
+ * deadlines pass slowly, and heartbeats that need the order arrive many times a second.
+ *
+ * <p>Part of {@link PendingQueues}, used on the event loop's thread.
  */
 final class PendingQueue {
   private static final double ORDER_CACHE_SECONDS = 0.5;
 
   /**
-   * So long at most an array waits for its first task because others fit in time and it does not.
-   * While there was more work than room, the widest made way without end: a third of them had not
-   * begun after four minutes of a bad day. Sooner than after three, too many went before those that
-   * could still be in time. A gang is not helped by going first: its room is never free at once.
+   * So long at most an array waits for its first task because others can meet their deadlines and
+   * it cannot. Without a limit, while there is more work than room, the widest arrays would make
+   * way without end: in an overload a third of them had not started after four minutes. With a
+   * lower limit, too many go before those that could still meet their deadlines. A gang is not
+   * helped by going first: its room is never free at once.
    */
   private static final double MAX_FIRST_TASK_WAIT_SECONDS = 180;
 
@@ -38,7 +42,7 @@
     this.runtimeEstimates = runtimeEstimates;
   }
 
-  /** A job has come, or tasks wait again. */
+  /** A job has arrived, or tasks of one are pending again. */
   void invalidateOrder() {
     orderedAtSeconds = Double.NEGATIVE_INFINITY;
   }
@@ -52,46 +56,54 @@
   }
 
   private List<Job> sortJobs(double nowSeconds) {
-    Map<String, List<Job>> jobsByKind = new TreeMap<>();
-    for (Job job : entity.jobs().values()) {
-      if (job.phase() == Job.Phase.OPEN && job.unplacedCount() > 0) {
-        // Priorities come one after the other; kinds of one priority do not compete for room.
-        String kind = job.spec().priority().ordinal() + (usesAccelerators(job) ? " a" : " b");
-        jobsByKind.computeIfAbsent(kind, k -> new ArrayList<>()).add(job);
-      }
-    }
-    List<Job> order = new ArrayList<>();
-    for (List<Job> jobs : jobsByKind.values()) {
-      double totalRoom = totalRoomFor(jobs.get(0));
-      List<DeadlineSelection.PendingJob> pendingJobs = new ArrayList<>();
+    List<Job> sorted = new ArrayList<>();
+    for (List<Job> jobs : groupByKind().values()) {
       List<Job> firstTaskJobs = new ArrayList<>();
+      List<PendingJob> pendingJobs = new ArrayList<>();
+      double totalRoom = totalRoomFor(jobs.get(0));
       for (Job job : jobs) {
         job.prioritizeForFirstTask(isOverdueForFirstTask(job, nowSeconds));
         if (job.prioritizedForFirstTask()) {
           firstTaskJobs.add(job);
-          continue;
+        } else {
+          pendingJobs.add(toPendingJob(job, totalRoom, nowSeconds));
         }
-        double runtimeSeconds = runtimeEstimates.expectedRuntimeSeconds(job.spec());
-        // What fails wherever it goes comes after all that may be in time.
-        boolean suspect = job.isSuspect();
-        double deadlineAtSeconds =
-            suspect
-                ? Double.POSITIVE_INFINITY
-                : objectives.nextReachableObjectiveSeconds(job, nowSeconds, runtimeSeconds);
-        double workSeconds =
-            job.unplacedCount()
-                * runtimeSeconds
-                * amountOfKind(job.spec().taskResources(), usesAccelerators(job))
-                / totalRoom;
-        pendingJobs.add(
-            new DeadlineSelection.PendingJob(job, deadlineAtSeconds, workSeconds, runtimeSeconds));
       }
-      // Only to begin: with its first task it makes way again, so that others stay in time.
-      firstTaskJobs.sort(Comparator.comparingDouble(j -> j.arrivedAtSeconds()));
-      order.addAll(firstTaskJobs);
-      DeadlineSelection.orderByDeadline(pendingJobs, nowSeconds).forEach(d -> order.add(d.job()));
+      // For the first task only: with it the job makes way again, so that others meet deadlines.
+      firstTaskJobs.sort(Comparator.comparingDouble(Job::arrivedAtSeconds));
+      sorted.addAll(firstTaskJobs);
+      DeadlineSelection.orderByDeadline(pendingJobs, nowSeconds)
+          .forEach(pendingJob -> sorted.add(pendingJob.job()));
     }
-    return order;
+    return sorted;
+  }
+
+  /** By priority and by kind, in the order in which they are placed. */
+  private Map<String, List<Job>> groupByKind() {
+    Map<String, List<Job>> jobsByKind = new TreeMap<>();
+    for (Job job : entity.jobs().values()) {
+      if (job.phase() == Job.Phase.OPEN && job.unplacedCount() > 0) {
+        // Priorities come one after the other; kinds of one priority do not compete for room.
+        String kind = job.spec().priority().ordinal() + (usesAccelerators(job) ? " a" : " b");
+        jobsByKind.computeIfAbsent(kind, k -> new ArrayList<>()).add(job);
+      }
+    }
+    return jobsByKind;
+  }
+
+  private PendingJob toPendingJob(Job job, double totalRoom, double nowSeconds) {
+    double runtimeSeconds = runtimeEstimates.expectedRuntimeSeconds(job.spec());
+    // A job that fails on every machine comes after all that may meet their deadlines.
+    double deadlineAtSeconds =
+        job.isSuspect()
+            ? Double.POSITIVE_INFINITY
+            : objectives.nextReachableObjectiveSeconds(job, nowSeconds, runtimeSeconds);
+    double workSeconds =
+        job.unplacedCount()
+            * runtimeSeconds
+            * amountOfKind(job.spec().taskResources(), usesAccelerators(job))
+            / totalRoom;
+    return new PendingJob(job, deadlineAtSeconds, workSeconds, runtimeSeconds);
   }
 
   private static boolean isOverdueForFirstTask(Job job, double nowSeconds) {
@@ -111,7 +123,7 @@
     return gpus ? resources.gpus() : resources.cpus();
   }
 
-  /** What the entity's machines hold for work of this kind, beside what is more urgent. */
+  /** The room of the entity's machines for work of this kind, less what is more urgent. */
   private double totalRoomFor(Job sampleJob) {
     boolean gpus = usesAccelerators(sampleJob);
     double room = 0;
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -14,24 +14,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stops less urgent tasks where that makes room for a more urgent job at the least loss. */
+/**
+ * Preempts less urgent tasks where that makes room for a more urgent job with the least work lost.
+ *
+ * <p>Called on the event loop's thread; has no state. The reservations that it makes are kept in
+ * {@link Machine} and are lost with the process.
+ */
 public final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
   /**
-   * Room that is being made is kept this long beyond the time to save, in which two reports pass.
+   * Room that is being made is reserved for this long beyond the time to save a checkpoint; two
+   * heartbeats arrive meanwhile.
    */
   static final double RESERVATION_SECONDS = 6;
 
-  /** A job for which no room could be made is not tried again sooner: the search is the dearest. */
+  /** The search for victims is expensive, so it is repeated for a job no sooner than after this. */
   private static final double RETRY_SECONDS = 1;
 
+  /** An accelerator counts like so many cores in what is lost. */
+  private static final double CPUS_PER_GPU = 8;
+
   private final Consumer<TaskPlacement> onStopRequested;
 
   /**
    * Creates a preemption that stops tasks through a callback.
    *
-   * @param onStopRequested told of each task that is to stop
+   * @param onStopRequested called with each placement whose stop is requested
    */
   public Preemption(Consumer<TaskPlacement> onStopRequested) {
     this.onStopRequested = onStopRequested;
@@ -42,20 +51,20 @@
       Machine machine, int taskCount, List<TaskPlacement> victims, double lostCpuSeconds) {}
 
   /**
-   * Makes room for a job that waits: for one task of an array, and for a gang whole or not at all,
-   * since gangs that hold parts of each other's room would all wait. The job is placed once the
-   * stopped tasks are gone; until then the room is reserved for it.
+   * Makes room for a pending job: for one task of an array, and for a gang as a whole or not at
+   * all, since gangs that reserve parts of each other's room would all wait. The job is placed once
+   * the preempted tasks are gone; until then the room is reserved for it.
    */
   void preemptFor(OwnedEntity entity, Job job, double nowSeconds) {
     if (!job.mayPreempt(nowSeconds) || !entity.hasPlacedTaskBelow(job.spec().priority())) {
       return;
     }
     job.preemptNotBefore(nowSeconds + RETRY_SECONDS);
+    if (hasReservation(entity, job, nowSeconds)) {
+      return;
+    }
     Map<String, List<PreemptionCandidate>> candidatesByZone = new HashMap<>();
     for (Machine machine : entity.machines().values()) {
-      if (machine.reservedForJob() == job && nowSeconds <= machine.reservedUntilSeconds()) {
-        return;
-      }
       PreemptionCandidate candidate = findCandidate(job, machine, nowSeconds);
       if (candidate != null) {
         String zone = job.spec().singleZone() ? machine.row().zone() : "";
@@ -63,7 +72,7 @@
       }
     }
     int neededTaskCount = job.spec().shape() == JobShape.GANG ? job.spec().taskCount() : 1;
-    List<PreemptionCandidate> bestCandidates = null;
+    List<PreemptionCandidate> bestCandidates = List.of();
     double bestLostCpuSeconds = Double.POSITIVE_INFINITY;
     for (List<PreemptionCandidate> zone : candidatesByZone.values()) {
       List<PreemptionCandidate> cheapest = selectCheapest(zone, neededTaskCount);
@@ -76,12 +85,21 @@
         bestLostCpuSeconds = lostCpuSeconds;
       }
     }
-    if (bestCandidates != null) {
+    if (!bestCandidates.isEmpty()) {
       preemptAndReserve(entity, job, bestCandidates, nowSeconds);
     }
   }
 
-  /** The offers with the least loss a task that hold so many tasks; empty if all do not. */
+  private static boolean hasReservation(OwnedEntity entity, Job job, double nowSeconds) {
+    for (Machine machine : entity.machines().values()) {
+      if (machine.reservedForJob() == job && nowSeconds <= machine.reservedUntilSeconds()) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** The candidates with the least loss per task that take so many tasks; empty if all do not. */
   private static List<PreemptionCandidate> selectCheapest(
       List<PreemptionCandidate> candidates, int neededTaskCount) {
     candidates.sort(
@@ -113,13 +131,17 @@
       candidate.machine().reserve(job, nowSeconds + graceSeconds + RESERVATION_SECONDS);
     }
     LOG.info(
-        "job {}: {} less urgent tasks stop on {} machines",
+        "job {}: {} less urgent tasks preempted on {} machines",
         job.spec().id(),
         stoppedCount,
         candidates.size());
   }
 
-  /** Stops a task, letting it save if it can; returns how long that may take. */
+  /**
+   * Preempts a task, or its whole gang, and lets it save a checkpoint if it can.
+   *
+   * @return how long the saving may take, in seconds
+   */
   double preempt(OwnedEntity entity, TaskPlacement placement, double nowSeconds) {
     double saveSeconds =
         placement.job().spec().checkpointIntervalSeconds() > 0
@@ -139,7 +161,7 @@
     return saveSeconds;
   }
 
-  /** What the machine could hold of the job; null if nothing. */
+  /** What the machine could take of the job after preemptions; null if nothing. */
   private static PreemptionCandidate findCandidate(Job job, Machine machine, double nowSeconds) {
     Resources taskResources = job.spec().taskResources();
     boolean reserved =
@@ -151,10 +173,10 @@
       return null;
     }
     if (machine.type().capacity().gpus() > 0 && taskResources.gpus() == 0) {
-      // Work without accelerators is not placed there either while others may want them.
+      // Work without accelerators is not placed there either while others may need them.
       return null;
     }
-    // Waiting for the image counts like work lost.
+    // The time to fetch the image counts like work lost.
     double fetchCpuSeconds =
         machine.hasImage(job.spec().image())
             ? 0
@@ -164,6 +186,13 @@
       return new PreemptionCandidate(
           machine, freeTaskCount, List.of(), fetchCpuSeconds * freeTaskCount);
     }
+    return findVictims(job, machine, nowSeconds, fetchCpuSeconds);
+  }
+
+  /** The least loss that makes room for one task; null if all less urgent tasks do not. */
+  private static PreemptionCandidate findVictims(
+      Job job, Machine machine, double nowSeconds, double fetchCpuSeconds) {
+    Resources taskResources = job.spec().taskResources();
     List<TaskPlacement> lessUrgent = new ArrayList<>();
     Resources room = machine.freeCapacity();
     for (TaskPlacement placement : machine.placements().values()) {
@@ -191,7 +220,8 @@
   }
 
   /**
-   * Work lost if all of a machine's tasks are stopped, gangs with all of theirs, in cpu seconds.
+   * Work lost if all of a machine's tasks are stopped, and gangs with all their tasks, in seconds
+   * of one core.
    */
   public static double lostCpuSeconds(Machine machine, double nowSeconds) {
     double totalCpuSeconds = 0;
@@ -207,7 +237,7 @@
     return totalCpuSeconds;
   }
 
-  /** Work lost with a task, in cpu seconds; what saves loses little. */
+  /** Work lost with a task, in seconds of one core; little with checkpoints. */
   private static double lostCpuSeconds(TaskPlacement placement, double nowSeconds) {
     double runSeconds = nowSeconds - placement.placedAtSeconds();
     double lostSeconds =
@@ -216,6 +246,6 @@
             : runSeconds;
     return lostSeconds
         * (placement.job().spec().taskResources().cpus()
-            + 8 * placement.job().spec().taskResources().gpus());
+            + CPUS_PER_GPU * placement.job().spec().taskResources().gpus());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
+++ b/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
@@ -6,8 +6,10 @@
 /**
  * Decides when a scheduling pass runs. Requests are debounced, since events come in bunches, and a
  * pass is followed by a pause in proportion to its own length, so that heartbeats and lease
- * renewals get their turn however slow the processor is: with hundreds of machines and little
- * processor, passes after each event left nothing for anything else.
+ * renewals get their turn however slow the processor is: with hundreds of machines and a small
+ * processor, a pass after each event would leave no time for anything else.
+ *
+ * <p>Runs on the event loop's thread; nothing survives the process.
  */
 public final class SchedulingLoop {
   private static final double DEBOUNCE_SECONDS = 0.02;
@@ -37,9 +39,9 @@
   }
 
   private void runPass() {
-    double beganSeconds = loop.monotonicSeconds();
+    double startedAtSeconds = loop.monotonicSeconds();
     pass.run();
-    double endedSeconds = loop.monotonicSeconds();
-    pausedUntilSeconds = endedSeconds + PAUSE_FACTOR * (endedSeconds - beganSeconds);
+    double endedAtSeconds = loop.monotonicSeconds();
+    pausedUntilSeconds = endedAtSeconds + PAUSE_FACTOR * (endedAtSeconds - startedAtSeconds);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -20,9 +20,15 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Decides which task goes to which machine of its entity. */
+/**
+ * Places pending tasks on the machines of their entity: all pending jobs in a pass, and those that
+ * fit on a single machine when its heartbeat shows free room.
+ *
+ * <p>Called on the event loop's thread. Nothing survives the process: what was placed comes back
+ * with the workers' reports.
+ */
 public final class TaskScheduler {
-  /** Gangs that one report may try to place; the next pass tries the rest. */
+  /** Gangs that one heartbeat may try to place; the next pass tries the rest. */
   private static final int MAX_GANG_ATTEMPTS_PER_HEARTBEAT = 2;
 
   private final EventLoop loop;
@@ -37,10 +43,10 @@
   private final TransferRequests transferRequests;
   private final LongPolls longPolls;
 
-  /** Machines with new placements whose workers may be waiting. */
+  /** Machines with new placements, whose workers may wait in a long poll. */
   private final Set<MachineId> machinesToNotify = new LinkedHashSet<>();
 
-  /** Places what {@link PendingQueues} holds through the placer, within the teams' quotas. */
+  /** Places the jobs of {@code pendingQueues} through the bin packer, within the teams' quotas. */
   public TaskScheduler(
       EventLoop loop,
       Membership membership,
@@ -66,7 +72,7 @@
     this.longPolls = longPolls;
   }
 
-  /** Places what is pending in all owned entities, if this controller may start tasks now. */
+  /** Runs a pass: places what is pending in all owned entities, if tasks may be started now. */
   public void runPass() {
     if (!membership.isLeaseValid() || !configuration.isFresh()) {
       return;
@@ -79,12 +85,11 @@
     answerWaitingWorkers();
   }
 
-  /** Machines examined so far, a measure of what placement costs. */
+  /** Machines examined so far: what placement costs, for metrics and tests. */
   public long machinesExamined() {
     return binPacker.machinesExamined();
   }
 
-  /** Finds places for what waits in an entity. */
   private void placePendingJobs(OwnedEntity entity) {
     List<Job> pendingJobs = pendingQueues.inOrder(entity);
     if (pendingJobs.isEmpty()) {
@@ -92,12 +97,7 @@
     }
     double nowSeconds = loop.monotonicSeconds();
     binPacker.beginPass(nowSeconds, machineTypes.prices(), pendingJobs);
-    List<Machine> schedulableMachines = new ArrayList<>();
-    for (Machine machine : entity.machines().values()) {
-      if (machine.isSchedulable() && machine.freeCapacity().cpus() > 0) {
-        schedulableMachines.add(machine);
-      }
-    }
+    List<Machine> schedulableMachines = findMachinesWithRoom(entity);
     boolean awaitingFirstReports = entity.hasUncertainMachine(nowSeconds);
     Map<String, Resources> remainingQuotaByTeam = new HashMap<>();
     for (Job job : pendingJobs) {
@@ -117,7 +117,17 @@
     transferRequests.requestMissingResources(entity);
   }
 
-  /** Fills what has become free on a machine, for the answer to its report. */
+  private static List<Machine> findMachinesWithRoom(OwnedEntity entity) {
+    List<Machine> machinesWithRoom = new ArrayList<>();
+    for (Machine machine : entity.machines().values()) {
+      if (machine.isSchedulable() && machine.freeCapacity().cpus() > 0) {
+        machinesWithRoom.add(machine);
+      }
+    }
+    return machinesWithRoom;
+  }
+
+  /** Fills what has become free on a machine, for the reply to its heartbeat. */
   public void fillMachine(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
     if (!machine.isSchedulable() || !configuration.isFresh()) {
@@ -163,11 +173,11 @@
     machinesToNotify.add(machine.id());
   }
 
-  /** Workers that wait for something to do get it now. */
+  /** Ends the long polls of machines with new placements. */
   private void answerWaitingWorkers() {
-    List<MachineId> all = List.copyOf(machinesToNotify);
+    List<MachineId> notified = List.copyOf(machinesToNotify);
     machinesToNotify.clear();
-    all.forEach(longPolls::answer);
+    notified.forEach(longPolls::answer);
   }
 
   private static boolean isStartable(Job job, boolean awaitingFirstReports, double nowSeconds) {
@@ -202,7 +212,7 @@
         fittingMachines =
             binPacker.findFittingMachines(job, schedulableMachines, placedCountByZone, nowSeconds);
       }
-      // A machine once chosen takes as many as it can: they share its image.
+      // A machine once chosen takes as many tasks as it can: they share its image.
       while (machine == null || !binPacker.fits(job, machine, placedCountByZone, nowSeconds)) {
         fittingMachines.remove(machine);
         machine = binPacker.chooseBest(job, fittingMachines).orElse(null);
@@ -223,7 +233,7 @@
     return taskResources.times(placedCount);
   }
 
-  /** Nothing that runs well is stopped for a job that fails wherever it goes. */
+  /** No healthy task is preempted for a job that fails on every machine. */
   private void preemptIfWorthwhile(OwnedEntity entity, Job job, double nowSeconds) {
     if (!job.isSuspect()
         && !(BinPacker.startsTaskByTask(job) && preemptBestEffortFor(entity, job, nowSeconds))) {
@@ -232,8 +242,11 @@
   }
 
   /**
-   * Clears spare work from machines that then hold what waits of the job, all at once: it is there
-   * on sufferance, and one task a second would be too slow.
+   * Preempts best-effort work on as many machines as the job's pending tasks need, all at once: the
+   * ordinary preemption of one task a second would be too slow, and best-effort work may always be
+   * preempted.
+   *
+   * @return whether any machine was cleared
    */
   private boolean preemptBestEffortFor(OwnedEntity entity, Job job, double nowSeconds) {
     if (job.bestEffort() || !entity.hasPlacedTaskBelow(job.spec().priority())) {
@@ -258,7 +271,7 @@
     return cleared;
   }
 
-  /** All of a gang's tasks get their places at once, or none does. */
+  /** Places all of a gang's tasks at once, or none. */
   private Resources placeGang(
       OwnedEntity entity,
       Job job,
@@ -266,10 +279,9 @@
       Resources quota,
       double nowSeconds) {
     Resources gangResources = job.spec().taskResources().times(job.spec().taskCount());
-    if (!job.hasNoPlacements() || !gangResources.fitsIn(quota)) {
-      return Resources.NONE;
-    }
-    if (!job.retries().mayStartAll(nowSeconds)) {
+    if (!job.hasNoPlacements()
+        || !gangResources.fitsIn(quota)
+        || !job.retries().mayStartAll(nowSeconds)) {
       return Resources.NONE;
     }
     Optional<List<Machine>> plan = binPacker.planGang(job, schedulableMachines, nowSeconds);
