--- a/src/main/java/io/violetrail/configuration/Configuration.java
+++ b/src/main/java/io/violetrail/configuration/Configuration.java
@@ -8,8 +8,8 @@
 /**
  * The teams and objectives that decisions go by.
  *
- * <p>Called under the controller's lock only. What is returned is a snapshot and may be replaced by
- * the next call.
+ * <p>Called on the event loop's thread only. What is returned is a snapshot, which a later revision
+ * replaces.
  */
 public interface Configuration {
   /** A team with its guarantee and limit; null if there is no such team. */
@@ -19,7 +19,7 @@
 
   List<Objective> objectives();
 
-  /** Whether new jobs of the team are taken in. A closed team only finishes what it has. */
+  /** Whether new jobs of the team are accepted. A closed team only finishes what it has. */
   boolean acceptsJobs(String team);
 
   /** Whether limits may change while this controller runs. */
@@ -34,15 +34,18 @@
   /** Counts changes; 0 is the platform's settings file. */
   long revision();
 
-  /** The stamp of the row that put this revision in force; 0 for the settings file. */
+  /**
+   * The state service's revision of the row that put this revision in force; 0 for the settings
+   * file.
+   */
   long modRevision();
 
-  /** What else this controller can say of it to operators; null if there is nothing to say. */
+  /** This controller's state for operators; null if its configuration cannot change. */
   default ConfigurationState findState() {
     return null;
   }
 
-  /** The common rows have changed. */
+  /** To be called when the common rows have changed. */
   default void onRowsChanged() {}
 
   /** Runs the step whenever another revision comes into force here. */
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -30,16 +30,16 @@
  * <em>sending</em>: a later one cannot have been stored before. Tasks are launched only while the
  * last confirmation is younger than {@link #MAX_CONFIRMATION_AGE_SECONDS}, and workers drop an
  * answer that is older than {@link #MAX_ANSWER_AGE_SECONDS}. The argument rests on this
- * controller's steady clock alone, so it holds for one that is slow, cut off, frozen, just started,
- * or that has just taken an entity over.
+ * controller's steady clock alone, so it holds for a controller that is slow, partitioned, paused
+ * or just started, and for one that has just acquired an entity.
  *
- * <p>The watch of the common rows only makes learning faster. Owned by the controller's lock;
+ * <p>The watch of the common rows only shortens the delay. Called on the event loop's thread;
  * nothing here survives a crash, and a new process begins unconfirmed.
  */
 public final class ConfigurationFollower implements Configuration {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFollower.class);
 
-  /** Within which a stored revision is in force everywhere, or nothing is started. */
+  /** The time within which a stored revision is in force everywhere, or nothing is started. */
   public static final double MAX_STALENESS_SECONDS = 8;
 
   /** A worker drops an answer that is older than this (PROTOCOL, "Workers"). */
@@ -47,11 +47,11 @@
 
   private static final double MAX_CLOCK_DRIFT = 0.002;
 
-  /** A confirmation older than this does not vouch for what is started. */
+  /** With a confirmation older than this nothing is started. */
   static final double MAX_CONFIRMATION_AGE_SECONDS =
       (MAX_STALENESS_SECONDS - MAX_ANSWER_AGE_SECONDS) * (1 - MAX_CLOCK_DRIFT);
 
-  /** Readings are no rarer than this, however long the lease is. */
+  /** The longest interval between reads of the head row, however long the lease is. */
   private static final double MAX_POLL_SECONDS = 1.5;
 
   private final Settings settings;
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Also false while the slices known here may be older than the revision: an entity may have
-   * claimed more of a limit under the one before.
+   * Also false while the quota shares known here may be older than the revision: an entity may have
+   * claimed more of a limit under the revision before.
    */
   @Override
   public boolean isFresh() {
--- a/src/main/java/io/violetrail/configuration/ConfigurationHead.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationHead.java
@@ -3,14 +3,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.ownership.StateSchema;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * The row that says which revision is in force, with the last ones before it. Its content stands in
- * parts, rows named by the digests of what they hold, since a few hundred teams do not fit one
+ * The row that says which revision is in force, with the last ones before it. Its content is in
+ * parts, rows named by the digests of their content, since a few hundred teams do not fit one
  * value; revisions share the parts that are equal. One conditional write of this row puts all parts
  * in force at once.
  *
@@ -18,10 +19,10 @@
  * @param modRevision the row's; 0 if there is none, and the platform's file is in force
  */
 public record ConfigurationHead(List<Revision> revisions, long modRevision) {
-  /** Where the head stands: among the rows that every controller watches. */
-  public static final String KEY = io.violetrail.ownership.StateSchema.CONFIGURATION_KEY;
+  /** The head's key, among the rows that every controller watches. */
+  public static final String KEY = StateSchema.CONFIGURATION_KEY;
 
-  /** Where the parts stand, which nobody watches. */
+  /** The prefix of the parts' keys, which no controller watches. */
   static final String PART_KEY_PREFIX = "config/part/";
 
   static final int MAX_REVISIONS = 12;
--- a/src/main/java/io/violetrail/configuration/ConfigurationParts.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationParts.java
@@ -18,7 +18,7 @@
  * the digest of what it holds. A change of one team leaves the other parts as they are.
  */
 final class ConfigurationParts {
-  /** Part of a value that is filled; the rest is for the form that it is counted in. */
+  /** Of the value limit, which counts a longer encoding than the one that is estimated. */
   private static final double FILL_FRACTION = 0.75;
 
   /** What a team or an objective takes at most, with the longest names and numbers. */
--- a/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
@@ -25,9 +25,9 @@
  * Stores changes of the configuration.
  *
  * <p>The parts are written first, under names that their content gives them, so a late write of one
- * changes nothing. Then one transaction writes the head on the condition of its own stamp and of
- * the parts' stamps: it puts the whole revision in force, or nothing. Any controller can do it; it
- * needs no lease, since nothing but the rows decides.
+ * changes nothing. Then one transaction writes the head on the condition of its own revision and of
+ * the parts' revisions: it puts the whole revision in force, or nothing. Any controller can do it;
+ * it needs no lease, since nothing but the rows decides.
  */
 public final class ConfigurationWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationWriter.class);
@@ -37,7 +37,7 @@
    */
   private static final double UNUSED_PART_RETENTION_SECONDS = 600;
 
-  /** Of the head's value; the rest is for the form that values are counted in. */
+  /** Of the value limit, which counts a longer encoding than the one that is measured. */
   private static final double FILL_FRACTION = 0.9;
 
   private static final int MAX_ATTEMPTS = 3;
@@ -152,7 +152,7 @@
             loop.wallMillis());
     ConfigurationHead newHead = trimToValueLimit(head.withRevision(revision));
     return storeParts(parts)
-        .thenCompose(stamps -> storeHead(head, newHead, stamps))
+        .thenCompose(partModRevisions -> storeHead(head, newHead, partModRevisions))
         .thenCompose(
             applied -> {
               if (!applied && attempt < MAX_ATTEMPTS) {
@@ -181,20 +181,20 @@
     return fitting;
   }
 
-  /** Writes the parts that are not there yet; completes with the stamps of all of them. */
+  /** Writes the parts that are not there yet; completes with the revisions of all of them. */
   private CompletableFuture<Map<String, Long>> storeParts(Map<String, ObjectNode> parts) {
     Map<String, Long> modRevisions = new TreeMap<>();
     List<CompletableFuture<Void>> writes = new ArrayList<>();
     parts.forEach(
         (digest, part) -> {
           String key = ConfigurationHead.partKey(digest);
-          writes.add(storePart(key, part).thenAccept(stamp -> modRevisions.put(key, stamp)));
+          writes.add(storePart(key, part).thenAccept(revision -> modRevisions.put(key, revision)));
         });
     return CompletableFuture.allOf(writes.toArray(CompletableFuture[]::new))
         .thenApply(nothing -> modRevisions);
   }
 
-  /** Completes with the part's stamp; most parts are there from the revision before. */
+  /** Completes with the part's revision; most parts are there from the revision before. */
   private CompletableFuture<Long> storePart(String key, ObjectNode part) {
     return store
         .getUrgent(key)
--- a/src/main/java/io/violetrail/configuration/FixedConfiguration.java
+++ b/src/main/java/io/violetrail/configuration/FixedConfiguration.java
@@ -9,7 +9,7 @@
 
 /**
  * The platform's settings file, for as long as the process runs. Where another controller has
- * stored a configuration, this one cannot vouch for any limit and starts nothing.
+ * stored a configuration, this one cannot know what the limits are and starts nothing.
  */
 public final class FixedConfiguration implements Configuration {
   private final Settings settings;
--- a/src/main/java/io/violetrail/kubernetes/PodLister.java
+++ b/src/main/java/io/violetrail/kubernetes/PodLister.java
@@ -162,7 +162,7 @@
     return pods == null ? null : toPage(pods, options);
   }
 
-  /** One more than asked for, so that the end of a page shows; null if the entity is not held. */
+  /** One more than asked for, so that the end of a page shows; null if the entity is not owned. */
   private List<ObjectNode> findOwnedPods(
       ControllerId entity, String namespace, ListOptions options) {
     OwnedEntity ownedEntity = membership.isLeaseValid() ? membership.findOwnedEntity(entity) : null;
--- a/src/main/java/io/violetrail/kubernetes/WatchCache.java
+++ b/src/main/java/io/violetrail/kubernetes/WatchCache.java
@@ -52,7 +52,7 @@
     void onEventsLost();
   }
 
-  /** Who keeps the objects of held entities. */
+  /** What keeps the objects of owned entities. */
   interface ObjectListener {
     void onObjectChanged(KubernetesObject object);
 
