--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Fetches the machine types on offer; the future fails with a {@code RequestFailedException} if the
-   * reply is an error or malformed.
+   * Fetches the machine types on offer; the future fails with a {@code RequestFailedException} if
+   * the reply is an error or malformed.
    */
   public CompletableFuture<List<MachineType>> fetchMachineTypes() {
     return callOrFail("GET", CloudMessages.MACHINE_TYPES_PATH, null)
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -96,7 +96,9 @@
             .commit(
                 new Transaction()
                     .ifRevision(StateSchema.MACHINE_TYPES_KEY, 0)
-                    .put(StateSchema.MACHINE_TYPES_KEY, CloudMessages.machineTypesMessage(fromCloud)))
+                    .put(
+                        StateSchema.MACHINE_TYPES_KEY,
+                        CloudMessages.machineTypesMessage(fromCloud)))
             .whenComplete((outcome, failure) -> storeInFlight = false),
         "store the machine types");
   }
