--- a/src/main/java/io/violetrail/api/JobProgressStore.java
+++ b/src/main/java/io/violetrail/api/JobProgressStore.java
@@ -20,17 +20,21 @@
 import java.util.Map;
 
 /**
- * Which tasks of an entity's open jobs are done, as stored. A row holds parts of many jobs, so that
- * a hundred jobs in progress cost a few writes and not a hundred: the state service counts each.
+ * Stores which tasks of an owned entity's open jobs are done. A row contains ranges of many jobs,
+ * so that a hundred jobs in progress cost a few writes and not a hundred of the state service's
+ * budget.
+ *
+ * <p>Called on the event loop's thread. After a crash, the next owner {@linkplain #restore
+ * restores} what was flushed; later progress comes again with the workers' heartbeats.
  */
 final class JobProgressStore {
   /** Tasks that are done wait this long for others, so that one write stores many. */
   private static final double FLUSH_INTERVAL_SECONDS = 3;
 
-  /** Part of a value that a row is filled to; keys and the rest of the map come on top. */
-  private static final double MAX_FILL_SHARE = 0.7;
+  /** Part of a value's size limit that a row is filled to; the map's own bytes come on top. */
+  private static final double MAX_FILL_FRACTION = 0.7;
 
-  /** What a part's name and marks take beside its bits. */
+  /** Characters that a range's name and punctuation take beside its bits. */
   private static final int ENTRY_OVERHEAD_CHARS = 40;
 
   private final EventLoop loop;
@@ -42,7 +46,7 @@
   private final List<ProgressRow> rows = new ArrayList<>();
   private final Map<String, ProgressRow> rowByRangeName = new HashMap<>();
 
-  /** A row, with the parts of jobs in it. */
+  /** A row, with the task ranges in it. */
   private static final class ProgressRow {
     final int number;
     long revision;
@@ -78,12 +82,12 @@
     this.store = store;
     this.membership = membership;
     this.entity = entity;
-    this.maxChars = (int) (limits.maxValueBytes() * MAX_FILL_SHARE);
+    this.maxChars = (int) (limits.maxValueBytes() * MAX_FILL_FRACTION);
     // Six tasks a character of base64, and at most half a value.
     this.tasksPerRange = Math.min(16_384, limits.maxValueBytes() / 2 * 6);
   }
 
-  /** Tasks of the job are done that are not stored. */
+  /** Marks the rows of the job's tasks that are done and not stored; the next flush writes them. */
   void markChanged(Job job) {
     for (int fromIndex = 0; fromIndex < job.spec().taskCount(); fromIndex += tasksPerRange) {
       TaskRange range =
@@ -116,7 +120,7 @@
     }
   }
 
-  /** Stores what is due, and lets go of jobs that are over. */
+  /** Writes the rows that are due, and drops the ranges of finished jobs. */
   void flush(double nowSeconds) {
     for (ProgressRow row : rows) {
       for (TaskRange range : List.copyOf(row.rangesByName.values())) {
@@ -146,7 +150,7 @@
       writtenTasks.put(range, doneTasks);
       value.put(range.name(), Base64.getEncoder().encodeToString(doneTasks.toByteArray()));
     }
-    // The row's stamp keeps a late write of older progress from undoing newer one.
+    // The condition on the revision keeps a delayed write of older progress from undoing newer.
     Futures.logFailure(
         store
             .commitInBackground(
@@ -170,7 +174,7 @@
         "write tasks' progress");
   }
 
-  /** An earlier try that was thought lost has changed the row. */
+  /** Reads the row's revision again: an earlier write that seemed lost has changed it. */
   private void rereadRow(ProgressRow row, String key) {
     row.writeInFlight = true;
     Futures.logFailure(
@@ -189,7 +193,7 @@
         "read tasks' progress again");
   }
 
-  /** Takes over what a former owner stored. */
+  /** Restores the progress that a former owner has stored. */
   void restore(List<Entry> entries) {
     String prefix = StateSchema.progressPrefix(entity.id());
     for (Entry entry : entries) {
--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -29,16 +29,16 @@
 /**
  * Stores the submissions and ends of an owned entity's jobs in the state service.
  *
- * <p>A job costs one row of its own, {@code job/<id>}, which claims its id, names its entity and the
- * finished-job segment for its end, and never changes. Its description is stored in one of the
+ * <p>A job costs one row of its own, {@code job/<id>}, which claims its id, names its entity and
+ * the finished-job segment for its end, and never changes. Its description is stored in one of the
  * entity's open-job segments together with other open jobs, and its end in its finished-job segment
- * together with other ends. Segments are written by the entity's owner alone, so all that begins and
- * ends within a moment costs a write or two beside the claims: with four writes a job, a few hundred
- * small jobs a minute exceeded the state service's budget. A job whose end is stored has ended,
- * even if an open-job segment still lists it.
+ * together with other ends. Segments are written by the entity's owner alone, so all that begins
+ * and ends within a moment costs a write or two beside the claims: with four writes a job, a few
+ * hundred small jobs a minute exceeded the state service's budget. A job whose end is stored has
+ * ended, even if an open-job segment still lists it.
  *
- * <p>Called on the event loop's thread. A crash loses only writes that nobody has been answered for;
- * the next owner {@linkplain #load loads} the segments.
+ * <p>Called on the event loop's thread. A crash loses only writes that nobody has been answered
+ * for; the next owner {@linkplain #load loads} the segments.
  */
 public final class JobStore {
   private static final double BATCHING_DELAY_SECONDS = 0.01;
@@ -47,9 +47,9 @@
 
   /**
    * Rows that a transaction may write even if that is more than a second's worth: three jobs that
-   * share an open-job segment, and a finished-job segment. A seventh of a small budget left room for
-   * one job and its segment, so jobs cost most writes just when these were short. With eight rows,
-   * machines' records waited too long behind submissions where a second's worth is three.
+   * share an open-job segment, and a finished-job segment. A seventh of a small budget left room
+   * for one job and its segment, so jobs cost most writes just when these were short. With eight
+   * rows, machines' records waited too long behind submissions where a second's worth is three.
    */
   private static final int MIN_WRITES_PER_TRANSACTION = 5;
 
@@ -122,13 +122,13 @@
     return enqueue(write)
         .thenApply(
             stored ->
-                new JobLifecycle.StoreResult(stored, write.hasCoWrittenRowConflict(), write.revision()));
+                new JobLifecycle.StoreResult(
+                    stored, write.hasCoWrittenRowConflict(), write.revision()));
   }
 
   /** Stores the end of an open job; fails if the entity has moved. */
   CompletableFuture<Boolean> storeEnd(JobId id, JobStatus status, int doneCount) {
-    return enqueue(
-        JobWrite.end(id, status.name() + " " + doneCount, loop.monotonicSeconds()));
+    return enqueue(JobWrite.end(id, status.name() + " " + doneCount, loop.monotonicSeconds()));
   }
 
   private CompletableFuture<Boolean> enqueue(JobWrite write) {
@@ -163,10 +163,12 @@
                   if (draft == null) {
                     scheduleWrite(RETRY_SECONDS);
                   } else if (failure != null) {
-                    draft.includedWrites().forEach(
-                        e ->
-                            e.completion.completeExceptionally(
-                                RequestFailedException.from(failure)));
+                    draft
+                        .includedWrites()
+                        .forEach(
+                            e ->
+                                e.completion.completeExceptionally(
+                                    RequestFailedException.from(failure)));
                     scheduleWrite(BATCHING_DELAY_SECONDS);
                   } else if (outcome.applied()) {
                     draft.handleApplied(outcome.revision());
@@ -183,7 +185,8 @@
       failQueuedWrites();
       return null;
     }
-    JobTransactionDraft draft = new JobTransactionDraft(loop, entity, openJobs, maxWritesPerTransaction());
+    JobTransactionDraft draft =
+        new JobTransactionDraft(loop, entity, openJobs, maxWritesPerTransaction());
     ArrayDeque<JobWrite> deferred = new ArrayDeque<>();
     // Users wait for the answer to a submission; an end is in time for its user's next poll.
     boolean submissionsFirst = !isAnyEndOverdue();
@@ -230,8 +233,9 @@
    */
   private void handleRefused(JobTransactionDraft draft, TransactionOutcome outcome) {
     if (outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
-      draft.includedWrites().forEach(
-          e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
+      draft
+          .includedWrites()
+          .forEach(e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
       failQueuedWrites();
       membership.relist();
       return;
@@ -290,9 +294,7 @@
                   writeInFlight = false;
                   for (int i = 0; i < conflictingOpenSegments.size(); i++) {
                     openJobs.replaceOpenSegment(
-                        conflictingOpenSegments.get(i),
-                        reads.get(i).join(),
-                        draft::opensJob);
+                        conflictingOpenSegments.get(i), reads.get(i).join(), draft::opensJob);
                   }
                   for (int i = 0; i < conflictingFinishedSegments.size(); i++) {
                     openJobs.replaceFinishedSegment(
--- a/src/main/java/io/violetrail/api/JobTransactionDraft.java
+++ b/src/main/java/io/violetrail/api/JobTransactionDraft.java
@@ -39,7 +39,8 @@
   private final List<JobWrite> includedWrites = new ArrayList<>();
   private final Map<JobId, OpenJobEntry> newEntries = new LinkedHashMap<>();
   private final Set<JobId> endedJobs = new HashSet<>();
-  private final Map<OpenJobSegment, Map<JobId, OpenJobEntry>> openSegmentContents = new LinkedHashMap<>();
+  private final Map<OpenJobSegment, Map<JobId, OpenJobEntry>> openSegmentContents =
+      new LinkedHashMap<>();
   private final Map<FinishedJobSegment, Map<JobId, String>> finishedSegmentContents =
       new LinkedHashMap<>();
   private int claimRowCount;
@@ -98,8 +99,7 @@
     value.add(finishedSegment.name).add(write.arrivedAtMillis);
     JobMessages.appendSpec(write.spec, value);
     int charCount = OpenJobIndex.countChars(value);
-    OpenJobSegment openSegment =
-        openJobs.findOpenSegmentWithSpace(charCount, openSegmentContents);
+    OpenJobSegment openSegment = openJobs.findOpenSegmentWithSpace(charCount, openSegmentContents);
     OpenJobEntry job = new OpenJobEntry(write.id, openSegment, finishedSegment, value, charCount);
     openSegmentContents
         .computeIfAbsent(openSegment, s -> new LinkedHashMap<>(s.jobs))
--- a/src/main/java/io/violetrail/api/OpenJobIndex.java
+++ b/src/main/java/io/violetrail/api/OpenJobIndex.java
@@ -22,14 +22,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What is known of a held entity's sheets and pages, as of their last write or reading. */
+/**
+ * The open-job and finished-job segments of an owned entity, as of their last write or read, and
+ * the open jobs in them. Called by the entity's {@link JobStore} on the event loop's thread; the
+ * rows survive a crash, and the next owner builds its index from them.
+ */
 final class OpenJobIndex {
   private static final Logger LOG = LoggerFactory.getLogger(OpenJobIndex.class);
 
-  /** Part of a value that a sheet or page is filled to. */
-  private static final double MAX_FILL_SHARE = 0.75;
+  /** Part of a value's size limit that a segment is filled to. */
+  private static final double MAX_FILL_FRACTION = 0.75;
 
-  /** What an entry's name and marks take beside its description. */
+  /** Characters that an entry's name and punctuation take beside its description. */
   private static final int ENTRY_OVERHEAD_CHARS = 40;
 
   private final OwnedEntity entity;
@@ -41,7 +45,7 @@
   private FinishedJobSegment currentFinishedSegment;
   private int finishedSegmentCount;
 
-  /** What stands on a sheet of one open job. */
+  /** An open job as its open-job segment contains it. */
   record OpenJobEntry(
       JobId id,
       OpenJobSegment openSegment,
@@ -73,7 +77,7 @@
 
   OpenJobIndex(OwnedEntity entity, int maxValueBytes) {
     this.entity = entity;
-    this.maxChars = (int) (maxValueBytes * MAX_FILL_SHARE);
+    this.maxChars = (int) (maxValueBytes * MAX_FILL_FRACTION);
     this.jobsPerFinishedSegment = Math.max(1, maxChars / ENTRY_OVERHEAD_CHARS);
   }
 
@@ -85,12 +89,12 @@
     return jobs.values().stream().mapToInt(OpenJobEntry::charCount).sum();
   }
 
-  /** What stands of an open job; null if it is not open here. */
+  /** The entry of an open job; null if it is not open here. */
   OpenJobEntry findOpenEntry(JobId id) {
     return openEntries.get(id);
   }
 
-  /** A sheet that takes so much more, given what some are going to hold. */
+  /** An open-job segment with room for so many more, given the contents planned for some. */
   OpenJobSegment findOpenSegmentWithSpace(
       int charCount, Map<OpenJobSegment, Map<JobId, OpenJobEntry>> plannedContents) {
     for (OpenJobSegment openSegment : openSegments) {
@@ -109,7 +113,10 @@
     return openSegments.get(number);
   }
 
-  /** The page for the end of a job that begins now. Its name was never given before. */
+  /**
+   * The finished-job segment for the end of a job that is submitted now. A new one gets a name that
+   * was never used before: it contains the version of this ownership.
+   */
   FinishedJobSegment assignFinishedSegment() {
     if (currentFinishedSegment == null
         || currentFinishedSegment.assignedJobCount >= jobsPerFinishedSegment) {
@@ -121,7 +128,7 @@
     return currentFinishedSegment;
   }
 
-  /** A job stands on its sheet. */
+  /** Adds a job whose open-job segment is stored with it. */
   void addOpenEntry(OpenJobEntry job) {
     job.openSegment().jobs.put(job.id(), job);
     if (openEntries.put(job.id(), job) == null) {
@@ -129,12 +136,12 @@
     }
   }
 
-  /** A job is over: its place on its sheet is free, and the sheet's next write says so. */
+  /** Removes a job that has ended; its space is free from the segment's next write on. */
   void removeOpenEntry(JobId id) {
     OpenJobEntry job = openEntries.remove(id);
     if (job != null) {
       job.openSegment().jobs.remove(id);
-      // A page that no open job names is not written any more.
+      // A finished-job segment that no open job refers to is never written again.
       if (--job.finishedSegment().openJobCount == 0
           && job.finishedSegment() != currentFinishedSegment) {
         finishedSegmentsByName.remove(job.finishedSegment().name);
@@ -142,6 +149,7 @@
     }
   }
 
+  /** Adds the ends of a finished-job segment as it was read. */
   void replaceFinishedSegment(FinishedJobSegment finishedSegment, Entry entry) {
     finishedSegment.revision = entry.modRevision();
     if (entry.value() != null) {
@@ -157,8 +165,8 @@
   }
 
   /**
-   * Takes a sheet as it was read. Of jobs not known before, only those that {@code isOpen} accepts
-   * are open: the rest are over, and the sheet was not written since.
+   * Replaces an open-job segment by what was read. Of jobs not known before, only those that {@code
+   * isOpen} accepts are open: the others have ended since the segment was last written.
    */
   void replaceOpenSegment(OpenJobSegment openSegment, Entry entry, Predicate<JobId> isOpen) {
     openSegment.revision = entry.modRevision();
@@ -187,7 +195,7 @@
             });
   }
 
-  /** The pages that sheets name. */
+  /** The names of the finished-job segments that the open-job segments refer to. */
   static Set<String> finishedSegmentNamesIn(List<Entry> openSegmentRows) {
     Set<String> names = new HashSet<>();
     for (Entry entry : openSegmentRows) {
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -29,7 +29,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the other controllers' requests. */
+/** Answers the other controllers' requests. Called on the event loop's thread; it owns no state. */
 public final class PeerService implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerService.class);
 
@@ -99,14 +99,14 @@
       case BUDGET -> respond.accept(PeerResponse.of(lending.lend(request.number())));
       case CONFIGURATION -> respond.accept(configurationState());
       default -> {
-        take(request);
+        handleNotice(request);
         respond.accept(PeerResponse.UNKNOWN);
       }
     }
   }
 
-  /** Takes what needs no answer of its own. */
-  private void take(PeerRequest request) {
+  /** Handles a notice, which is answered without content. */
+  private void handleNotice(PeerRequest request) {
     switch (request.kind()) {
       case HAND_BACK -> handBack(request);
       case SOLD_OUT -> soldOut(request.subject());
