--- a/src/test/java/io/violetrail/state/TransactionBatchTest.java
+++ b/src/test/java/io/violetrail/state/TransactionBatchTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void transactionsOfDifferentKeysShareARequest() {
+  void transactionsOfDifferentKeysShareOneRequest() {
     assertTrue(batch.tryAdd(pending(write("a", 1).ifRevision("entity", 7))));
     assertTrue(batch.tryAdd(pending(write("b", 0).ifRevision("entity", 7))));
     assertEquals(2, batch.writeCount());
