--- a/src/test/java/io/violetrail/state/TransactionBatchTest.java
+++ b/src/test/java/io/violetrail/state/TransactionBatchTest.java
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aDeferredTransactionIsAloneInItsRequest() {
+  void deferredTransactionIsAloneInItsRequest() {
     PendingTransaction deferred =
         PendingTransaction.deferred(() -> write("a", 1), CommitLane.USERS, 0);
     assertTrue(deferred.draftIfNeeded());
@@ -76,12 +76,12 @@
   }
 
   @Test
-  void aDraftWithoutWritesLeavesNothingToSend() {
+  void draftWithoutWritesLeavesNothingToSend() {
     assertFalse(PendingTransaction.deferred(() -> null, CommitLane.USERS, 0).draftIfNeeded());
   }
 
   @Test
-  void aFailedConditionConcernsOnlyTheTransactionsThatHaveIt() {
+  void failedConditionConcernsOnlyTheTransactionsThatHaveIt() {
     PendingTransaction refused = pending(write("a", 1));
     PendingTransaction other = pending(write("b", 0));
     TransactionOutcome outcome = new TransactionOutcome(false, 9, Set.of("a"));
