--- a/src/main/java/io/violetrail/scheduling/FailureAttribution.java
+++ b/src/main/java/io/violetrail/scheduling/FailureAttribution.java
@@ -94,7 +94,7 @@
     boolean quarantined = evidence >= QUARANTINE_EVIDENCE - ROUNDING_TOLERANCE;
     if (quarantined && !machine.quarantined()) {
       LOG.info(
-          "machine {} quarantined: tasks of several jobs fail there, or one job that runs well elsewhere",
+          "machine {} quarantined: it fails jobs that run well elsewhere, or several others",
           machine.id());
       machine.setDraining(true);
     } else if (!quarantined && machine.quarantined() && !machine.returning()) {
