--- a/src/test/java/io/violetrail/compatibility/ProtocolFieldsTest.java
+++ b/src/test/java/io/violetrail/compatibility/ProtocolFieldsTest.java
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aSubmission() throws MalformedMessageException {
+  void submissionFields() throws MalformedMessageException {
     assertEquals(SUBMITTED, JobMessages.parseSubmission(json(SUBMISSION)));
     assertEquals(SUBMISSION, JobMessages.submissionMessage(SUBMITTED).toString());
     String spread = SUBMISSION.replace("true,\"apart\":false", "false,\"apart\":true");
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void aReportOfAWorker() throws MalformedMessageException {
+  void heartbeatFields() throws MalformedMessageException {
     String report =
         """
         {"host":"vm-000231","endpoint":"10.1.0.232:9000","hosttype":"g8","yard":"a","loaners":true,
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void commandsToAWorker() {
+  void commandFields() {
     TaskId task = TaskId.parse("job-000412/4");
     assertEquals(
         """
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void otherAnswersToAWorker() {
+  void otherHeartbeatReplies() {
     assertEquals("{\"baton\":0,\"orders\":[]}", HeartbeatMessages.nonRenewingReply().toString());
     assertEquals(
         "{\"master\":\"railhost-2\"}", HeartbeatMessages.redirectReply("railhost-2").toString());
@@ -249,7 +249,7 @@
   }
 
   @Test
-  void aTransaction() throws MalformedMessageException {
+  void transactionFields() throws MalformedMessageException {
     JsonNode value = json("{\"x\":1}");
     Transaction transaction =
         new Transaction()
