--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -85,7 +85,7 @@
     if (entity.machinesReconciled() || entity.hasUncertainMachine(nowSeconds)) {
       return;
     }
-    entity.markRecovered();
+    entity.markMachinesReconciled();
     LOG.info(
         "entity {} version {}: {} s after its acquisition all of {} machines have reported or have"
             + " no tasks; tasks that no report shows may start",
--- a/src/test/java/io/violetrail/compatibility/ProtocolFieldsTest.java
+++ b/src/test/java/io/violetrail/compatibility/ProtocolFieldsTest.java
@@ -166,9 +166,9 @@
   @ParameterizedTest
   @CsvSource({
     "fetching,FETCHING",
-    "gathering,WAITING",
+    "gathering,WAITING_FOR_GANG",
     "running,RUNNING",
-    "flushing,SAVING",
+    "flushing,CHECKPOINTING",
     "ended,EXITED"
   })
   void taskStates(String word, TaskState state) throws MalformedMessageException {
@@ -179,10 +179,10 @@
   @CsvSource({
     "done,DONE",
     "halted,STOPPED",
-    "mates_gone,PEERS_GONE",
-    "incomplete,INCOMPLETE",
+    "mates_gone,GANG_MEMBER_LOST",
+    "incomplete,GANG_INCOMPLETE",
     "error,ERROR",
-    "no_room,NO_ROOM",
+    "no_room,INSUFFICIENT_RESOURCES",
     "in_use,BUSY",
     "unknown,UNKNOWN"
   })
