--- a/src/main/java/io/violetrail/ownership/ClusterView.java
+++ b/src/main/java/io/violetrail/ownership/ClusterView.java
@@ -1,8 +1,6 @@
 package io.violetrail.ownership;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.google.common.cache.Cache;
-import com.google.common.cache.CacheBuilder;
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
@@ -18,47 +16,43 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /**
- * What this controller knows of the common rows. It may lag; every write names the stamps it was
- * decided on, so a stale view costs a refused transaction and never a wrong one.
+ * What this controller knows of the common rows: controllers that are alive, entities and their
+ * owners, machines, quota shares, machine types and the configuration in force.
+ *
+ * <p>It may lag. Every write names the revisions of the rows it was decided on, so a view that is
+ * out of date costs a refused transaction and never a wrong one. Of each key the newest state known
+ * stands: changes come from the watch, from listings and from this controller's own writes, in any
+ * order.
+ *
+ * <p>Used on the event loop's thread. Nothing of it survives a crash: it is read afresh.
  */
 public final class ClusterView {
   private final Settings settings;
   private final Map<ControllerId, LivenessRow> livenessRows = new HashMap<>();
   private final Map<ControllerId, EntityRow> entityRows = new HashMap<>();
   private final Map<ControllerId, Version> announcedVersions = new HashMap<>();
-  private final Map<MachineId, MachineRow> machineRows = new HashMap<>();
-
-  /** The same machines by entity, since owners go through theirs with every change. */
-  private final Map<ControllerId, Map<MachineId, MachineRow>> machineRowsByEntity = new HashMap<>();
-
-  private final Map<ControllerId, Map<Integer, MachineBlock>> blocks = new HashMap<>();
+  private final MachineRowIndex machineRows = new MachineRowIndex();
   private final Map<String, Entry> quotaShares = new HashMap<>();
 
-  /** When each key was last dropped, so that an older change cannot bring it back. */
+  /** When each key was last deleted, so that an older change cannot bring it back. */
   private final Map<String, Long> deletionRevisions = new HashMap<>();
 
-  /**
-   * Machines whose record was removed, which comes after the cloud has taken them back for sure.
-   */
-  private final Cache<MachineId, Boolean> terminatedMachines =
-      CacheBuilder.newBuilder().maximumSize(5_000).build();
-
   private JsonNode machineTypes;
   private Entry configurationEntry;
   private long machineAdditionsRevision;
   private long revision;
 
-  /** A row that holds many machines of an entity. */
+  /** A row that records many machines of an entity. */
   public record MachineBlock(long modRevision, Map<MachineId, MachineRow> rows) {}
 
+  /** Creates a view in which no row is known. */
   public ClusterView(Settings settings) {
     this.settings = settings;
   }
 
-  /** Takes a whole listing of the common rows. */
+  /** Applies a whole listing of the common rows: what it lacks was deleted. */
   public void replaceWithListing(List<Entry> entries, long asOfRevision) {
     Set<String> presentKeys = new HashSet<>();
     for (Entry entry : entries) {
@@ -70,153 +64,117 @@
         apply(new RowChange(key, null, asOfRevision));
       }
     }
-    revision = Math.max(revision, asOfRevision);
-    deletionRevisions.values().removeIf(at -> at < asOfRevision);
+    advanceRevision(asOfRevision);
+    deletionRevisions.values().removeIf(deletedAt -> deletedAt < asOfRevision);
   }
 
+  /** All changes up to that revision were applied. */
   public void advanceRevision(long upToRevision) {
     revision = Math.max(revision, upToRevision);
   }
 
+  /** All changes up to this revision are known here; some later ones may be. */
   public long revision() {
     return revision;
   }
 
-  /** Takes one change, unless something newer is known of its key. */
+  /** Applies one change, unless something newer is known of its key. */
   public void apply(RowChange change) {
     if (change.modRevision() <= knownModRevision(change.key())
         || change.modRevision() <= deletionRevisions.getOrDefault(change.key(), 0L)) {
       return;
     }
-    String key = change.key();
-    boolean isSet = change.value() != null;
-    if (!isSet) {
-      deletionRevisions.put(key, change.modRevision());
-    }
-    if (key.startsWith(StateSchema.LIVENESS_PREFIX)) {
-      put(
-          livenessRows,
-          new ControllerId(key.substring(StateSchema.LIVENESS_PREFIX.length())),
-          isSet ? StateSchema.decodeLiveness(change.value(), change.modRevision()) : null);
-    } else if (key.startsWith(StateSchema.ENTITY_PREFIX)) {
-      put(
-          entityRows,
-          new ControllerId(key.substring(StateSchema.ENTITY_PREFIX.length())),
-          isSet ? StateSchema.decodeEntity(key, change.value(), change.modRevision()) : null);
-    } else if (key.startsWith(StateSchema.MACHINE_PREFIX)) {
-      putMachineRow(
-          new MachineId(key.substring(StateSchema.MACHINE_PREFIX.length())),
-          isSet ? StateSchema.decodeMachine(key, change.value(), change.modRevision()) : null);
-    } else if (key.startsWith(StateSchema.BLOCK_PREFIX)) {
-      putBlock(
-          key,
-          isSet ? StateSchema.decodeBlock(key, change.value(), change.modRevision()) : Map.of(),
-          change.modRevision());
-    } else if (key.startsWith(StateSchema.QUOTA_SHARE_PREFIX)) {
-      put(quotaShares, key, isSet ? new Entry(key, change.value(), change.modRevision()) : null);
-    } else if (key.equals(StateSchema.MACHINE_ADDITIONS_KEY)) {
-      machineAdditionsRevision = change.modRevision();
-    } else if (key.equals(StateSchema.MACHINE_TYPES_KEY) && isSet) {
-      machineTypes = change.value();
-    } else if (key.equals(StateSchema.CONFIGURATION_KEY) && isSet) {
-      // It is never dropped.
-      configurationEntry = new Entry(key, change.value(), change.modRevision());
+    if (change.value() == null) {
+      deletionRevisions.put(change.key(), change.modRevision());
+      delete(change.key(), change.modRevision());
+    } else {
+      put(change.key(), change.value(), change.modRevision());
     }
   }
 
-  private void putMachineRow(MachineId id, MachineRow row) {
-    MachineRow former = machineRows.get(id);
-    if (former != null) {
-      machineRowsByEntity.get(former.entity()).remove(id);
-    }
-    put(machineRows, id, row);
-    if (row == null && former != null) {
-      terminatedMachines.put(id, true);
-    }
-    if (row != null) {
-      terminatedMachines.invalidate(id);
-      machineRowsByEntity.computeIfAbsent(row.entity(), e -> new HashMap<>()).put(id, row);
+  private void put(String key, JsonNode value, long modRevision) {
+    switch (CommonRowKind.of(key)) {
+      case LIVENESS ->
+          livenessRows.put(
+              StateSchema.controllerOfLiveness(key),
+              StateSchema.decodeLiveness(value, modRevision));
+      case ENTITY ->
+          entityRows.put(
+              StateSchema.entityOf(key), StateSchema.decodeEntity(key, value, modRevision));
+      case MACHINE -> machineRows.put(StateSchema.decodeMachine(key, value, modRevision));
+      case BLOCK ->
+          machineRows.putBlock(
+              StateSchema.entityOfBlock(key),
+              StateSchema.numberOfBlock(key),
+              new MachineBlock(modRevision, StateSchema.decodeBlock(key, value, modRevision)));
+      case QUOTA_SHARE -> quotaShares.put(key, new Entry(key, value, modRevision));
+      case MACHINE_ADDITIONS -> machineAdditionsRevision = modRevision;
+      case MACHINE_TYPES -> machineTypes = value;
+      case CONFIGURATION -> configurationEntry = new Entry(key, value, modRevision);
+      case UNKNOWN -> {
+        // Written by another release, and of no use to this one.
+      }
     }
   }
 
-  private void putBlock(String key, Map<MachineId, MachineRow> rows, long modRevision) {
-    ControllerId entity = StateSchema.entityOfBlock(key);
-    int number = StateSchema.numberOfBlock(key);
-    MachineBlock former =
-        blocks
-            .computeIfAbsent(entity, e -> new TreeMap<>())
-            .put(number, new MachineBlock(modRevision, rows));
-    if (former != null) {
-      for (MachineId id : former.rows().keySet()) {
-        MachineRow known = machineRows.get(id);
-        // A machine that has passed on has a row of its own by now, maybe read before the block.
-        boolean isStillInBlock =
-            known != null && known.block() == number && known.entity().equals(entity);
-        if (isStillInBlock && !rows.containsKey(id)) {
-          putMachineRow(id, null);
-        }
-      }
-    }
-    for (MachineRow row : rows.values()) {
-      MachineRow known = machineRows.get(row.id());
-      if (known == null || known.modRevision() < row.modRevision()) {
-        putMachineRow(row.id(), row);
+  private void delete(String key, long modRevision) {
+    switch (CommonRowKind.of(key)) {
+      case LIVENESS -> livenessRows.remove(StateSchema.controllerOfLiveness(key));
+      case ENTITY -> entityRows.remove(StateSchema.entityOf(key));
+      case MACHINE -> machineRows.remove(StateSchema.machineOf(key));
+      case BLOCK ->
+          machineRows.putBlock(
+              StateSchema.entityOfBlock(key),
+              StateSchema.numberOfBlock(key),
+              new MachineBlock(modRevision, Map.of()));
+      case QUOTA_SHARE -> quotaShares.remove(key);
+      case MACHINE_ADDITIONS -> machineAdditionsRevision = modRevision;
+      case MACHINE_TYPES, CONFIGURATION, UNKNOWN -> {
+        // The machine types and the configuration are never deleted.
       }
     }
   }
 
-  private static <K, V> void put(Map<K, V> map, K key, V value) {
-    if (value == null) {
-      map.remove(key);
-    } else {
-      map.put(key, value);
-    }
+  /** The revision of what is known of the key; 0 if nothing is, or if that does not matter. */
+  private long knownModRevision(String key) {
+    return switch (CommonRowKind.of(key)) {
+      case LIVENESS -> livenessRevision(StateSchema.controllerOfLiveness(key));
+      case ENTITY -> {
+        EntityRow row = entityRows.get(StateSchema.entityOf(key));
+        yield row == null ? 0 : row.modRevision();
+      }
+      case MACHINE -> machineRows.singleRowRevision(StateSchema.machineOf(key));
+      case BLOCK -> {
+        MachineBlock block =
+            blocks(StateSchema.entityOfBlock(key)).get(StateSchema.numberOfBlock(key));
+        yield block == null ? 0 : block.modRevision();
+      }
+      case QUOTA_SHARE -> revisionOf(quotaShares.get(key));
+      case MACHINE_ADDITIONS -> machineAdditionsRevision;
+      case CONFIGURATION -> revisionOf(configurationEntry);
+      case MACHINE_TYPES, UNKNOWN -> 0;
+    };
   }
 
-  private long knownModRevision(String key) {
-    if (key.startsWith(StateSchema.LIVENESS_PREFIX)) {
-      return livenessRevision(
-          new ControllerId(key.substring(StateSchema.LIVENESS_PREFIX.length())));
-    } else if (key.startsWith(StateSchema.ENTITY_PREFIX)) {
-      EntityRow row =
-          entityRows.get(new ControllerId(key.substring(StateSchema.ENTITY_PREFIX.length())));
-      return row == null ? 0 : row.modRevision();
-    } else if (key.startsWith(StateSchema.MACHINE_PREFIX)) {
-      MachineRow row =
-          machineRows.get(new MachineId(key.substring(StateSchema.MACHINE_PREFIX.length())));
-      return row == null || row.isInBlock() ? 0 : row.modRevision();
-    } else if (key.startsWith(StateSchema.BLOCK_PREFIX)) {
-      MachineBlock block =
-          blocks(StateSchema.entityOfBlock(key)).get(StateSchema.numberOfBlock(key));
-      return block == null ? 0 : block.modRevision();
-    } else if (key.equals(StateSchema.MACHINE_ADDITIONS_KEY)) {
-      return machineAdditionsRevision;
-    } else if (key.equals(StateSchema.CONFIGURATION_KEY)) {
-      return configurationEntry == null ? 0 : configurationEntry.modRevision();
-    }
-    Entry quotaShare = quotaShares.get(key);
-    return quotaShare == null ? 0 : quotaShare.modRevision();
+  private static long revisionOf(Entry entry) {
+    return entry == null ? 0 : entry.modRevision();
   }
 
+  /** The keys of all rows known that may be deleted. */
   private List<String> knownKeys() {
     Set<String> keys = new HashSet<>(quotaShares.keySet());
-    livenessRows.keySet().forEach(c -> keys.add(StateSchema.livenessKey(c)));
-    entityRows.keySet().forEach(e -> keys.add(StateSchema.entityKey(e)));
-    for (MachineRow row : machineRows.values()) {
-      if (!row.isInBlock()) {
-        keys.add(StateSchema.machineKey(row.id()));
-      }
-    }
-    blocks.forEach(
-        (e, blocksByNumber) ->
-            blocksByNumber.keySet().forEach(k -> keys.add(StateSchema.blockKey(e, k))));
+    livenessRows.keySet().forEach(controller -> keys.add(StateSchema.livenessKey(controller)));
+    entityRows.keySet().forEach(entity -> keys.add(StateSchema.entityKey(entity)));
+    machineRows.addKeysTo(keys);
     return List.copyOf(keys);
   }
 
+  /** Whether the controller's lease stands, as far as is known. */
   public boolean isAlive(ControllerId controller) {
     return livenessRows.containsKey(controller);
   }
 
+  /** The revision of the controller's liveness row; 0 if it has none. */
   public long livenessRevision(ControllerId controller) {
     LivenessRow row = livenessRows.get(controller);
     return row == null ? 0 : row.modRevision();
@@ -224,40 +182,45 @@
 
   /**
    * Whether some controller's program may answer workers without a token, as during an upgrade from
-   * one of before. The lease of a worker that has seen no token above "none" may be kept by that,
-   * whoever owns its machine.
+   * an earlier release. The lease of a worker that has seen no token above "none" may be renewed by
+   * that, whoever owns its machine.
    */
   public boolean anyControllerRepliesWithoutToken() {
     return livenessRows.values().stream().anyMatch(row -> !row.tokenInEveryReply());
   }
 
+  /** The entity's row; null if none is known. */
   public EntityRow findEntityRow(ControllerId entity) {
     return entityRows.get(entity);
   }
 
+  /** A snapshot of all entities' rows. */
   public Collection<EntityRow> entityRows() {
     return List.copyOf(entityRows.values());
   }
 
   /**
-   * A peer holds an entity under that version. Its row may not be readable here, or not yet; where
-   * workers and questions go follows the highest version known, what is taken or written the row.
+   * A peer owns an entity under that version. Its row may not be readable here, or not yet. Where
+   * workers and questions are routed follows the highest version known; what is taken over or
+   * written follows the row alone.
    */
   public void recordAnnouncement(ControllerId entity, Version version) {
-    announcedVersions.merge(entity, version, (a, b) -> a.compareTo(b) >= 0 ? a : b);
+    announcedVersions.merge(
+        entity, version, (known, announced) -> known.compareTo(announced) >= 0 ? known : announced);
   }
 
-  /** The owner by the highest version known; null if there is none. */
+  /** The owner by the highest version known, announced or read; null if there is none. */
   public ControllerId findLatestOwner(ControllerId entity) {
     EntityRow row = entityRows.get(entity);
     Version announcedVersion = announcedVersions.get(entity);
-    boolean isAnnouncementNewer =
-        announcedVersion != null && (row == null || announcedVersion.compareTo(row.version()) > 0);
-    return isAnnouncementNewer
-        ? findOwnerIn(announcedVersion)
-        : row == null ? null : findOwnerIn(row);
+    if (announcedVersion != null
+        && (row == null || announcedVersion.compareTo(row.version()) > 0)) {
+      return findOwnerIn(announcedVersion);
+    }
+    return row == null ? null : findOwnerIn(row);
   }
 
+  /** The owner that the row names; null if the settings have no such controller. */
   public ControllerId findOwnerIn(EntityRow row) {
     return findOwnerIn(row.version());
   }
@@ -267,36 +230,40 @@
     return version.ownerIndex() < controllers.size() ? controllers.get(version.ownerIndex()) : null;
   }
 
+  /** The machine's row, its own or in a block; null if none is known. */
   public MachineRow findMachineRow(MachineId id) {
-    return machineRows.get(id);
+    return machineRows.find(id);
   }
 
   /**
-   * Whether the machine is known to be no more. Its reports that come later were held back in the
-   * network: machines that were gone were taken into an entity for them, and fell silent again.
+   * Whether the machine is known to be gone for good. Heartbeats of it that still come were held
+   * back in the network: a machine adopted because of them would never be heard of again.
    */
   public boolean wasTerminated(MachineId id) {
-    return terminatedMachines.getIfPresent(id) != null;
+    return machineRows.wasTerminated(id);
   }
 
+  /** A snapshot of the rows of an entity's machines. */
   public List<MachineRow> machineRowsOf(ControllerId entity) {
-    return List.copyOf(machineRowsByEntity.getOrDefault(entity, Map.of()).values());
+    return machineRows.rowsOf(entity);
   }
 
-  /** An entity's blocks by number. */
+  /** An entity's blocks by number, as they are and will be known; not to be changed. */
   public Map<Integer, MachineBlock> blocks(ControllerId entity) {
-    return blocks.getOrDefault(entity, Map.of());
+    return machineRows.blocks(entity);
   }
 
-  /** The stamp of the row that every new record of a machine rewrites. */
+  /** The revision of the row that every addition of a machine rewrites. */
   public long machineAdditionsRevision() {
     return machineAdditionsRevision;
   }
 
+  /** How many controllers' leases stand, as far as is known. */
   public int aliveControllerCount() {
     return livenessRows.size();
   }
 
+  /** The row of a team's quota shares; null if none is known. */
   public Entry findQuotaShare(String team) {
     return quotaShares.get(StateSchema.QUOTA_SHARE_PREFIX + team);
   }
@@ -306,6 +273,7 @@
     return configurationEntry;
   }
 
+  /** The value of the row of machine types; null if none is known. */
   public JsonNode machineTypes() {
     return machineTypes;
   }
--- /dev/null
+++ b/src/main/java/io/violetrail/ownership/CommonRowKind.java
@@ -0,0 +1,40 @@
+package io.violetrail.ownership;
+
+/** What a common row holds, by its key. */
+enum CommonRowKind {
+  LIVENESS,
+  ENTITY,
+  MACHINE,
+  BLOCK,
+  QUOTA_SHARE,
+  MACHINE_ADDITIONS,
+  MACHINE_TYPES,
+  CONFIGURATION,
+  /** A row of another release. */
+  UNKNOWN;
+
+  /** The kind of the row with that key. */
+  static CommonRowKind of(String key) {
+    if (key.startsWith(StateSchema.LIVENESS_PREFIX)) {
+      return LIVENESS;
+    }
+    if (key.startsWith(StateSchema.ENTITY_PREFIX)) {
+      return ENTITY;
+    }
+    if (key.startsWith(StateSchema.MACHINE_PREFIX)) {
+      return MACHINE;
+    }
+    if (key.startsWith(StateSchema.BLOCK_PREFIX)) {
+      return BLOCK;
+    }
+    if (key.startsWith(StateSchema.QUOTA_SHARE_PREFIX)) {
+      return QUOTA_SHARE;
+    }
+    return switch (key) {
+      case StateSchema.MACHINE_ADDITIONS_KEY -> MACHINE_ADDITIONS;
+      case StateSchema.MACHINE_TYPES_KEY -> MACHINE_TYPES;
+      case StateSchema.CONFIGURATION_KEY -> CONFIGURATION;
+      default -> UNKNOWN;
+    };
+  }
+}
--- a/src/main/java/io/violetrail/ownership/MachineRecords.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecords.java
@@ -5,43 +5,39 @@
 import io.violetrail.net.CoalescingTimer;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.ownership.ClusterView.MachineBlock;
+import io.violetrail.ownership.RecordChangeRefusedException.Reason;
 import io.violetrail.ownership.StateSchema.EntityRow;
 import io.violetrail.ownership.StateSchema.MachineRow;
 import io.violetrail.state.StateStore;
-import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.RowChange;
 import io.violetrail.wire.StateStoreMessages.Transaction;
 import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The records of a held entity's machines in the state service.
+ * Writes the records of an owned entity's machines to the state service.
  *
- * <p>An entity's machines stand together in a few rows, its blocks, which only its owner writes.
- * What happens to many machines within a moment costs a write or two: with a write for each, a
+ * <p>An entity's machines are recorded together in a few rows, its blocks, which only its owner
+ * writes. Changes to many machines within a moment cost a write or two: with a write for each, a
  * hundred machines coming up took the state service longer than their boot. A machine that passes
- * to another entity gets a row of its own, since the two owners must not write the same block.
+ * to another entity gets a row of its own, since two owners must not write the same block.
+ *
+ * <p>Changes are gathered and written in batches, one transaction at a time. A batch that was
+ * refused is worked out afresh on a newer view and tried again, until each change is stored or is
+ * known to be impossible.
+ *
+ * <p>Used on the event loop's thread. Changes that wait are lost in a crash; the futures tell what
+ * was stored.
  */
 public final class MachineRecords {
   private static final double GATHER_SECONDS = 0.2;
   private static final double RETRY_SECONDS = 0.15;
 
-  /** Part of a value that a block is filled to. */
-  private static final double BLOCK_FILL_FRACTION = 0.75;
-
-  /** What a machine takes of a block at most, with names and numbers of usual length. */
-  private static final int MAX_MACHINE_CHARS = 110;
-
-  /** Blocks in one transaction, which keeps it below the protocol's 64 KiB. */
-  private static final int MAX_BLOCKS_PER_TRANSACTION = 6;
-
-  /** Changes that wait; beyond that the caller is told no and comes back. */
+  /** Changes that may wait; beyond that the caller is refused and comes back. */
   private static final int MAX_PENDING_CHANGES = 2_000;
 
   private final StateStore store;
@@ -49,46 +45,17 @@
   private final ClusterRowsFollower rowsFollower;
   private final StateStoreLimits limits;
   private final OwnedEntity ownedEntity;
-  private final int machinesPerBlock;
-  private List<RecordChange> pendingChanges = new ArrayList<>();
   private final CoalescingTimer writeDebouncer;
+  private List<MachineRecordChange> pendingChanges = new ArrayList<>();
+
+  /** A transaction, or the listing that follows a refused one, is under way. */
   private boolean writeInProgress;
 
   /** The last transaction left changes for the next one. */
   private boolean transactionFull;
 
-  private enum ChangeKind {
-    /** A machine that no entity may have yet. */
-    ADD,
-    REWRITE,
-    REMOVE,
-    TRANSFER
-  }
-
-  private static final class RecordChange {
-    final ChangeKind kind;
-    final MachineRow row;
-    final EntityRow targetEntity;
-    final CompletableFuture<MachineRow> stored = new CompletableFuture<>();
-
-    RecordChange(ChangeKind kind, MachineRow row, EntityRow targetEntity) {
-      this.kind = kind;
-      this.row = row;
-      this.targetEntity = targetEntity;
-    }
-  }
-
-  /** The row has another owner, or the write was not made: nothing may rest on it. */
-  public static final class RecordChangeRefusedException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
-
-    RecordChangeRefusedException(String message) {
-      super(message, null, false, false);
-    }
-  }
-
   /** Creates the batched writer of one entity's machine records. */
-  public MachineRecords(
+  MachineRecords(
       EventLoop loop,
       StateStore store,
       ClusterView clusterView,
@@ -101,17 +68,20 @@
     this.rowsFollower = rowsFollower;
     this.limits = limits;
     this.ownedEntity = entity;
-    this.machinesPerBlock =
-        (int) Math.max(1, limits.maxValueBytes() * BLOCK_FILL_FRACTION / MAX_MACHINE_CHARS);
   }
 
-  /** Records a machine unless another entity has it; completes with its row once stored. */
+  /**
+   * Records a machine unless another entity has it.
+   *
+   * @return its row once stored; fails with {@link RecordChangeRefusedException}
+   */
   public CompletableFuture<MachineRow> add(MachineRow row) {
-    return enqueue(new RecordChange(ChangeKind.ADD, row, null));
+    return enqueue(MachineRecordChange.add(row));
   }
 
   /**
    * Records machines; completes once each of them is either this entity's or known to be another's.
+   * It never fails.
    */
   public CompletableFuture<Void> addAll(List<MachineRow> rows) {
     return CompletableFuture.allOf(
@@ -120,23 +90,36 @@
             .toArray(CompletableFuture[]::new));
   }
 
-  /** Rewrites a machine's record. */
+  /**
+   * Rewrites a machine's record.
+   *
+   * @return its row once stored; fails with {@link RecordChangeRefusedException}
+   */
   public CompletableFuture<MachineRow> rewrite(MachineRow former, MachineRow changed) {
     if (!former.isInBlock()) {
-      return writeSingleRow(ownedEntity.fencedTransaction(), former, changed);
+      return writeSingleRow(ownedEntity.fencedTransaction(), former, Optional.of(changed));
     }
-    return enqueue(new RecordChange(ChangeKind.REWRITE, changed, null));
+    return enqueue(MachineRecordChange.rewrite(changed));
   }
 
-  /** Removes the record of a machine that is gone. */
+  /**
+   * Removes the record of a machine that is gone.
+   *
+   * @return the row as it was, once removed; fails with {@link RecordChangeRefusedException}
+   */
   public CompletableFuture<MachineRow> remove(MachineRow row) {
     if (!row.isInBlock()) {
-      return writeSingleRow(ownedEntity.fencedTransaction(), row, null);
+      return writeSingleRow(ownedEntity.fencedTransaction(), row, Optional.empty());
     }
-    return enqueue(new RecordChange(ChangeKind.REMOVE, row, null));
+    return enqueue(MachineRecordChange.remove(row));
   }
 
-  /** Gives a machine to another entity, under the term that {@code transferred} names. */
+  /**
+   * Gives a machine to another entity, under the term that {@code transferred} names.
+   *
+   * @param targetEntity that entity's row: nothing is written if the entity has moved since
+   * @return the row once stored; fails with {@link RecordChangeRefusedException}
+   */
   public CompletableFuture<MachineRow> transfer(
       MachineRow former, MachineRow transferred, EntityRow targetEntity) {
     if (!former.isInBlock()) {
@@ -145,45 +128,40 @@
               .fencedTransaction()
               .ifRevision(StateSchema.entityKey(targetEntity.entity()), targetEntity.modRevision()),
           former,
-          transferred);
+          Optional.of(transferred));
     }
-    return enqueue(new RecordChange(ChangeKind.TRANSFER, transferred, targetEntity));
+    return enqueue(MachineRecordChange.transfer(transferred, targetEntity));
   }
 
+  /** Writes a machine's own row, or deletes it if {@code changed} is empty. */
   private CompletableFuture<MachineRow> writeSingleRow(
-      Transaction transaction, MachineRow former, MachineRow changed) {
+      Transaction transaction, MachineRow former, Optional<MachineRow> changed) {
     String key = StateSchema.machineKey(former.id());
     transaction.ifRevision(key, former.modRevision());
-    if (changed == null) {
-      transaction.delete(key);
-    } else {
-      transaction.put(key, StateSchema.encode(changed));
-    }
+    changed.ifPresentOrElse(
+        row -> transaction.put(key, StateSchema.encode(row)), () -> transaction.delete(key));
     return store
         .commit(transaction)
         .thenApply(
             outcome -> {
               if (!outcome.applied()) {
-                throw new RecordChangeRefusedException(former.id() + " has changed");
+                throw new RecordChangeRefusedException(former.id(), Reason.RECORD_CHANGED);
               }
               clusterView.apply(
                   new RowChange(
-                      key,
-                      changed == null ? null : StateSchema.encode(changed),
-                      outcome.revision()));
-              return changed == null ? former : changed.withModRevision(outcome.revision());
+                      key, changed.map(StateSchema::encode).orElse(null), outcome.revision()));
+              return changed.map(row -> row.withModRevision(outcome.revision())).orElse(former);
             });
   }
 
-  private CompletableFuture<MachineRow> enqueue(RecordChange change) {
+  private CompletableFuture<MachineRow> enqueue(MachineRecordChange change) {
     if (pendingChanges.size() >= MAX_PENDING_CHANGES) {
-      change.stored.completeExceptionally(
-          new RecordChangeRefusedException("too many changes wait"));
-      return change.stored;
+      change.refuse(Reason.OVERLOADED);
+      return change.stored();
     }
     pendingChanges.add(change);
     scheduleWrite(GATHER_SECONDS);
-    return change.stored;
+    return change.stored();
   }
 
   private void scheduleWrite(double delaySeconds) {
@@ -192,266 +170,147 @@
     }
   }
 
-  private boolean isEntityLost() {
-    return ownedEntity.phase() == OwnedEntity.Phase.LOST;
-  }
-
-  /** What one transaction is to write, worked out on the blocks as they are known. */
-  private final class ChangeBatch {
-    final Transaction transaction = ownedEntity.fencedTransaction();
-    final List<RecordChange> includedChanges = new ArrayList<>();
-    final Map<Integer, Map<MachineId, MachineRow>> changedBlocks = new LinkedHashMap<>();
-    final Map<Integer, MachineBlock> knownBlocks = clusterView.blocks(ownedEntity.id());
-    final Map<MachineId, MachineRow> transferredRows = new LinkedHashMap<>();
-    boolean addsMachines;
-
-    private int findBlockOf(MachineId id) {
-      for (var block : knownBlocks.entrySet()) {
-        if (rowsOfBlock(block.getKey()).containsKey(id)) {
-          return block.getKey();
-        }
-      }
-      for (var block : changedBlocks.entrySet()) {
-        if (block.getValue().containsKey(id)) {
-          return block.getKey();
-        }
-      }
-      return -1;
-    }
-
-    private Map<MachineId, MachineRow> rowsOfBlock(int block) {
-      Map<MachineId, MachineRow> rows = changedBlocks.get(block);
-      if (rows == null) {
-        MachineBlock knownBlock = knownBlocks.get(block);
-        rows = knownBlock == null ? Map.of() : knownBlock.rows();
-      }
-      return rows;
-    }
-
-    private Map<MachineId, MachineRow> editableRowsOfBlock(int block) {
-      return changedBlocks.computeIfAbsent(block, k -> new LinkedHashMap<>(rowsOfBlock(k)));
+  private void writePendingChanges() {
+    if (ownedEntity.phase() == OwnedEntity.Phase.LOST) {
+      refusePendingChanges();
+      return;
     }
+    writeInProgress = true;
+    BatchWrite write = new BatchWrite();
+    Futures.logFailure(
+        store.commitDeferred(write::draft).whenComplete(write::onOutcome), "write machine records");
+  }
 
-    private int findBlockWithSpace() {
-      int block = 0;
-      while (rowsOfBlock(block).size() >= machinesPerBlock) {
-        block++;
-      }
-      return block;
-    }
+  /** One transaction on its way. What it writes is worked out only when its turn has come. */
+  private final class BatchWrite {
+    private Optional<MachineRecordBatch> drafted = Optional.empty();
 
-    /** False if the transaction is full. */
-    boolean tryInclude(RecordChange change) {
-      int writeCount = changedBlocks.size() + transferredRows.size();
-      if (changedBlocks.size() >= MAX_BLOCKS_PER_TRANSACTION
-          || writeCount + 3 > limits.maxTransactionOperations()
-          || transaction.expectedRevisions().size() + MAX_BLOCKS_PER_TRANSACTION + 2
-              > 4 * limits.maxTransactionOperations()) {
-        return false;
-      }
-      MachineId id = change.row.id();
-      int block = findBlockOf(id);
-      switch (change.kind) {
-        case ADD -> {
-          int targetBlock = block >= 0 ? block : findBlockWithSpace();
-          editableRowsOfBlock(targetBlock).put(id, change.row.withBlock(targetBlock));
-          transaction.ifRevision(StateSchema.machineKey(id), 0);
-          addsMachines = true;
-        }
-        case REWRITE -> {
-          if (block < 0) {
-            return refuseChange(change, "is not this entity's any more");
-          }
-          editableRowsOfBlock(block).put(id, change.row.withBlock(block));
-        }
-        case REMOVE -> {
-          if (block >= 0) {
-            editableRowsOfBlock(block).remove(id);
-          }
-        }
-        case TRANSFER -> {
-          if (block < 0) {
-            return refuseChange(change, "is not this entity's any more");
-          }
-          editableRowsOfBlock(block).remove(id);
-          transferredRows.put(id, change.row);
-          transaction
-              .ifRevision(
-                  StateSchema.entityKey(change.targetEntity.entity()),
-                  change.targetEntity.modRevision())
-              .ifRevision(StateSchema.machineKey(id), 0)
-              .put(StateSchema.machineKey(id), StateSchema.encode(change.row));
-        }
-        default -> throw new IllegalStateException("unhandled kind of edit " + change.kind);
+    /** Null if there is nothing to write by then: the write fails. */
+    private Transaction draft() {
+      MachineRecordBatch batch = draftBatch();
+      if (batch.isEmpty()) {
+        return null;
       }
-      includedChanges.add(change);
-      return true;
+      drafted = Optional.of(batch);
+      return batch.finishTransaction();
     }
 
-    private boolean refuseChange(RecordChange change, String reason) {
-      change.stored.completeExceptionally(
-          new RecordChangeRefusedException(change.row.id() + " " + reason));
-      return true;
-    }
-
-    Transaction finishTransaction() {
-      changedBlocks.forEach(
-          (number, rows) -> {
-            MachineBlock knownBlock = knownBlocks.get(number);
-            transaction
-                .ifRevision(
-                    StateSchema.blockKey(ownedEntity.id(), number),
-                    knownBlock == null ? 0 : knownBlock.modRevision())
-                .put(
-                    StateSchema.blockKey(ownedEntity.id(), number),
-                    StateSchema.encode(rows.values()));
-          });
-      if (addsMachines) {
-        // Nobody else has the machines: whatever any entity has recorded as new is known here.
-        transaction
-            .ifRevision(StateSchema.MACHINE_ADDITIONS_KEY, clusterView.machineAdditionsRevision())
-            .put(StateSchema.MACHINE_ADDITIONS_KEY, Cbor.newMap());
+    private void onOutcome(TransactionOutcome outcome, Throwable failure) {
+      writeInProgress = false;
+      if (drafted.isEmpty()) {
+        scheduleWrite(RETRY_SECONDS);
+      } else if (failure == null && outcome.applied()) {
+        onApplied(drafted.get(), outcome);
+        scheduleWrite(transactionFull ? 0 : GATHER_SECONDS);
+      } else {
+        onNotApplied(drafted.get(), outcome);
       }
-      return transaction;
     }
   }
 
-  private void writePendingChanges() {
-    if (isEntityLost()) {
-      failPendingChanges();
-      return;
-    }
-    writeInProgress = true;
-    ChangeBatch[] drafted = new ChangeBatch[1];
-    Futures.logFailure(
-        store
-            .commitDeferred(
-                () -> (drafted[0] = draftBatch()) == null ? null : drafted[0].finishTransaction())
-            .whenComplete(
-                (outcome, failure) -> {
-                  writeInProgress = false;
-                  if (drafted[0] == null) {
-                    scheduleWrite(RETRY_SECONDS);
-                  } else if (failure == null && outcome.applied()) {
-                    onApplied(drafted[0], outcome);
-                    scheduleWrite(transactionFull ? 0 : GATHER_SECONDS);
-                  } else {
-                    onRefused(drafted[0], outcome);
-                  }
-                }),
-        "write machine records");
+  private void refusePendingChanges() {
+    List<MachineRecordChange> refused = pendingChanges;
+    pendingChanges = new ArrayList<>();
+    refused.forEach(change -> change.refuse(Reason.ENTITY_LOST));
   }
 
-  /** Takes as many of the changes that wait as one transaction holds; null if there are none. */
-  private ChangeBatch draftBatch() {
-    ChangeBatch batch = new ChangeBatch();
-    List<RecordChange> remaining = new ArrayList<>();
+  /** Takes as many of the changes that wait as one transaction holds. */
+  private MachineRecordBatch draftBatch() {
+    MachineRecordBatch batch = new MachineRecordBatch(ownedEntity, clusterView, limits);
+    List<MachineRecordChange> remaining = new ArrayList<>();
     transactionFull = false;
-    for (RecordChange change : pendingChanges) {
-      if (change.kind == ChangeKind.ADD && refuseIfOwnedElsewhere(change)) {
+    for (MachineRecordChange change : pendingChanges) {
+      if (change.kind() == MachineRecordChange.Kind.ADD && isOwnedElsewhere(change.machine())) {
+        change.refuse(Reason.OWNED_ELSEWHERE);
         continue;
       }
-      transactionFull = transactionFull || !batch.tryInclude(change);
+      transactionFull = transactionFull || batch.isFull();
       if (transactionFull) {
         remaining.add(change);
+      } else if (!batch.include(change)) {
+        change.refuse(Reason.OWNED_ELSEWHERE);
       }
     }
     pendingChanges = remaining;
-    return batch.includedChanges.isEmpty() ? null : batch;
+    return batch;
   }
 
-  /** A machine that another entity has by now is not recorded twice. */
-  private boolean refuseIfOwnedElsewhere(RecordChange change) {
-    MachineRow known = clusterView.findMachineRow(change.row.id());
-    if (known == null || (known.entity().equals(ownedEntity.id()) && known.isInBlock())) {
-      return false;
-    }
-    change.stored.completeExceptionally(
-        new RecordChangeRefusedException(change.row.id() + " is " + known.entity() + "'s"));
-    return true;
+  /** Whether the machine has a record outside this entity's blocks: it is not recorded twice. */
+  private boolean isOwnedElsewhere(MachineId id) {
+    MachineRow known = clusterView.findMachineRow(id);
+    return known != null && !(known.entity().equals(ownedEntity.id()) && known.isInBlock());
   }
 
-  private void onApplied(ChangeBatch batch, TransactionOutcome outcome) {
-    long revision = outcome.revision();
-    batch.changedBlocks.forEach(
-        (number, rows) ->
-            clusterView.apply(
-                new RowChange(
-                    StateSchema.blockKey(ownedEntity.id(), number),
-                    StateSchema.encode(rows.values()),
-                    revision)));
-    batch.transferredRows.forEach(
-        (id, row) ->
-            clusterView.apply(
-                new RowChange(StateSchema.machineKey(id), StateSchema.encode(row), revision)));
-    for (RecordChange change : batch.includedChanges) {
-      MachineRow current = clusterView.findMachineRow(change.row.id());
-      change.stored.complete(current == null ? change.row : current);
+  private void onApplied(MachineRecordBatch batch, TransactionOutcome outcome) {
+    batch.applyToView(outcome.revision());
+    for (MachineRecordChange change : batch.includedChanges()) {
+      MachineRow current = clusterView.findMachineRow(change.machine());
+      change.complete(current == null ? change.row() : current);
     }
   }
 
   /**
-   * Somebody else has recorded machines meanwhile, an earlier try that seemed lost was applied, or
-   * the entity has moved: what is still to be done is worked out afresh on a newer view.
+   * Another entity has recorded machines meanwhile, an earlier try that seemed lost was applied, or
+   * an entity has moved: what is still to be done is worked out afresh on a newer view.
+   *
+   * @param outcome null if the transaction failed otherwise than by its conditions
    */
-  private void onRefused(ChangeBatch batch, TransactionOutcome outcome) {
+  private void onNotApplied(MachineRecordBatch batch, TransactionOutcome outcome) {
     Set<String> failedKeys = outcome == null ? Set.of() : outcome.failedKeys();
-    List<RecordChange> retried = new ArrayList<>();
     boolean entityMoved = failedKeys.contains(StateSchema.entityKey(ownedEntity.id()));
-    for (RecordChange change : batch.includedChanges) {
+    requeue(batch, failedKeys, entityMoved);
+    boolean singleRowChanged =
+        failedKeys.stream().anyMatch(key -> key.startsWith(StateSchema.MACHINE_PREFIX));
+    if (entityMoved || batch.writesAnyBlockOf(failedKeys) || singleRowChanged || outcome == null) {
+      retryOnNewListing();
+    } else {
+      // The watch brings in a moment what the others have recorded.
+      scheduleWrite(RETRY_SECONDS);
+    }
+  }
+
+  /** Puts the batch's changes back before those that wait, except those that cannot succeed. */
+  private void requeue(MachineRecordBatch batch, Set<String> failedKeys, boolean entityMoved) {
+    List<MachineRecordChange> retried = new ArrayList<>();
+    for (MachineRecordChange change : batch.includedChanges()) {
       boolean targetMoved =
-          change.targetEntity != null
-              && failedKeys.contains(StateSchema.entityKey(change.targetEntity.entity()));
+          change
+              .targetEntity()
+              .filter(target -> failedKeys.contains(StateSchema.entityKey(target.entity())))
+              .isPresent();
       if (entityMoved || targetMoved) {
-        change.stored.completeExceptionally(
-            new RecordChangeRefusedException("an entity has moved"));
+        change.refuse(Reason.ENTITY_MOVED);
       } else {
         retried.add(change);
       }
     }
     retried.addAll(pendingChanges);
     pendingChanges = retried;
-    boolean ownBlockChanged =
-        batch.changedBlocks.keySet().stream()
-            .anyMatch(k -> failedKeys.contains(StateSchema.blockKey(ownedEntity.id(), k)));
-    boolean singleRowChanged =
-        failedKeys.stream().anyMatch(key -> key.startsWith(StateSchema.MACHINE_PREFIX));
-    if (entityMoved || ownBlockChanged || singleRowChanged || outcome == null) {
-      writeInProgress = true;
-      rowsFollower.relistThen(
-          () -> {
-            writeInProgress = false;
-            completeAppliedTransfers();
-            scheduleWrite(RETRY_SECONDS);
-          });
-    } else {
-      // The watch brings in a moment what the others have recorded.
-      scheduleWrite(RETRY_SECONDS);
-    }
   }
 
-  /** Passes that an earlier try has made, by the newest view. */
+  private void retryOnNewListing() {
+    writeInProgress = true;
+    rowsFollower.relistThen(
+        () -> {
+          writeInProgress = false;
+          completeAppliedTransfers();
+          scheduleWrite(RETRY_SECONDS);
+        });
+  }
+
+  /** Completes the transfers that an earlier try has made, by the newest view. */
   private void completeAppliedTransfers() {
-    List<RecordChange> remaining = new ArrayList<>();
-    for (RecordChange change : pendingChanges) {
-      MachineRow known = clusterView.findMachineRow(change.row.id());
-      if (change.kind == ChangeKind.TRANSFER
+    List<MachineRecordChange> remaining = new ArrayList<>();
+    for (MachineRecordChange change : pendingChanges) {
+      MachineRow known = clusterView.findMachineRow(change.machine());
+      if (change.kind() == MachineRecordChange.Kind.TRANSFER
           && known != null
-          && known.entity().equals(change.row.entity())) {
-        change.stored.complete(known);
+          && known.entity().equals(change.row().entity())) {
+        change.complete(known);
       } else {
         remaining.add(change);
       }
     }
     pendingChanges = remaining;
   }
-
-  private void failPendingChanges() {
-    List<RecordChange> failed = pendingChanges;
-    pendingChanges = new ArrayList<>();
-    failed.forEach(
-        e ->
-            e.stored.completeExceptionally(
-                new RecordChangeRefusedException("the entity is held no more")));
-  }
 }
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -15,13 +15,30 @@
 import io.violetrail.scheduling.TaskPlacement;
 import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.Collections;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** An entity while this controller owns it: its jobs and machines as known here. */
+/**
+ * An entity while this controller owns it: its jobs, machines and placements as known here.
+ *
+ * <p>Its life begins with the transaction by which it came here and goes through the {@link Phase}s
+ * in their order; a handover that is refused leads back to {@code ACTIVE}. An entity that comes
+ * here once more is a new object with a new row. These always hold:
+ *
+ * <ul>
+ *   <li>The row never changes, so its version stands in every fencing token, and its revision in
+ *       every {@link #fencedTransaction}: no write of an object that is out of date is applied.
+ *   <li>The phase says what may be decided, not whether this controller is entitled to it: that is
+ *       the lease's business, and both must be asked.
+ *   <li>A placement is known to its job and its machine alike, and is counted once against its
+ *       team's limit from {@link #addPlacement} to {@link #removePlacement}.
+ * </ul>
+ *
+ * <p>Used on the event loop's thread. Nothing of it survives a crash: the next owner reads the
+ * stored rows and learns the rest from the workers' heartbeats.
+ */
 public final class OwnedEntity {
-  /** From the move's transaction to the next one. */
+  /** How far it is between the move to this controller and the next one. */
   public enum Phase {
     /** Its rows are being read; nothing is decided for it. */
     LOADING,
@@ -33,6 +50,9 @@
     LOST
   }
 
+  /** Above any number of attempts that an owner starts under one version. */
+  private static final long MAX_ATTEMPTS_PER_VERSION = 1_000_000;
+
   private final EntityRow row;
   private final boolean acquiredGracefully;
   private final double acquiredAtSeconds;
@@ -42,16 +62,12 @@
   private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
   private final Map<MachineId, Machine> machinesView = Collections.unmodifiableMap(machines);
 
-  /** What each team's placed tasks take, kept up to date instead of summed up for each decision. */
-  private final Map<String, Usage> usageByTeam = new HashMap<>();
-
-  /** How many tasks of each priority are placed, so that none is looked for in vain. */
-  private final int[] placedCountByPriority = new int[Priority.values().length];
+  private final PlacementUsage placementUsage = new PlacementUsage();
 
-  /** Whether each of its machines has reported since the move, or is known to hold nothing. */
+  /** Whether each of its machines has reported since the move, or is known to have no tasks. */
   private boolean machinesReconciled;
 
-  /** Where its machines are recorded. */
+  /** The writer of its machines' records; set once, right after construction. */
   private MachineRecords machineRecords;
 
   private long attemptCount;
@@ -60,8 +76,10 @@
   /**
    * Creates the state of an entity that this controller owns from now on.
    *
+   * @param row the row under which it is owned here
    * @param acquiredGracefully whether the previous owner released the entity itself
    * @param nowSeconds steady clock reading, in seconds
+   * @throws IllegalArgumentException if the row's version is no fencing token
    */
   public OwnedEntity(EntityRow row, boolean acquiredGracefully, double nowSeconds) {
     row.version().requireToken();
@@ -75,7 +93,10 @@
     return row;
   }
 
-  /** Whether it was handed over by its former owner, or had none, rather than seized. */
+  /**
+   * Whether its former owner handed it over, or there was none. Otherwise it was taken over after
+   * lease expiry, and that owner may still keep workers' leases alive for the grace period.
+   */
   public boolean acquiredGracefully() {
     return acquiredGracefully;
   }
@@ -85,50 +106,67 @@
     return acquiredAtSeconds;
   }
 
-  /** Where it is between the move to this controller and the next one. */
+  /** How far it is between the move to this controller and the next one. */
   public Phase phase() {
     return phase;
   }
 
-  /** Its rows were read: it is led from here. */
+  /** Whether decisions are made for it here, as far as the lease allows. */
+  public boolean isActive() {
+    return phase == Phase.ACTIVE;
+  }
+
+  /**
+   * Its rows were read: it is led from here.
+   *
+   * @throws IllegalStateException unless its rows were being read
+   */
   public void activate() {
-    if (phase != Phase.LOADING) {
-      throw new IllegalStateException("entity " + id() + " is " + phase);
-    }
+    requirePhase(Phase.LOADING);
     phase = Phase.ACTIVE;
   }
 
-  /** It is being handed over. */
+  /** Its handover begins. */
   void startRelease() {
+    requirePhase(Phase.ACTIVE);
     phase = Phase.RELEASING;
   }
 
-  /** It was not handed over after all. */
+  /**
+   * Its handover was refused, though its row had not changed. This does not check the phase: the
+   * entity may have been given up meanwhile, and then is no longer among the owned ones.
+   */
   void releaseFailed() {
     phase = Phase.ACTIVE;
   }
 
-  /** Another controller owns it, or may. */
+  /** Another controller owns it, or may; possible in every phase. */
   void markLost() {
     phase = Phase.LOST;
   }
 
+  private void requirePhase(Phase required) {
+    if (phase != required) {
+      throw new IllegalStateException("entity " + id() + " is " + phase + ", not " + required);
+    }
+  }
+
   /** Its open jobs; not to be changed. */
   public Map<JobId, Job> jobs() {
     return jobsView;
   }
 
-  /** Takes up an open job. */
+  /** Adds an open job. */
   public void addJob(Job job) {
     jobs.put(job.spec().id(), job);
   }
 
-  /** Takes up an open job unless it is here already. */
+  /** Adds an open job unless it is here already. */
   public void addJobIfAbsent(Job job) {
     jobs.putIfAbsent(job.spec().id(), job);
   }
 
-  /** Lets go of a job that is over. */
+  /** Removes a job that is over. */
   public void removeJob(Job job) {
     jobs.remove(job.spec().id(), job);
   }
@@ -138,50 +176,46 @@
     return machinesView;
   }
 
-  /** Takes up a machine. */
+  /** Adds a machine. */
   public void addMachine(Machine machine) {
     machines.put(machine.id(), machine);
   }
 
-  /** Lets go of a machine that has left the entity. */
+  /** Removes a machine that has left the entity. */
   public void removeMachine(Machine machine) {
     machines.remove(machine.id(), machine);
   }
 
-  /** Lets go of all machines. */
+  /** Removes all machines. */
   public void removeAllMachines() {
     machines.clear();
   }
 
-  /** Whether each of its machines has reported since the move, or is known to hold nothing. */
+  /** Whether each of its machines has reported since the move, or is known to have no tasks. */
   public boolean machinesReconciled() {
     return machinesReconciled;
   }
 
-  /** Each of its machines has reported since the move, or is known to hold nothing. */
-  public void markRecovered() {
+  /** Each of its machines has reported since the move, or is known to have no tasks. */
+  public void markMachinesReconciled() {
     machinesReconciled = true;
   }
 
-  /** Where its machines are recorded. */
+  /** The writer of its machines' records. */
   public MachineRecords machineRecords() {
     return machineRecords;
   }
 
-  /** Connects it with the records of its machines, once. */
+  /** Connects it with the writer of its machines' records, which needs this object itself. */
   void setMachineRecords(MachineRecords records) {
     machineRecords = records;
   }
 
-  /** The entity's name, which is that of its home controller. */
+  /** The entity's id, which is that of its home controller. */
   public ControllerId id() {
     return row.entity();
   }
 
-  public boolean isActive() {
-    return phase == Phase.ACTIVE;
-  }
-
   /** The fencing token for a machine's worker. */
   public Version fencingTokenFor(Machine machine) {
     return fencingToken(machine.row());
@@ -197,17 +231,17 @@
     return new Transaction().ifRevision(StateSchema.entityKey(id()), row.modRevision());
   }
 
-  /** Never given before by any owner: the version leads. */
+  /** An attempt number that no owner has used before: it begins with the version. */
   public long nextAttemptId() {
-    return row.version().value() * 1_000_000 + ++attemptCount;
+    return row.version().value() * MAX_ATTEMPTS_PER_VERSION + ++attemptCount;
   }
 
-  /** Never given before by any owner. */
+  /** A name that no owner has used before for a scale-out request. */
   public String nextScaleOutRequestId() {
     return id() + "-" + row.version() + "-" + ++scaleOutRequestCount;
   }
 
-  /** Whether some machine may hold tasks that this controller does not know of. */
+  /** Whether some machine may have tasks that this controller does not know of. */
   public boolean hasUncertainMachine(double nowSeconds) {
     for (Machine machine : machines.values()) {
       if (machine.mayHoldUnreportedTasks(nowSeconds)) {
@@ -217,16 +251,18 @@
     return false;
   }
 
-  /** What a team's tasks may be using, silent machines counted in full. */
+  /**
+   * What a team's tasks may be using at most. Unknown tasks, and machines that may have tasks that
+   * were not reported, count in full for every team: nobody can say whose tasks those are.
+   */
   public Resources usageOf(String team, double nowSeconds) {
-    Usage teamUsage = usageByTeam.get(team);
-    Resources total = teamUsage == null ? Resources.NONE : teamUsage.amounts;
+    Resources total = placementUsage.usageOf(team);
     for (Machine machine : machines.values()) {
       if (machine.mayHoldUnreportedTasks(nowSeconds)) {
         total = total.plus(machine.type().capacity());
       }
-      for (Resources strayAmounts : machine.unknownTasks().values()) {
-        total = total.plus(strayAmounts);
+      for (Resources unknownTaskResources : machine.unknownTasks().values()) {
+        total = total.plus(unknownTaskResources);
       }
     }
     return total;
@@ -234,12 +270,7 @@
 
   /** Whether any task of a lower priority is placed. */
   public boolean hasPlacedTaskBelow(Priority priority) {
-    for (int ordinal = priority.ordinal() + 1; ordinal < placedCountByPriority.length; ordinal++) {
-      if (placedCountByPriority[ordinal] > 0) {
-        return true;
-      }
-    }
-    return false;
+    return placementUsage.hasTaskBelow(priority);
   }
 
   /**
@@ -253,63 +284,55 @@
     }
     TaskPlacement former = placement.job().findPlacement(placement.taskIndex());
     if (former != null) {
-      // Seen on another machine than was thought: the older belief no longer counts for the job.
-      updateUsage(former, -1);
+      // Reported by another machine than was assumed: the older placement no longer counts.
+      placementUsage.subtract(former);
     }
     placement.job().addPlacement(placement);
     placement.machine().addPlacement(placement);
-    updateUsage(placement, 1);
-  }
-
-  private void updateUsage(TaskPlacement placement, int delta) {
-    if (placement.countedAsUsed() == delta > 0) {
-      return;
-    }
-    placement.setCounted(delta > 0);
-    placedCountByPriority[placement.job().spec().priority().ordinal()] += delta;
-    Usage teamUsage =
-        usageByTeam.computeIfAbsent(placement.job().spec().team(), team -> new Usage());
-    teamUsage.taskCount += delta;
-    // Nothing placed is exactly nothing: rounding does not pile up.
-    teamUsage.amounts =
-        teamUsage.taskCount == 0
-            ? Resources.NONE
-            : teamUsage.amounts.plus(placement.job().spec().taskResources().times(delta));
-  }
-
-  private static final class Usage {
-    Resources amounts = Resources.NONE;
-    int taskCount;
+    placementUsage.add(placement);
   }
 
-  /** Takes a placement away, on evidence that the task is gone. */
+  /**
+   * Removes a placement, on evidence that the task is gone. The job keeps a record of the departure
+   * unless the task was never sent or its end no longer matters.
+   */
   public void removePlacement(
       TaskPlacement placement, double nowSeconds, TerminationEvidence evidence) {
-    updateUsage(placement, -1);
+    placementUsage.subtract(placement);
+    Job job = placement.job();
     if (evidence != TerminationEvidence.NEVER_SENT
-        && placement.job().phase() == Job.Phase.OPEN
-        && !placement.job().isDone(placement.taskIndex())) {
-      placement
-          .job()
-          .recordDeparture(
-              placement.taskIndex(),
-              new TaskDeparture(
-                  placement.machine().id(),
-                  placement.attempt(),
-                  evidence,
-                  nowSeconds,
-                  placement.machine().lastAnsweredAtSeconds()));
+        && job.phase() == Job.Phase.OPEN
+        && !job.isDone(placement.taskIndex())) {
+      job.recordDeparture(placement.taskIndex(), departureOf(placement, nowSeconds, evidence));
     }
-    placement.job().removePlacement(placement);
-    boolean wasSpare = placement.machine().hasOnlyBestEffortTasks();
-    placement.machine().removePlacement(placement);
-    // Spare work does not keep an ordinary machine rented: its idleness began before.
-    if ((!wasSpare && placement.machine().hasOnlyBestEffortTasks())
-        || (placement.machine().isEmpty() && placement.machine().row().spot())) {
-      placement.machine().becameIdle(nowSeconds);
+    job.removePlacement(placement);
+    removeFromMachine(placement, nowSeconds);
+    if (job.phase() == Job.Phase.FINISHED && job.hasNoPlacements()) {
+      removeJob(job);
     }
-    if (placement.job().phase() == Job.Phase.FINISHED && placement.job().hasNoPlacements()) {
-      removeJob(placement.job());
+  }
+
+  private static TaskDeparture departureOf(
+      TaskPlacement placement, double nowSeconds, TerminationEvidence evidence) {
+    return new TaskDeparture(
+        placement.machine().id(),
+        placement.attempt(),
+        evidence,
+        nowSeconds,
+        placement.machine().lastAnsweredAtSeconds());
+  }
+
+  /**
+   * Best-effort work does not keep an ordinary machine rented: its idle time begins when the last
+   * task of another kind leaves. A spot machine's begins when it is empty.
+   */
+  private static void removeFromMachine(TaskPlacement placement, double nowSeconds) {
+    Machine machine = placement.machine();
+    boolean hadOnlyBestEffortTasks = machine.hasOnlyBestEffortTasks();
+    machine.removePlacement(placement);
+    if ((!hadOnlyBestEffortTasks && machine.hasOnlyBestEffortTasks())
+        || (machine.isEmpty() && machine.row().spot())) {
+      machine.becameIdle(nowSeconds);
     }
   }
 }
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -77,7 +77,7 @@
     if (entity.machinesReconciled() || entity.hasUncertainMachine(now)) {
       return;
     }
-    entity.markRecovered();
+    entity.markMachinesReconciled();
     LOG.info(
         "entity {} version {}: {} s after the move all of {} machines have reported or hold"
             + " nothing; what no report shows may start",
