--- a/src/main/java/io/violetrail/api/JobRestorer.java
+++ b/src/main/java/io/violetrail/api/JobRestorer.java
@@ -41,14 +41,14 @@
   }
 
   /** Reads which of the jobs in an entity's open-job segments have not ended. */
-  public CompletableFuture<List<JobStore.StoredJob>> loadOpenJobs(
+  public CompletableFuture<List<StoredJob>> loadOpenJobs(
       OwnedEntity entity, List<Entry> openSegmentRows) {
     return stores.resetJobStore(entity).load(openSegmentRows);
   }
 
   /** Adds the open jobs to an entity that has just become active, with their stored progress. */
   public void restore(
-      OwnedEntity entity, List<JobStore.StoredJob> openJobs, List<Entry> progressRows) {
+      OwnedEntity entity, List<StoredJob> openJobs, List<Entry> progressRows) {
     openJobs.forEach(stored -> restoreJob(entity, stored));
     stores.progressStoreOf(entity).restore(progressRows);
     List.copyOf(entity.jobs().values()).forEach(job -> jobLifecycle.handleProgress(entity, job));
@@ -56,7 +56,7 @@
 
   /** Adds a job of the entity that is stored as open, unless it is open here already. */
   void restoreIfMissing(OwnedEntity entity, JobId id) {
-    JobStore.StoredJob stored =
+    StoredJob stored =
         entity.isActive() && !entity.jobs().containsKey(id)
             ? stores.jobStoreOf(entity).findStoredJob(id)
             : null;
@@ -66,7 +66,7 @@
     }
   }
 
-  private void restoreJob(OwnedEntity entity, JobStore.StoredJob stored) {
+  private void restoreJob(OwnedEntity entity, StoredJob stored) {
     double ageSeconds = Math.max(0, loop.wallMillis() - stored.arrivedAtMillis()) / 1000.0;
     JobSpec spec = stored.spec();
     entity.addJob(
--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -338,7 +338,4 @@
   StoredJob findStoredJob(JobId id) {
     return openJobs.findStoredJob(id);
   }
-
-  /** An open job as it was stored. */
-  public record StoredJob(JobSpec spec, long arrivedAtMillis) {}
 }
--- a/src/main/java/io/violetrail/api/OpenJobIndex.java
+++ b/src/main/java/io/violetrail/api/OpenJobIndex.java
@@ -2,12 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import io.violetrail.api.JobStore.StoredJob;
 import io.violetrail.model.JobId;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.StateSchema;
-import io.violetrail.wire.Cbor;
 import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobMessages;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import java.util.ArrayList;
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -1,7 +1,7 @@
 package io.violetrail.controller;
 
 import io.violetrail.api.JobRestorer;
-import io.violetrail.api.JobStore;
+import io.violetrail.api.StoredJob;
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.ScaleOutRequests;
 import io.violetrail.net.EventLoop;
@@ -57,7 +57,7 @@
 
   /** The rows of one entity, as read after the move. */
   private record EntityRows(
-      List<JobStore.StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
+      List<StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
 
   /** Begins to read; the entity becomes active later, unless it is lost before. */
   void recover(OwnedEntity entity) {
@@ -122,7 +122,7 @@
                 ? leaseTiming.tasksGoneAfterReplySeconds()
                 : leaseTiming.tasksGoneAfterFailoverSeconds());
     double gone = Math.max(afterMove, now + leaseTiming.tasksGoneAfterReplySeconds());
-    // Handed on soon after a seizure: the owner that it was seized from may still be in its grace.
+    // Handed over soon after a failover: the owner before that may still be in its grace period.
     return Math.max(
         gone, now + leaseTiming.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
   }
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -226,7 +226,7 @@
    *
    * @param preemptionNoticeSeconds seconds until the provider preempts it; null without a notice
    */
-  public void recordStatus(Double preemptionNoticeSeconds) {
+  public void markReconciled(Double preemptionNoticeSeconds) {
     worker.recordStatus(preemptionNoticeSeconds);
   }
 
@@ -260,9 +260,12 @@
     return worker.lastHeartbeatAtSeconds();
   }
 
-  /** When its last heartbeat was answered. */
-  public double lastAnsweredAtSeconds() {
-    return worker.lastAnsweredAtSeconds();
+  /**
+   * The latest time at which a reply may have renewed its worker's lease, in seconds of the steady
+   * clock; when it joined the entity, before the first heartbeat.
+   */
+  public double latestRenewalAtSeconds() {
+    return worker.latestRenewalAtSeconds();
   }
 
   /** Seconds until the provider preempts it, as last reported; null if there is no notice. */
@@ -280,7 +283,10 @@
     worker.markUnresponsive();
   }
 
-  /** Its worker's lease has certainly expired, and with it its tasks and its session. */
+  /**
+   * Its worker's lease has certainly expired, and with it its session and its unknown tasks; the
+   * caller removes the placements.
+   */
   public void expireLease() {
     worker.expireLease();
     tasks.replaceUnknownTasks(Map.of());
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -133,7 +133,7 @@
           && machine.hasOnlyBestEffortTasks()
           && isTransferable(machine, request)) {
         tasksLeft -= taskSlots;
-        drainer.clearSpareWork(entity, machine);
+        drainer.clearBestEffortWork(entity, machine);
       }
     }
     return tasksLeft;
--- a/src/main/java/io/violetrail/fleet/WorkerStatus.java
+++ b/src/main/java/io/violetrail/fleet/WorkerStatus.java
@@ -24,7 +24,7 @@
   private double unreportedTasksGoneAtSeconds;
 
   private double lastHeartbeatAtSeconds;
-  private double lastAnsweredAtSeconds;
+  private double latestRenewalAtSeconds;
 
   /** Null while the provider has not announced a preemption. */
   private Double preemptionNoticeSeconds;
@@ -38,17 +38,17 @@
     this.tasksKnown = tasksKnown;
     this.unreportedTasksGoneAtSeconds = unreportedTasksGoneAtSeconds;
     this.lastHeartbeatAtSeconds = nowSeconds;
-    this.lastAnsweredAtSeconds = nowSeconds;
+    this.latestRenewalAtSeconds = nowSeconds;
   }
 
   void recordHeartbeat(HostPort workerEndpoint, double nowSeconds) {
     lastHeartbeatAtSeconds = nowSeconds;
-    lastAnsweredAtSeconds = nowSeconds;
+    latestRenewalAtSeconds = nowSeconds;
     endpoint = workerEndpoint;
   }
 
   void recordReply(double nowSeconds) {
-    lastAnsweredAtSeconds = nowSeconds;
+    latestRenewalAtSeconds = nowSeconds;
   }
 
   void recordNewestReport(long session, long sequence) {
@@ -111,8 +111,8 @@
     return lastHeartbeatAtSeconds;
   }
 
-  double lastAnsweredAtSeconds() {
-    return lastAnsweredAtSeconds;
+  double latestRenewalAtSeconds() {
+    return latestRenewalAtSeconds;
   }
 
   Double preemptionNoticeSeconds() {
--- a/src/main/java/io/violetrail/ownership/EntityFailover.java
+++ b/src/main/java/io/violetrail/ownership/EntityFailover.java
@@ -19,8 +19,8 @@
  * has moved, takes up what was handed over, takes over what belonged to a controller whose lease
  * has expired, and asks for the home entity while another controller owns it.
  *
- * <p>An entity is taken over only by a transaction that demands the absence of the former owner's
- * liveness row. Survivors take turns by rank, so that they do not all try at once; that is for
+ * <p>An entity is taken over from another owner only by a transaction that demands the absence of
+ * that owner's liveness row. Survivors take turns by rank, so that they do not all try at once; that is for
  * economy, the transaction for correctness.
  *
  * <p>Called by {@link Membership} on the event loop's thread. What it remembers is lost in a crash
@@ -83,17 +83,20 @@
   void checkEntities() {
     for (EntityRow row : clusterView.entityRows()) {
       ControllerId owner = clusterView.findOwnerIn(row);
-      if (isOwnedHereAsOf(row, owner)) {
+      if (keepUnlessRowIsNewer(row, owner)) {
         continue;
       }
       if (owner != null && lease.isValid() && !movesInProgress.contains(row.entity())) {
-        checkUnowned(row, owner);
+        checkNotOwnedHere(row, owner);
       }
     }
   }
 
-  /** Gives the entity up if the row is newer than the one under which it is owned here. */
-  private boolean isOwnedHereAsOf(EntityRow row, ControllerId owner) {
+  /**
+   * Whether the entity is owned here under that row; gives it up if the row is newer than the one
+   * under which it is owned here.
+   */
+  private boolean keepUnlessRowIsNewer(EntityRow row, ControllerId owner) {
     OwnedEntity ownedEntity = ownedEntities.find(row.entity());
     if (ownedEntity == null) {
       return false;
@@ -105,16 +108,16 @@
     return false;
   }
 
-  private void checkUnowned(EntityRow row, ControllerId owner) {
+  private void checkNotOwnedHere(EntityRow row, ControllerId owner) {
     if (owner.equals(settings.self())) {
-      takeUp(row);
+      resumeOwnership(row);
     } else if (clusterView.isAlive(owner)) {
       ownerAbsentSinceSeconds.remove(owner);
       if (row.entity().equals(settings.self())) {
         requestHandback(owner);
       }
     } else if (isTurnToTakeOver(owner)) {
-      takeOver(row, false, owner);
+      moveHere(row, false, owner);
     }
   }
 
@@ -123,11 +126,11 @@
    * of this controller may have commanded its workers under that version, and a program of before
    * may have written a version that is no fencing token: then it moves on to a new version.
    */
-  private void takeUp(EntityRow row) {
+  private void resumeOwnership(EntityRow row) {
     if (row.acquiredGracefully() && row.version().isToken()) {
       ownedEntities.startOwning(row, true);
     } else {
-      takeOver(row, row.acquiredGracefully(), settings.self());
+      moveHere(row, row.acquiredGracefully(), settings.self());
     }
   }
 
@@ -171,7 +174,7 @@
    * @param gracefully whether its former owner has handed it over; otherwise it is a failover
    * @param formerOwner the owner that the row names, maybe this controller itself
    */
-  private void takeOver(EntityRow row, boolean gracefully, ControllerId formerOwner) {
+  private void moveHere(EntityRow row, boolean gracefully, ControllerId formerOwner) {
     movesInProgress.add(row.entity());
     ControllerId self = settings.self();
     EntityRow nextRow = succession.nextRow(row, self, gracefully, !gracefully);
--- a/src/main/java/io/violetrail/ownership/LeaseTiming.java
+++ b/src/main/java/io/violetrail/ownership/LeaseTiming.java
@@ -6,20 +6,21 @@
 /**
  * The intervals that ownership rests on, all derived from the platform's settings.
  *
- * <p>That no task outlives a cancellation rests on three of them. An owner that knows its entity's
- * jobs renews a worker's lease only by an answer that also halts whatever of the worker's report is
- * over; worker and lease take both or neither. What it cannot know was confirmed by a later owner,
- * so after its own lease: {@code keepAliveGraceSeconds} ends early enough before {@code cancel_s}.
- * What it does not know yet, since it is still reading its entity's rows, was confirmed by a former
- * owner, at most a worker's lease before the move (a worker that was renewed since was told to
- * halt): {@code unknowingS} bounds how long it may renew meanwhile, counted over a chain of such
- * owners.
+ * <p>No task outlives a cancellation, in three cases. An owner that knows its entity's jobs renews
+ * a worker's lease only by a reply that also stops what the report shows of jobs that are over; the
+ * worker takes both or neither. A cancellation that this owner cannot know was confirmed by a later
+ * owner, so after its own lease: {@code keepAliveGraceSeconds} ends early enough before {@code
+ * cancel_s}. A cancellation that it does not know yet, since it is still reading its entity's rows,
+ * was confirmed by a former owner, at most a worker's lease before the move (a worker whose lease
+ * was renewed since was told to stop): {@code renewalWhileLoadingSeconds} bounds how long leases
+ * may be renewed meanwhile, counted over a chain of such owners.
  *
  * @param ttlSeconds a controller's lease: short enough that a survivor answers a dead controller's
  *     workers before their own leases end
  * @param renewIntervalSeconds between renewals
  * @param safetyMarginSeconds taken off the lease for drift and slow timers
- * @param keepAliveGraceSeconds how long an owner in doubt may keep its workers' leases alive
+ * @param keepAliveGraceSeconds how long an owner whose lease is uncertain may renew its
+ *     workers' leases
  * @param tasksGoneAfterReplySeconds after the last answer to a worker, all of its tasks are surely
  *     gone
  * @param renewalWhileLoadingSeconds how long after a move workers' leases may be renewed by owners
@@ -34,7 +35,7 @@
     double tasksGoneAfterReplySeconds,
     double renewalWhileLoadingSeconds,
     double maxClockSkewSeconds) {
-  /** Twice the drift that the protocol allows two steady clocks, 0.05 % each. */
+  /** Four times the 0.05 % by which the protocol lets two steady clocks drift apart. */
   private static final double MAX_CLOCK_DRIFT = 0.002;
 
   /**
@@ -50,8 +51,8 @@
     double marginSeconds = Math.min(0.5, ttlSeconds * 0.1) + ttlSeconds * MAX_CLOCK_DRIFT;
     double goneAfterReplySeconds = workers.leaseSeconds() * (1 + MAX_CLOCK_DRIFT) + 0.5;
     double clockSkewSeconds = 2 * settings.clockErrorBoundSeconds();
-    // A successor may tell a user "cancelled" at the very moment of the lapse: the workers that the
-    // old owner keeps must end before cancel_s even so.
+    // The next owner may confirm a cancellation as soon as this lease has expired: the workers that
+    // the former owner still renews must be without leases before cancel_s even so.
     double graceSeconds =
         Math.min(
             (workers.cancelTimeoutSeconds() - workers.leaseSeconds()) * 0.85 - 1.5,
@@ -68,15 +69,15 @@
         clockSkewSeconds);
   }
 
-  /** After a seizure, how long until a machine that has not reported holds nothing. */
+  /** How long after a failover a machine that has not reported certainly has no tasks. */
   public double tasksGoneAfterFailoverSeconds() {
     return keepAliveGraceSeconds * (1 + MAX_CLOCK_DRIFT) + tasksGoneAfterReplySeconds;
   }
 
   /**
    * What a move at that time of day leaves to the next owner. Leases that were renewed without
-   * knowing what was over, by owners that were still reading or that were in their grace after the
-   * seizure, are themselves over a worker's lease after the last such renewal: then the count
+   * knowing what was over, by owners that were still reading or that were in their grace period after the
+   * failover, are themselves over a worker's lease after the last such renewal: then the count
    * begins anew.
    */
   public OwnershipHistory historyAfterMove(
@@ -99,7 +100,7 @@
 
   /**
    * From now until what a machine may have held for any former owner is gone, as far as that owner
-   * lost the entity by a seizure: one that was handed on since is still in its grace.
+   * lost the entity by a failover: after a handover since, it may still be in its grace period.
    */
   public double secondsUntilTasksGone(OwnershipHistory history, long nowMillis) {
     return (history.lastFailoverAtMillis() - nowMillis) / 1000.0
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -319,7 +319,7 @@
         placement.attempt(),
         evidence,
         nowSeconds,
-        placement.machine().lastAnsweredAtSeconds());
+        placement.machine().latestRenewalAtSeconds());
   }
 
   /**
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -82,7 +82,7 @@
   }
 
   /** Whether a peer hears workers. */
-  public CompletableFuture<Boolean> hears(ControllerId peer) {
+  public CompletableFuture<Boolean> receivesHeartbeats(ControllerId peer) {
     return call(peer, request(PeerRequestKind.HEARS, "", 0), TIMEOUT_SECONDS)
         .thenApply(PeerResponse::known);
   }
@@ -112,7 +112,7 @@
         "ask for the own entity back");
   }
 
-  /** Tells all peers what is owned here, so that a former owner in doubt stops at once. */
+  /** Tells all peers what is owned here, so that a former owner whose lease is uncertain stops at once. */
   public void announce(Collection<OwnedEntity> entities) {
     entities.forEach(this::announce);
   }
@@ -128,7 +128,7 @@
             peer -> Futures.logFailure(call(peer, moved, TIMEOUT_SECONDS), "announce an entity"));
   }
 
-  /** Asks all peers for machines or slices that an entity owned here lacks. */
+  /** Asks all peers for machines or quota shares that an entity owned here lacks. */
   public void askFor(ControllerId entity, List<ResourceRequest> requests) {
     callAllAlive(
         new PeerRequest(
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -47,7 +47,7 @@
   }
 
   /** Stops best-effort work on a machine that others need, and bars it from there for a while. */
-  public void clearSpareWork(OwnedEntity entity, Machine machine) {
+  public void clearBestEffortWork(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
     if (nowSeconds < machine.bestEffortBarredUntilSeconds()) {
       return;
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -78,7 +78,7 @@
 
   private boolean isLeaseExpired(Machine machine, double nowSeconds) {
     return machine.tasksKnown()
-        ? nowSeconds - machine.lastAnsweredAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds()
+        ? nowSeconds - machine.latestRenewalAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds()
         : nowSeconds > machine.unreportedTasksGoneAtSeconds();
   }
 
@@ -104,7 +104,7 @@
             + " lease expires after {} s; has reported under this version: {}",
         machine.id(),
         machine.placements().size(),
-        tenths(nowSeconds - machine.lastAnsweredAtSeconds()),
+        tenths(nowSeconds - machine.latestRenewalAtSeconds()),
         tenths(leaseTiming.tasksGoneAfterReplySeconds()),
         machine.tasksKnown());
     machine.expireLease();
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -127,7 +127,10 @@
     return machinesWithRoom;
   }
 
-  /** Fills what has become free on a machine, for the reply to its heartbeat. */
+  /**
+   * Fills what has become free on a machine, for the reply to its heartbeat; a gang may get room on
+   * other machines as well. Only for an active entity, under a valid lease.
+   */
   public void fillMachine(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
     if (!machine.isSchedulable() || !configuration.isFresh()) {
@@ -265,7 +268,7 @@
           && binPacker.isSuitable(job, machine, nowSeconds)) {
         missingCount -= additionalCount;
         cleared = true;
-        drainer.clearSpareWork(entity, machine);
+        drainer.clearBestEffortWork(entity, machine);
       }
     }
     return cleared;
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -16,7 +16,8 @@
 
 /**
  * Puts conditional transactions that wait into as few requests as their limits allow, the lanes in
- * their order, and retries each until it is certain whether it was applied.
+ * their order, and retries each until it has a certain answer. A retry after a lost answer completes
+ * as not applied if the first try was applied: its caller looks at the rows, see StateStore.
  *
  * <p>Transactions that share a request stand or fall together only in that request: one whose
  * conditions do not hold completes as not applied, and the others are sent again without it.
@@ -30,8 +31,11 @@
   private static final double RETRY_SECONDS = 0.3;
   private static final double BUDGET_WAIT_SECONDS = 0.05;
 
-  /** Writes that a transaction must find in the budget; it may take more. */
-  private static final int NARROW_TRANSACTION_WRITES = 2;
+  /**
+   * A transaction is sent once the budget has this many writes, or its own number if that is lower,
+   * beyond what is reserved; what it takes beyond is a debt.
+   */
+  private static final int ADMISSION_WRITES = 2;
 
   /** Requests under way at the same time: one may be slow without holding up the next. */
   private static final int MAX_REQUESTS_IN_FLIGHT = 3;
@@ -135,7 +139,7 @@
       // find its whole need in the bucket would never go while submissions keep that low.
       double neededWrites =
           batch.writeCount()
-              + Math.min(pending.knownWriteCount(), NARROW_TRANSACTION_WRITES)
+              + Math.min(pending.knownWriteCount(), ADMISSION_WRITES)
               + reservedWrites;
       if (!budget.hasWrites(neededWrites, nowSeconds)
           || (pending.isSentAlone() && !batch.isEmpty())) {
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -45,8 +45,8 @@
    * lease runs on.
    *
    * @param token the fencing token under which the lease is renewed
-   * @param commands those beyond {@link #MAX_COMMANDS}, counted with the stops, are left to a later
-   *     reply
+   * @param commands those beyond {@link #MAX_COMMANDS}, counted with the stops, are left out; a
+   *     launch that is left out is taken for lost once the next report does not show it
    */
   HeartbeatReply renew(
       OwnedEntity entity, Version token, WorkerReport report, List<WorkerCommand> commands) {
@@ -68,13 +68,13 @@
   }
 
   /**
-   * Replies to a report of a session whose lease was taken for expired: its tasks may have started
+   * The reply to a report of a session whose lease was taken for expired: its tasks may have started
    * elsewhere. Either the report was delayed in the network and nobody waits for the reply, or
    * another controller has renewed the lease: then the reply that renews it stops all of its tasks.
    * A worker without tasks is left without renewal, so that its lease expires: the machine is used
    * again in a later session only.
    */
-  HeartbeatReply stopExpiredSession(OwnedEntity entity, Version token, WorkerReport report) {
+  HeartbeatReply answerExpiredSession(OwnedEntity entity, Version token, WorkerReport report) {
     if (!report.holdsTasks()) {
       return HeartbeatReply.withoutRenewal(report);
     }
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -82,7 +82,7 @@
       machines.markUp(entity, machine);
     }
     if (isOutdatedSession(machine, report)) {
-      return leaseRenewal.stopExpiredSession(entity, token, report);
+      return leaseRenewal.answerExpiredSession(entity, token, report);
     }
     if (report.fencingToken().compareTo(machine.acquiredVersion()) < 0) {
       return answerReportOfEarlierTerm(entity, machine, token, report);
@@ -127,7 +127,7 @@
     final boolean wasSchedulable = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
     machine.recordNewestReport(report.session(), report.sequence());
-    machine.recordStatus(report.spotNoticeSeconds());
+    machine.markReconciled(report.spotNoticeSeconds());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
--- a/src/main/java/io/violetrail/worker/PartitionHandover.java
+++ b/src/main/java/io/violetrail/worker/PartitionHandover.java
@@ -58,7 +58,7 @@
     ControllerId peer = candidates.remove(0);
     Futures.logFailure(
         peerClient
-            .hears(peer)
+            .receivesHeartbeats(peer)
             .whenComplete(
                 (receivesHeartbeats, failure) -> {
                   if (failure == null && receivesHeartbeats && stillPartitioned.getAsBoolean()) {
--- a/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
+++ b/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
@@ -93,7 +93,7 @@
             TYPE,
             new Version(10),
             0);
-    machine.recordStatus(null);
+    machine.markReconciled(null);
     ownedEntity.addMachine(machine);
     return machine;
   }
