--- a/src/main/java/io/violetrail/api/JobRestorer.java
+++ b/src/main/java/io/violetrail/api/JobRestorer.java
@@ -47,8 +47,7 @@
   }
 
   /** Adds the open jobs to an entity that has just become active, with their stored progress. */
-  public void restore(
-      OwnedEntity entity, List<StoredJob> openJobs, List<Entry> progressRows) {
+  public void restore(OwnedEntity entity, List<StoredJob> openJobs, List<Entry> progressRows) {
     openJobs.forEach(stored -> restoreJob(entity, stored));
     stores.progressStoreOf(entity).restore(progressRows);
     List.copyOf(entity.jobs().values()).forEach(job -> jobLifecycle.handleProgress(entity, job));
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -515,8 +515,8 @@
   }
 
   /**
-   * A former owner that the state service refuses learns of a failover from its peers alone, and one
-   * message may be lost: it is sent again until its grace period is over in any case.
+   * A former owner that the state service refuses learns of a failover from its peers alone, and
+   * one message may be lost: it is sent again until its grace period is over in any case.
    */
   private void announceSeizedEntities() {
     for (OwnedEntity entity : membership.ownedEntities()) {
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -56,8 +56,7 @@
   }
 
   /** The rows of one entity, as read after the move. */
-  private record EntityRows(
-      List<StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
+  private record EntityRows(List<StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
 
   /** Begins to read; the entity becomes active later, unless it is lost before. */
   void recover(OwnedEntity entity) {
--- a/src/main/java/io/violetrail/ownership/EntityFailover.java
+++ b/src/main/java/io/violetrail/ownership/EntityFailover.java
@@ -20,8 +20,8 @@
  * has expired, and asks for the home entity while another controller owns it.
  *
  * <p>An entity is taken over from another owner only by a transaction that demands the absence of
- * that owner's liveness row. Survivors take turns by rank, so that they do not all try at once; that is for
- * economy, the transaction for correctness.
+ * that owner's liveness row. Survivors take turns by rank, so that they do not all try at once;
+ * that is for economy, the transaction for correctness.
  *
  * <p>Called by {@link Membership} on the event loop's thread. What it remembers is lost in a crash
  * without harm.
--- a/src/main/java/io/violetrail/ownership/LeaseTiming.java
+++ b/src/main/java/io/violetrail/ownership/LeaseTiming.java
@@ -19,8 +19,8 @@
  *     workers before their own leases end
  * @param renewIntervalSeconds between renewals
  * @param safetyMarginSeconds taken off the lease for drift and slow timers
- * @param keepAliveGraceSeconds how long an owner whose lease is uncertain may renew its
- *     workers' leases
+ * @param keepAliveGraceSeconds how long an owner whose lease is uncertain may renew its workers'
+ *     leases
  * @param tasksGoneAfterReplySeconds after the last answer to a worker, all of its tasks are surely
  *     gone
  * @param renewalWhileLoadingSeconds how long after a move workers' leases may be renewed by owners
@@ -76,9 +76,9 @@
 
   /**
    * What a move at that time of day leaves to the next owner. Leases that were renewed without
-   * knowing what was over, by owners that were still reading or that were in their grace period after the
-   * failover, are themselves over a worker's lease after the last such renewal: then the count
-   * begins anew.
+   * knowing what was over, by owners that were still reading or that were in their grace period
+   * after the failover, are themselves over a worker's lease after the last such renewal: then the
+   * count begins anew.
    */
   public OwnershipHistory historyAfterMove(
       OwnershipHistory formerHistory, long nowMillis, boolean isFailover) {
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -112,7 +112,10 @@
         "ask for the own entity back");
   }
 
-  /** Tells all peers what is owned here, so that a former owner whose lease is uncertain stops at once. */
+  /**
+   * Tells all peers what is owned here, so that a former owner whose lease is uncertain stops at
+   * once.
+   */
   public void announce(Collection<OwnedEntity> entities) {
     entities.forEach(this::announce);
   }
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -16,8 +16,9 @@
 
 /**
  * Puts conditional transactions that wait into as few requests as their limits allow, the lanes in
- * their order, and retries each until it has a certain answer. A retry after a lost answer completes
- * as not applied if the first try was applied: its caller looks at the rows, see StateStore.
+ * their order, and retries each until it has a certain answer. A retry after a lost answer
+ * completes as not applied if the first try was applied: its caller looks at the rows, see
+ * StateStore.
  *
  * <p>Transactions that share a request stand or fall together only in that request: one whose
  * conditions do not hold completes as not applied, and the others are sent again without it.
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -68,11 +68,11 @@
   }
 
   /**
-   * The reply to a report of a session whose lease was taken for expired: its tasks may have started
-   * elsewhere. Either the report was delayed in the network and nobody waits for the reply, or
-   * another controller has renewed the lease: then the reply that renews it stops all of its tasks.
-   * A worker without tasks is left without renewal, so that its lease expires: the machine is used
-   * again in a later session only.
+   * The reply to a report of a session whose lease was taken for expired: its tasks may have
+   * started elsewhere. Either the report was delayed in the network and nobody waits for the reply,
+   * or another controller has renewed the lease: then the reply that renews it stops all of its
+   * tasks. A worker without tasks is left without renewal, so that its lease expires: the machine
+   * is used again in a later session only.
    */
   HeartbeatReply answerExpiredSession(OwnedEntity entity, Version token, WorkerReport report) {
     if (!report.holdsTasks()) {
