--- a/src/main/java/io/violetrail/api/Jobs.java
+++ b/src/main/java/io/violetrail/api/Jobs.java
@@ -11,6 +11,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Rounds;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -115,26 +116,28 @@
     boolean due = asked == null || now - asked > ASK_AGAIN_S;
     if (due && lookingUp.size() < 100 && lookingUp.add(id)) {
       askedS.put(id, (Double) now);
-      read(id, node.store::get)
-          .whenComplete(
-              (found, failure) -> {
-                lookingUp.remove(id);
-                if (failure != null) {
-                  return;
-                }
-                if (found.absent()
-                    || found.openAt() != null && !found.openAt().equals(holding.entity())) {
-                  LOG.info(
-                      "a worker of entity {} has a task of {}, which is not of this entity",
-                      holding.entity(),
-                      id);
-                  if (found.absent()) {
-                    terminal.put(id, new Known(null, holding.entity(), Amounts.NONE));
-                  }
-                } else if (found.openAt() != null) {
-                  reload(holding, id);
-                }
-              });
+      Futures.logFailure(
+          read(id, node.store::get)
+              .whenComplete(
+                  (found, failure) -> {
+                    lookingUp.remove(id);
+                    if (failure != null) {
+                      return;
+                    }
+                    if (found.absent()
+                        || (found.openAt() != null && !found.openAt().equals(holding.entity()))) {
+                      LOG.info(
+                          "a worker of entity {} has a task of {}, which is not of this entity",
+                          holding.entity(),
+                          id);
+                      if (found.absent()) {
+                        terminal.put(id, new Known(null, holding.entity(), Amounts.NONE));
+                      }
+                    } else if (found.openAt() != null) {
+                      reload(holding, id);
+                    }
+                  }),
+          "read a job's stored state");
     }
     return null;
   }
@@ -205,33 +208,35 @@
     CompletableFuture<Stored> result = new CompletableFuture<>();
     // An answer that never came leaves the outcome open; it is repeated until certain, so that no
     // job is stored without its owner knowing of it.
-    ledger(h)
-        .enter(spec, nowMs, with)
-        .whenComplete(
-            (stored, failure) -> {
-              if (failure != null) {
-                result.completeExceptionally(Unavailable.of(failure));
-              } else if (stored.fresh()) {
-                bound.put(spec.id(), h.entity());
-                // Also while the entity is being handed over: if that comes to nothing it stays
-                // here,
-                // and a job that was not taken up would never run.
-                if (h.phase != OwnedEntity.Phase.LOST) {
-                  h.jobs.putIfAbsent(spec.id(), job(spec, nowMs, nowS, false));
-                  node.fleet.spares.arrived(spec, nowS);
-                  node.dispatcher.changed(h);
-                }
-                LOG.info(
-                    "job {} accepted by entity {} version {}: {} tasks",
-                    spec.id(),
-                    h.entity(),
-                    h.row.version(),
-                    spec.tasks());
-                result.complete(stored);
-              } else {
-                result.complete(stored);
-              }
-            });
+    Futures.logFailure(
+        ledger(h)
+            .enter(spec, nowMs, with)
+            .whenComplete(
+                (stored, failure) -> {
+                  if (failure != null) {
+                    result.completeExceptionally(Unavailable.of(failure));
+                  } else if (stored.fresh()) {
+                    bound.put(spec.id(), h.entity());
+                    // Also while the entity is being handed over: if that comes to nothing it stays
+                    // here,
+                    // and a job that was not taken up would never run.
+                    if (h.phase != OwnedEntity.Phase.LOST) {
+                      h.jobs.putIfAbsent(spec.id(), job(spec, nowMs, nowS, false));
+                      node.fleet.spares.arrived(spec, nowS);
+                      node.dispatcher.changed(h);
+                    }
+                    LOG.info(
+                        "job {} accepted by entity {} version {}: {} tasks",
+                        spec.id(),
+                        h.entity(),
+                        h.row.version(),
+                        spec.tasks());
+                    result.complete(stored);
+                  } else {
+                    result.complete(stored);
+                  }
+                }),
+        "store a submitted job");
     return result;
   }
 
--- a/src/main/java/io/violetrail/api/Ledger.java
+++ b/src/main/java/io/violetrail/api/Ledger.java
@@ -10,6 +10,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Soon;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -132,7 +133,9 @@
     }
     Edit e = new Edit(spec.id(), spec, arrivedMs, null, with, node.loop.seconds());
     entering.put(e.id, e);
-    e.done.whenComplete((stored, failure) -> entering.remove(e.id, e));
+    Futures.logFailure(
+        e.done.whenComplete((stored, failure) -> entering.remove(e.id, e)),
+        "forget a stored submission");
     return add(e).thenApply(stored -> new Jobs.Stored(stored, e.companionTaken, e.revision));
   }
 
@@ -159,24 +162,26 @@
     }
     writing = true;
     Draft[] drawn = new Draft[1];
-    node.store
-        .settleLateForUser(() -> (drawn[0] = draft()) == null ? null : drawn[0].finish())
-        .whenComplete(
-            (outcome, failure) -> {
-              writing = false;
-              Draft draft = drawn[0];
-              if (draft == null) {
-                wake(AGAIN_S);
-              } else if (failure != null) {
-                draft.taken.forEach(e -> e.done.completeExceptionally(Unavailable.of(failure)));
-                wake(GATHER_S);
-              } else if (outcome.applied()) {
-                draft.applied(outcome.revision());
-                wake(GATHER_S);
-              } else {
-                refused(draft, outcome);
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .settleLateForUser(() -> (drawn[0] = draft()) == null ? null : drawn[0].finish())
+            .whenComplete(
+                (outcome, failure) -> {
+                  writing = false;
+                  Draft draft = drawn[0];
+                  if (draft == null) {
+                    wake(AGAIN_S);
+                  } else if (failure != null) {
+                    draft.taken.forEach(e -> e.done.completeExceptionally(Unavailable.of(failure)));
+                    wake(GATHER_S);
+                  } else if (outcome.applied()) {
+                    draft.applied(outcome.revision());
+                    wake(GATHER_S);
+                  } else {
+                    refused(draft, outcome);
+                  }
+                }),
+        "write open jobs");
   }
 
   /** What one transaction is to write. Nothing of it counts before it is applied. */
@@ -208,7 +213,7 @@
     boolean take(Edit e) {
       int bytes = e.with == null ? 0 : e.with.bytes();
       boolean tooMuch = companionBytes > 0 && companionBytes + bytes > MAX_COMPANION_BYTES;
-      if (full() || bytes > 0 && tooMuch) {
+      if (full() || (bytes > 0 && tooMuch)) {
         return false;
       }
       if (e.spec != null) {
@@ -368,22 +373,24 @@
     List<CompletableFuture<Entry>> reads = new ArrayList<>();
     sheetsOff.forEach(s -> reads.add(node.store.get(Rows.sheet(h.entity(), s.number))));
     pagesOff.forEach(p -> reads.add(node.store.get(Rows.page(h.entity(), p.name))));
-    CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
-        .whenComplete(
-            (nothing, failure) -> {
-              if (failure != null) {
-                node.loop.after(0.5, () -> reread(draft, sheetsOff, pagesOff));
-                return;
-              }
-              writing = false;
-              for (int i = 0; i < sheetsOff.size(); i++) {
-                sheets.take(sheetsOff.get(i), reads.get(i).join(), draft.entered::containsKey);
-              }
-              for (int i = 0; i < pagesOff.size(); i++) {
-                sheets.take(pagesOff.get(i), reads.get(sheetsOff.size() + i).join());
-              }
-              settle(draft);
-            });
+    Futures.logFailure(
+        CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
+            .whenComplete(
+                (nothing, failure) -> {
+                  if (failure != null) {
+                    node.loop.after(0.5, () -> reread(draft, sheetsOff, pagesOff));
+                    return;
+                  }
+                  writing = false;
+                  for (int i = 0; i < sheetsOff.size(); i++) {
+                    sheets.take(sheetsOff.get(i), reads.get(i).join(), draft.entered::containsKey);
+                  }
+                  for (int i = 0; i < pagesOff.size(); i++) {
+                    sheets.take(pagesOff.get(i), reads.get(sheetsOff.size() + i).join());
+                  }
+                  settle(draft);
+                }),
+        "read open jobs again");
   }
 
   private void settle(Draft draft) {
--- a/src/main/java/io/violetrail/api/Progress.java
+++ b/src/main/java/io/violetrail/api/Progress.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.model.JobId;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows;
@@ -132,40 +133,44 @@
       value.put(p.name(), Base64.getEncoder().encodeToString(bits.toByteArray()));
     }
     // The row's stamp keeps a late write of older progress from undoing newer one.
-    node.store
-        .settleLast(h.fenced().when(key, slot.stamp).set(key, value))
-        .whenComplete(
-            (outcome, failure) -> {
-              slot.writing = false;
-              if (failure != null) {
-                slot.dirty = true;
-              } else if (outcome.applied()) {
-                slot.stamp = outcome.revision();
-                written.forEach(
-                    (p, bits) -> bits.stream().forEach(i -> p.job().stored.set(p.from() + i)));
-              } else if (outcome.failed().contains(Rows.entity(h.entity()))) {
-                node.membership.suspect();
-              } else {
-                reread(slot, key);
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .settleLast(h.fenced().when(key, slot.stamp).set(key, value))
+            .whenComplete(
+                (outcome, failure) -> {
+                  slot.writing = false;
+                  if (failure != null) {
+                    slot.dirty = true;
+                  } else if (outcome.applied()) {
+                    slot.stamp = outcome.revision();
+                    written.forEach(
+                        (p, bits) -> bits.stream().forEach(i -> p.job().stored.set(p.from() + i)));
+                  } else if (outcome.failed().contains(Rows.entity(h.entity()))) {
+                    node.membership.suspect();
+                  } else {
+                    reread(slot, key);
+                  }
+                }),
+        "write tasks' progress");
   }
 
   /** An earlier try that was thought lost has changed the row. */
   private void reread(Slot slot, String key) {
     slot.writing = true;
-    node.store
-        .get(key)
-        .whenComplete(
-            (entry, failure) -> {
-              if (failure != null) {
-                node.loop.after(1, () -> reread(slot, key));
-              } else {
-                slot.writing = false;
-                slot.stamp = entry.stamp();
-                slot.dirty = true;
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .get(key)
+            .whenComplete(
+                (entry, failure) -> {
+                  if (failure != null) {
+                    node.loop.after(1, () -> reread(slot, key));
+                  } else {
+                    slot.writing = false;
+                    slot.stamp = entry.stamp();
+                    slot.dirty = true;
+                  }
+                }),
+        "read tasks' progress again");
   }
 
   /** Takes over what a former owner stored. */
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -7,6 +7,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Service;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -146,21 +147,23 @@
       malformed(id, e.getMessage(), done);
       return;
     }
-    node.intake
-        .admit(spec, null)
-        .thenAccept(
-            decision -> {
-              switch (decision.verdict()) {
-                case ACCEPTED ->
-                    done.accept(
-                        Answer.of(
-                            201,
-                            JobWire.view(new JobView(spec.id().value(), Status.QUEUED, 0, 0))));
-                case KNOWN -> answerKnown(spec.id(), done);
-                case IMPOSSIBLE -> done.accept(Answer.error(422, decision.why()));
-                default -> done.accept(Answer.later(decision.why()));
-              }
-            });
+    Futures.logFailure(
+        node.intake
+            .admit(spec, null)
+            .thenAccept(
+                decision -> {
+                  switch (decision.verdict()) {
+                    case ACCEPTED ->
+                        done.accept(
+                            Answer.of(
+                                201,
+                                JobWire.view(new JobView(spec.id().value(), Status.QUEUED, 0, 0))));
+                    case KNOWN -> answerKnown(spec.id(), done);
+                    case IMPOSSIBLE -> done.accept(Answer.error(422, decision.why()));
+                    default -> done.accept(Answer.later(decision.why()));
+                  }
+                }),
+        "answer a submission");
   }
 
   /**
@@ -173,27 +176,31 @@
       done.accept(Answer.error(400, why));
       return;
     }
-    jobs.lookUp(id)
-        .whenComplete(
-            (found, failure) -> {
-              if (failure != null) {
-                done.accept(Answer.later("the state service does not answer"));
-              } else if (found.absent()) {
-                done.accept(Answer.error(400, why));
-              } else {
-                answerKnown(id, done);
-              }
-            });
+    Futures.logFailure(
+        jobs.lookUp(id)
+            .whenComplete(
+                (found, failure) -> {
+                  if (failure != null) {
+                    done.accept(Answer.later("the state service does not answer"));
+                  } else if (found.absent()) {
+                    done.accept(Answer.error(400, why));
+                  } else {
+                    answerKnown(id, done);
+                  }
+                }),
+        "answer a question about a job");
   }
 
   private void answerKnown(JobId id, Consumer<Answer> done) {
-    resolve(id)
-        .whenComplete(
-            (view, failure) ->
-                done.accept(
-                    failure != null || view == null
-                        ? Answer.later("the job's state is not known now")
-                        : Answer.of(200, JobWire.view(view))));
+    Futures.logFailure(
+        resolve(id)
+            .whenComplete(
+                (view, failure) ->
+                    done.accept(
+                        failure != null || view == null
+                            ? Answer.later("the job's state is not known now")
+                            : Answer.of(200, JobWire.view(view)))),
+        "answer with a job's state");
   }
 
   private void poll(String text, Consumer<Answer> done) {
@@ -201,15 +208,18 @@
       done.accept(Answer.empty(404));
       return;
     }
-    resolve(new JobId(text))
-        .whenComplete(
-            (view, failure) -> {
-              if (failure != null) {
-                done.accept(Answer.later("the job's state is not known now"));
-              } else {
-                done.accept(view == null ? Answer.empty(404) : Answer.of(200, JobWire.view(view)));
-              }
-            });
+    Futures.logFailure(
+        resolve(new JobId(text))
+            .whenComplete(
+                (view, failure) -> {
+                  if (failure != null) {
+                    done.accept(Answer.later("the job's state is not known now"));
+                  } else {
+                    done.accept(
+                        view == null ? Answer.empty(404) : Answer.of(200, JobWire.view(view)));
+                  }
+                }),
+        "answer with a job's state");
   }
 
   /** The current state of a job; null only if it is proven that there is no such job. */
@@ -229,11 +239,7 @@
 
   private static CompletableFuture<JobView> orElse(
       CompletableFuture<JobView> first, Supplier<CompletableFuture<JobView>> second) {
-    return first
-        .handle(
-            (view, failure) ->
-                failure == null ? CompletableFuture.completedFuture(view) : second.get())
-        .thenCompose(f -> f);
+    return first.exceptionallyCompose(failure -> second.get());
   }
 
   private CompletableFuture<JobView> fromRows(JobId id) {
@@ -255,11 +261,14 @@
             .filter(node.directory::isAlive)
             .map(p -> node.peers.view(p, id))
             .toList();
-    all.forEach(f -> f.thenAccept(first::complete));
-    CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
-        .whenComplete(
-            (nothing, failure) ->
-                first.completeExceptionally(new IllegalStateException("no peer knows")));
+    all.forEach(
+        f -> Futures.logFailure(f.thenAccept(first::complete), "take the first peer's answer"));
+    Futures.logFailure(
+        CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
+            .whenComplete(
+                (nothing, failure) ->
+                    first.completeExceptionally(new IllegalStateException("no peer knows"))),
+        "wait for all peers' answers");
     return first;
   }
 
@@ -306,48 +315,54 @@
       abortByRows(id, done);
       return;
     }
-    node.peers
-        .cancel(owner, id)
-        .whenComplete(
-            (view, failure) -> {
-              if (failure == null && view.status().terminal()) {
-                done.accept(Answer.of(200, JobWire.view(view)));
-              } else {
-                // The owner may not remember a job that ended long ago.
-                abortByRows(id, done);
-              }
-            });
+    Futures.logFailure(
+        node.peers
+            .cancel(owner, id)
+            .whenComplete(
+                (view, failure) -> {
+                  if (failure == null && view.status().terminal()) {
+                    done.accept(Answer.of(200, JobWire.view(view)));
+                  } else {
+                    // The owner may not remember a job that ended long ago.
+                    abortByRows(id, done);
+                  }
+                }),
+        "pass a cancellation to its owner");
   }
 
   private void abortByRows(JobId id, Consumer<Answer> done) {
-    jobs.lookUp(id)
-        .whenComplete(
-            (found, failure) -> {
-              if (failure != null) {
-                done.accept(Answer.later("the state service does not answer"));
-              } else if (found.absent()) {
-                done.accept(Answer.empty(404));
-              } else if (found.view() != null) {
-                done.accept(Answer.of(200, JobWire.view(found.view())));
-              } else {
-                ControllerId owner = node.directory.ownerOf(found.openAt());
-                if (owner == null || owner.equals(node.settings.self())) {
-                  done.accept(Answer.later("the job's owner is not ready"));
-                } else {
-                  answer(node.peers.cancel(owner, id), done);
-                }
-              }
-            });
+    Futures.logFailure(
+        jobs.lookUp(id)
+            .whenComplete(
+                (found, failure) -> {
+                  if (failure != null) {
+                    done.accept(Answer.later("the state service does not answer"));
+                  } else if (found.absent()) {
+                    done.accept(Answer.empty(404));
+                  } else if (found.view() != null) {
+                    done.accept(Answer.of(200, JobWire.view(found.view())));
+                  } else {
+                    ControllerId owner = node.directory.ownerOf(found.openAt());
+                    if (owner == null || owner.equals(node.settings.self())) {
+                      done.accept(Answer.later("the job's owner is not ready"));
+                    } else {
+                      answer(node.peers.cancel(owner, id), done);
+                    }
+                  }
+                }),
+        "answer a cancellation");
   }
 
   private static void answer(CompletableFuture<JobView> view, Consumer<Answer> done) {
-    view.whenComplete(
-        (v, failure) -> {
-          if (failure != null || !v.status().terminal()) {
-            done.accept(Answer.later("the cancellation is not stored yet"));
-          } else {
-            done.accept(Answer.of(200, JobWire.view(v)));
-          }
-        });
+    Futures.logFailure(
+        view.whenComplete(
+            (v, failure) -> {
+              if (failure != null || !v.status().terminal()) {
+                done.accept(Answer.later("the cancellation is not stored yet"));
+              } else {
+                done.accept(Answer.of(200, JobWire.view(v)));
+              }
+            }),
+        "answer a cancellation");
   }
 }
--- a/src/main/java/io/violetrail/calendar/Firing.java
+++ b/src/main/java/io/violetrail/calendar/Firing.java
@@ -7,6 +7,7 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
+import io.violetrail.net.Futures;
 import io.violetrail.wire.Cbor;
 import java.time.Instant;
 import java.util.HashMap;
@@ -246,7 +247,7 @@
       long at = l.nextMs;
       write(
           l, row.with(v -> ScheduleRow.skipped(v, at, at, 1, "the run before is not over")), true);
-    } else if (unfinished && d.overlap() == Overlap.WAIT || row.runs().size() >= MOST_RUNS) {
+    } else if ((unfinished && d.overlap() == Overlap.WAIT) || row.runs().size() >= MOST_RUNS) {
       queue(l, now + LOOK_MS);
     } else if (port.room() <= 0) {
       queue(l, now + AGAIN_MS);
@@ -266,12 +267,14 @@
     }
     ScheduleRow next = before.with(v -> ScheduleRow.ran(v, at, now));
     l.busy = true;
-    port.fire(before, next, spec)
-        .whenComplete(
-            (stored, failure) -> {
-              LOG.debug("schedule {} due {}: {}", before.name(), at, stored);
-              done(l, next, stored, failure);
-            });
+    Futures.logFailure(
+        port.fire(before, next, spec)
+            .whenComplete(
+                (stored, failure) -> {
+                  LOG.debug("schedule {} due {}: {}", before.name(), at, stored);
+                  done(l, next, stored, failure);
+                }),
+        "fire a schedule");
   }
 
   private void write(Live l, ScheduleRow next, boolean urgent) {
@@ -289,8 +292,10 @@
     }
     ScheduleRow stored = archived;
     l.busy = true;
-    port.write(before, stored, block, urgent)
-        .whenComplete((result, failure) -> done(l, stored, result, failure));
+    Futures.logFailure(
+        port.write(before, stored, block, urgent)
+            .whenComplete((result, failure) -> done(l, stored, result, failure)),
+        "write a schedule's runs");
   }
 
   private void done(Live l, ScheduleRow next, Stored stored, Throwable failure) {
--- a/src/main/java/io/violetrail/calendar/Holidays.java
+++ b/src/main/java/io/violetrail/calendar/Holidays.java
@@ -35,7 +35,7 @@
     Set<LocalDate> days = years.getIfPresent(key);
     if (days == null) {
       days = new HashSet<>();
-      String[] parts = region.split("-");
+      String[] parts = region.split("-", 0);
       HolidayManager m = manager(parts[0]);
       Set<Holiday> all =
           parts.length > 1
@@ -50,7 +50,7 @@
   }
 
   private static String country(String region) {
-    return region.split("-")[0];
+    return region.split("-", 0)[0];
   }
 
   private HolidayManager manager(String country) {
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -6,6 +6,7 @@
 import io.violetrail.calendar.Definition.Refused;
 import io.violetrail.calendar.ScheduleRow.Run;
 import io.violetrail.model.JobId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Service;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -155,45 +156,49 @@
     checked(m);
     String uid = new UUID(node.random.nextLong(), node.random.nextLong()).toString();
     ScheduleRow row = ScheduleRow.fresh(name, kept(m), own.entity(), uid, node.loop.wallMillis());
-    Tombstones.creation(node.store, own::fenced, row.key(), row.value())
-        .thenCompose(node.store::settle)
-        .whenComplete(
-            (outcome, failure) -> {
-              if (failure != null) {
-                done.accept(error(503, "the state service does not answer"));
-              } else if (outcome.applied()) {
-                LOG.info("schedule {} created: {}", name, m.path("due").asText());
-                done.accept(json(201, shown(row)));
-              } else if (!outcome.failed().contains(row.key())) {
-                done.accept(error(503, "the entity or what was deleted has changed"));
-              } else {
-                read(
-                    name,
-                    done,
-                    found ->
-                        done.accept(
-                            found.uid().equals(uid)
-                                ? json(201, shown(found))
-                                : error(409, "the schedule exists already")));
-              }
-            });
+    Futures.logFailure(
+        Tombstones.creation(node.store, own::fenced, row.key(), row.value())
+            .thenCompose(node.store::settle)
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (failure != null) {
+                    done.accept(error(503, "the state service does not answer"));
+                  } else if (outcome.applied()) {
+                    LOG.info("schedule {} created: {}", name, m.path("due").asText());
+                    done.accept(json(201, shown(row)));
+                  } else if (!outcome.failed().contains(row.key())) {
+                    done.accept(error(503, "the entity or what was deleted has changed"));
+                  } else {
+                    read(
+                        name,
+                        done,
+                        found ->
+                            done.accept(
+                                found.uid().equals(uid)
+                                    ? json(201, shown(found))
+                                    : error(409, "the schedule exists already")));
+                  }
+                }),
+        "create a schedule");
   }
 
   private void read(String name, Consumer<Answer> done, Consumer<ScheduleRow> then) {
     String key = ScheduleRow.ROWS + name;
-    node.store
-        .getForUser(key)
-        .whenComplete(
-            (entry, failure) -> {
-              if (failure != null) {
-                boolean busy = Unavailable.of(failure).status() == 429;
-                done.accept(error(busy ? 429 : 503, "the state service cannot be asked now"));
-              } else if (entry.value() == null) {
-                done.accept(error(404, "there is no such schedule"));
-              } else {
-                then.accept(ScheduleRow.of(key, entry.value(), entry.stamp()));
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .getForUser(key)
+            .whenComplete(
+                (entry, failure) -> {
+                  if (failure != null) {
+                    boolean busy = Unavailable.of(failure).status() == 429;
+                    done.accept(error(busy ? 429 : 503, "the state service cannot be asked now"));
+                  } else if (entry.value() == null) {
+                    done.accept(error(404, "there is no such schedule"));
+                  } else {
+                    then.accept(ScheduleRow.of(key, entry.value(), entry.stamp()));
+                  }
+                }),
+        "read a schedule");
   }
 
   /** A change takes effect when it is stored: older due times that have no run yet get none. */
@@ -257,19 +262,21 @@
             done.accept(json(200, shown(row)));
             return;
           }
-          node.store
-              .settle(new Txn().when(row.key(), row.stamp()).set(row.key(), next.value()))
-              .whenComplete(
-                  (outcome, failure) -> {
-                    if (failure != null) {
-                      done.accept(error(503, "the state service does not answer"));
-                    } else if (outcome.applied()) {
-                      done.accept(json(200, shown(next)));
-                    } else {
-                      // A firing came first, or an earlier try of this change: it is made anew.
-                      again(name, done, change, tries - 1, next);
-                    }
-                  });
+          Futures.logFailure(
+              node.store
+                  .settle(new Txn().when(row.key(), row.stamp()).set(row.key(), next.value()))
+                  .whenComplete(
+                      (outcome, failure) -> {
+                        if (failure != null) {
+                          done.accept(error(503, "the state service does not answer"));
+                        } else if (outcome.applied()) {
+                          done.accept(json(200, shown(next)));
+                        } else {
+                          // A firing came first, or an earlier try of this change: it is made anew.
+                          again(name, done, change, tries - 1, next);
+                        }
+                      }),
+              "change a schedule");
         });
   }
 
@@ -301,26 +308,33 @@
         name,
         done,
         row ->
-            node.store
-                .settle(
-                    Tombstones.mark(
-                        new Txn().when(row.key(), row.stamp()).drop(row.key()),
-                        row.key(),
-                        node.loop.wallMillis()))
-                .whenComplete(
-                    (outcome, failure) -> {
-                      if (failure != null) {
-                        done.accept(error(503, "the state service does not answer"));
-                      } else if (outcome.applied()) {
-                        LOG.info("schedule {} deleted", name);
-                        blocks(row).forEach(k -> node.store.settleLast(new Txn().drop(k)));
-                        done.accept(json(200, Cbor.map().put("deleted", name)));
-                      } else if (tries > 0) {
-                        delete(name, done, tries - 1);
-                      } else {
-                        done.accept(error(503, "the schedule is being changed"));
-                      }
-                    }));
+            Futures.logFailure(
+                node.store
+                    .settle(
+                        Tombstones.mark(
+                            new Txn().when(row.key(), row.stamp()).drop(row.key()),
+                            row.key(),
+                            node.loop.wallMillis()))
+                    .whenComplete(
+                        (outcome, failure) -> {
+                          if (failure != null) {
+                            done.accept(error(503, "the state service does not answer"));
+                          } else if (outcome.applied()) {
+                            LOG.info("schedule {} deleted", name);
+                            blocks(row)
+                                .forEach(
+                                    k ->
+                                        Futures.logFailure(
+                                            node.store.settleLast(new Txn().drop(k)),
+                                            "delete a schedule's history"));
+                            done.accept(json(200, Cbor.map().put("deleted", name)));
+                          } else if (tries > 0) {
+                            delete(name, done, tries - 1);
+                          } else {
+                            done.accept(error(503, "the schedule is being changed"));
+                          }
+                        }),
+                "delete a schedule"));
   }
 
   private static List<String> blocks(ScheduleRow row) {
@@ -339,30 +353,32 @@
     List<String> keys = blocks(row);
     List<CompletableFuture<JsonNode>> reads = new ArrayList<>();
     keys.forEach(k -> reads.add(node.store.getForUser(k).thenApply(e -> e.value())));
-    CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
-        .whenComplete(
-            (nothing, failure) -> {
-              if (failure != null) {
-                done.accept(error(429, "the history cannot be read now: too many requests"));
-                return;
-              }
-              ObjectNode m = Cbor.map().put("name", row.name());
-              ArrayNode torn = m.putArray("torn");
-              ArrayNode runs = m.putArray("runs");
-              for (int i = 0; i < keys.size(); i++) {
-                try {
-                  JsonNode block = reads.get(i).join();
-                  if (block == null) {
-                    throw new Archive.Torn("the block is missing");
+    Futures.logFailure(
+        CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
+            .whenComplete(
+                (nothing, failure) -> {
+                  if (failure != null) {
+                    done.accept(error(429, "the history cannot be read now: too many requests"));
+                    return;
                   }
-                  Archive.unpack(block).forEach(r -> runs.add(readable(r)));
-                } catch (Archive.Torn e) {
-                  torn.addObject().put("block", keys.get(i)).put("error", e.getMessage());
-                }
-              }
-              row.past().forEach(r -> runs.add(readable(r)));
-              done.accept(json(200, m));
-            });
+                  ObjectNode m = Cbor.map().put("name", row.name());
+                  ArrayNode torn = m.putArray("torn");
+                  ArrayNode runs = m.putArray("runs");
+                  for (int i = 0; i < keys.size(); i++) {
+                    try {
+                      JsonNode block = reads.get(i).join();
+                      if (block == null) {
+                        throw new Archive.Torn("the block is missing");
+                      }
+                      Archive.unpack(block).forEach(r -> runs.add(readable(r)));
+                    } catch (Archive.Torn e) {
+                      torn.addObject().put("block", keys.get(i)).put("error", e.getMessage());
+                    }
+                  }
+                  row.past().forEach(r -> runs.add(readable(r)));
+                  done.accept(json(200, m));
+                }),
+        "read a schedule's history");
   }
 
   /** Rows and blocks hold moments as numbers, people read them as times. */
@@ -387,23 +403,25 @@
       done.accept(error(400, "after: is no name"));
       return;
     }
-    node.store
-        .pageForUser(ScheduleRow.ROWS, after.isEmpty() ? "" : ScheduleRow.ROWS + after, PAGE)
-        .whenComplete(
-            (page, failure) -> {
-              if (failure != null) {
-                done.accept(error(503, "the state service cannot be asked now"));
-                return;
-              }
-              ObjectNode m = Cbor.map();
-              ArrayNode all = m.putArray("schedules");
-              page.entries()
-                  .forEach(e -> all.add(shown(ScheduleRow.of(e.key(), e.value(), e.stamp()))));
-              if (page.more()) {
-                m.put("after", all.get(all.size() - 1).path("name").asText());
-              }
-              done.accept(json(200, m));
-            });
+    Futures.logFailure(
+        node.store
+            .pageForUser(ScheduleRow.ROWS, after.isEmpty() ? "" : ScheduleRow.ROWS + after, PAGE)
+            .whenComplete(
+                (page, failure) -> {
+                  if (failure != null) {
+                    done.accept(error(503, "the state service cannot be asked now"));
+                    return;
+                  }
+                  ObjectNode m = Cbor.map();
+                  ArrayNode all = m.putArray("schedules");
+                  page.entries()
+                      .forEach(e -> all.add(shown(ScheduleRow.of(e.key(), e.value(), e.stamp()))));
+                  if (page.more()) {
+                    m.put("after", all.get(all.size() - 1).path("name").asText());
+                  }
+                  done.accept(json(200, m));
+                }),
+        "list schedules");
   }
 
   /** Reports that stand at the entities held here. */
@@ -482,14 +500,16 @@
       }
     }
     // The same again does no harm: whole sets of days replace one another.
-    node.store
-        .txn(txn)
-        .whenComplete(
-            (outcome, failure) ->
-                done.accept(
-                    failure != null
-                        ? error(503, "the days could not be stored")
-                        : json(200, Cbor.map().put("name", name))));
+    Futures.logFailure(
+        node.store
+            .txn(txn)
+            .whenComplete(
+                (outcome, failure) ->
+                    done.accept(
+                        failure != null
+                            ? error(503, "the days could not be stored")
+                            : json(200, Cbor.map().put("name", name)))),
+        "store a calendar's days");
   }
 
   private static ObjectNode dates(ObjectNode m) throws Refused {
--- a/src/main/java/io/violetrail/calendar/ScheduleRow.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRow.java
@@ -142,7 +142,14 @@
       end.set("report", run.get("report"));
     }
     ArrayNode rest = Cbor.list();
-    row.path("runs").forEach(r -> rest.addAll(r == run ? List.of() : List.of(r)));
+    boolean left = false;
+    for (JsonNode r : row.path("runs")) {
+      if (!left && r.path("due").asLong() == dueMs) {
+        left = true;
+      } else {
+        rest.add(r);
+      }
+    }
     row.set("runs", rest);
   }
 
--- a/src/main/java/io/violetrail/calendar/Schedules.java
+++ b/src/main/java/io/violetrail/calendar/Schedules.java
@@ -11,6 +11,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.MachineType;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
@@ -243,7 +244,9 @@
       }
       JobView over = node.jobs.terminalView(id);
       if (over == null && asking.add(id)) {
-        node.jobs.lookUp(id).whenComplete((found, failure) -> asking.remove(id));
+        Futures.logFailure(
+            node.jobs.lookUp(id).whenComplete((found, failure) -> asking.remove(id)),
+            "look up a schedule's job");
       }
       return over;
     }
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -177,7 +177,7 @@
       if (config == null) {
         throw new Settings.Invalid("--config FILE is required");
       }
-      if (sample < 1 || idleS < 0 || lapseS != null && !(lapseS >= 1)) {
+      if (sample < 1 || idleS < 0 || (lapseS != null && !(lapseS >= 1))) {
         throw new Settings.Invalid(
             "--sample must be at least 1, --idle-s at least 0 and --lapse-s at least 1");
       }
--- a/src/main/java/io/violetrail/cli/Rehearsal.java
+++ b/src/main/java/io/violetrail/cli/Rehearsal.java
@@ -9,6 +9,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.Priority;
 import io.violetrail.model.Shape;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Service;
 import io.violetrail.peer.Peers;
 import io.violetrail.wire.Cbor;
@@ -124,29 +125,41 @@
             () -> {
               for (String path :
                   new String[] {"/ready", "/work/job-1", "/work/job-2", "/metrics"}) {
-                controller.http().call(settings.api(), "GET", path, null, 1);
+                Futures.logFailure(
+                    controller.http().call(settings.api(), "GET", path, null, 1), "warm up a read");
               }
-              controller
-                  .http()
-                  .call(settings.api(), "POST", "/work", Cbor.bytes(JobWire.spec(spec)), 1);
-              controller.http().call(settings.api(), "POST", "/agent/beat", Cbor.bytes(beat(1)), 1);
+              Futures.logFailure(
+                  controller
+                      .http()
+                      .call(settings.api(), "POST", "/work", Cbor.bytes(JobWire.spec(spec)), 1),
+                  "warm up a submission");
+              Futures.logFailure(
+                  controller
+                      .http()
+                      .call(settings.api(), "POST", "/agent/beat", Cbor.bytes(beat(1)), 1),
+                  "warm up the first heartbeat");
             });
     controller
         .loop()
         .after(
             1.6,
             () ->
-                controller
-                    .http()
-                    .call(settings.api(), "POST", "/agent/beat", Cbor.bytes(beat(2)), 1));
+                Futures.logFailure(
+                    controller
+                        .http()
+                        .call(settings.api(), "POST", "/agent/beat", Cbor.bytes(beat(2)), 1),
+                    "warm up the second heartbeat"));
     controller
         .loop()
         .after(
             2,
             () ->
-                controller
-                    .http()
-                    .call(settings.api(), "POST", "/work/job-1/abort", Cbor.bytes(Cbor.map()), 1));
+                Futures.logFailure(
+                    controller
+                        .http()
+                        .call(
+                            settings.api(), "POST", "/work/job-1/abort", Cbor.bytes(Cbor.map()), 1),
+                    "warm up a cancellation"));
     Thread.sleep((long) (FOR_S * 1000));
     System.exit(0);
     return 0;
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -78,7 +78,7 @@
                 }
                 if (failure == null
                     && (r.status() == 400
-                        || r.status() == 503 && noCapacity(Cbor.parse(r.body())))) {
+                        || (r.status() == 503 && noCapacity(Cbor.parse(r.body()))))) {
                   return new Hired(Rental.NO_CAPACITY, List.of());
                 }
               } catch (Malformed e) {
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -7,6 +7,7 @@
 import io.violetrail.configuration.ConfigurationChange.Result;
 import io.violetrail.configuration.ConfigurationFormat.Checked;
 import io.violetrail.configuration.ConfigurationHead.Revision;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Service;
 import io.violetrail.state.StateStore.Unavailable;
@@ -137,47 +138,52 @@
   }
 
   private void status(Consumer<Answer> done) {
-    states
-        .get()
-        .whenComplete(
-            (all, failure) -> {
-              ObjectNode m = Cbor.map().put("in_force_here", configuration.revision());
-              var list = m.putArray("controllers");
-              for (ConfigurationState s : failure == null ? all : List.<ConfigurationState>of()) {
-                list.addObject()
-                    .put("controller", s.controller())
-                    .put("answers", s.inForceSinceMs() > 0)
-                    .put("revision", s.revision())
-                    .put("confirmed_ms_ago", s.confirmedMsAgo())
-                    .put("in_force_since_ms", s.inForceSinceMs())
-                    .put("fresh", s.fresh());
-              }
-              done.accept(json(200, m));
-            });
+    Futures.logFailure(
+        states
+            .get()
+            .whenComplete(
+                (all, failure) -> {
+                  ObjectNode m = Cbor.map().put("in_force_here", configuration.revision());
+                  var list = m.putArray("controllers");
+                  for (ConfigurationState s :
+                      failure == null ? all : List.<ConfigurationState>of()) {
+                    list.addObject()
+                        .put("controller", s.controller())
+                        .put("answers", s.inForceSinceMs() > 0)
+                        .put("revision", s.revision())
+                        .put("confirmed_ms_ago", s.confirmedMsAgo())
+                        .put("in_force_since_ms", s.inForceSinceMs())
+                        .put("fresh", s.fresh());
+                  }
+                  done.accept(json(200, m));
+                }),
+        "collect the controllers' configuration");
   }
 
   private void history(Consumer<Answer> done) {
-    writer
-        .history()
-        .whenComplete(
-            (revisions, failure) -> {
-              if (failure != null) {
-                done.accept(error(503, Unavailable.of(failure).getMessage()));
-                return;
-              }
-              ObjectNode m = Cbor.map();
-              var list = m.putArray("revisions");
-              for (Revision r : revisions) {
-                list.addObject()
-                    .put("revision", r.number())
-                    .put("digest", r.digest())
-                    .put("request", r.request())
-                    .put("who", r.who())
-                    .put("why", r.why())
-                    .put("at_ms", r.atMs());
-              }
-              done.accept(json(200, m));
-            });
+    Futures.logFailure(
+        writer
+            .history()
+            .whenComplete(
+                (revisions, failure) -> {
+                  if (failure != null) {
+                    done.accept(error(503, Unavailable.of(failure).getMessage()));
+                    return;
+                  }
+                  ObjectNode m = Cbor.map();
+                  var list = m.putArray("revisions");
+                  for (Revision r : revisions) {
+                    list.addObject()
+                        .put("revision", r.number())
+                        .put("digest", r.digest())
+                        .put("request", r.request())
+                        .put("who", r.who())
+                        .put("why", r.why())
+                        .put("at_ms", r.atMs());
+                  }
+                  done.accept(json(200, m));
+                }),
+        "read the configuration's history");
   }
 
   private void apply(byte[] body, Consumer<Answer> done) throws KubeJson.Malformed {
@@ -213,7 +219,9 @@
             text(m, "why", MAX_WHY),
             content,
             rollbackTo);
-    writer.apply(change).thenAccept(result -> done.accept(answer(result)));
+    Futures.logFailure(
+        writer.apply(change).thenAccept(result -> done.accept(answer(result))),
+        "apply a configuration change");
   }
 
   private static Answer answer(Result result) {
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -5,6 +5,7 @@
 import io.violetrail.config.Settings.Objective;
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.ConfigurationParts.Assembled;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Timing;
@@ -166,34 +167,37 @@
     }
     reading = true;
     double sentS = loop.seconds();
-    store
-        .getNow(ConfigurationHead.KEY)
-        .thenCompose(
-            row -> {
-              ConfigurationHead found = ConfigurationHead.of(row);
-              if (row.value() != null) {
-                directory.apply(new Change(row.key(), row.value(), row.stamp()));
-              }
-              if (found.stamp() <= head.stamp()) {
-                return CompletableFuture.completedFuture(
-                    new Read(found, new Assembled(content, parts)));
-              }
-              return ConfigurationParts.read(store, found.newest(), parts)
-                  .thenApply(read -> new Read(found, read));
-            })
-        .whenComplete(
-            (read, failure) -> {
-              reading = false;
-              if (failure == null) {
-                confirmed(read, sentS);
-              } else {
-                LOG.debug("configuration not confirmed: {}", Unavailable.of(failure).getMessage());
-              }
-              if (again) {
-                again = false;
-                confirm();
-              }
-            });
+    Futures.logFailure(
+        store
+            .getNow(ConfigurationHead.KEY)
+            .thenCompose(
+                row -> {
+                  ConfigurationHead found = ConfigurationHead.of(row);
+                  if (row.value() != null) {
+                    directory.apply(new Change(row.key(), row.value(), row.stamp()));
+                  }
+                  if (found.stamp() <= head.stamp()) {
+                    return CompletableFuture.completedFuture(
+                        new Read(found, new Assembled(content, parts)));
+                  }
+                  return ConfigurationParts.read(store, found.newest(), parts)
+                      .thenApply(read -> new Read(found, read));
+                })
+            .whenComplete(
+                (read, failure) -> {
+                  reading = false;
+                  if (failure == null) {
+                    confirmed(read, sentS);
+                  } else {
+                    LOG.debug(
+                        "configuration not confirmed: {}", Unavailable.of(failure).getMessage());
+                  }
+                  if (again) {
+                    again = false;
+                    confirm();
+                  }
+                }),
+        "read the configuration");
   }
 
   private record Read(ConfigurationHead head, Assembled assembled) {}
--- a/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
@@ -6,6 +6,7 @@
 import io.violetrail.configuration.ConfigurationChange.Outcome;
 import io.violetrail.configuration.ConfigurationChange.Result;
 import io.violetrail.configuration.ConfigurationHead.Revision;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.state.StateStore;
 import io.violetrail.wire.StateWire.Txn;
@@ -221,14 +222,20 @@
     Set<String> named = new HashSet<>();
     head.revisions().forEach(r -> named.addAll(r.keys()));
     long before = loop.wallMillis() - (long) (1000 * UNUSED_PART_S);
-    store
-        .list(ConfigurationHead.PARTS)
-        .thenAccept(
-            listing ->
-                listing.entries().stream()
-                    .filter(e -> !named.contains(e.key()) && writtenMs(e.value()) < before)
-                    .forEach(
-                        e -> store.settleLast(new Txn().when(e.key(), e.stamp()).drop(e.key()))));
+    Futures.logFailure(
+        store
+            .list(ConfigurationHead.PARTS)
+            .thenAccept(
+                listing ->
+                    listing.entries().stream()
+                        .filter(e -> !named.contains(e.key()) && writtenMs(e.value()) < before)
+                        .forEach(
+                            e ->
+                                Futures.logFailure(
+                                    store.settleLast(
+                                        new Txn().when(e.key(), e.stamp()).drop(e.key())),
+                                    "delete an unreferenced configuration part"))),
+        "list unreferenced configuration parts");
   }
 
   private static long writtenMs(JsonNode part) {
--- a/src/main/java/io/violetrail/fleet/Fleet.java
+++ b/src/main/java/io/violetrail/fleet/Fleet.java
@@ -7,6 +7,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Shape;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -95,18 +96,20 @@
       return;
     }
     typesAtS = now;
-    cloud
-        .types()
-        .whenComplete(
-            (types, failure) -> {
-              if (failure != null) {
-                typesAtS = known ? now - TYPES_S + 20 : now;
-                return;
-              }
-              node.typesAre(types);
-              told = types;
-              node.dispatcher.wake();
-            });
+    Futures.logFailure(
+        cloud
+            .types()
+            .whenComplete(
+                (types, failure) -> {
+                  if (failure != null) {
+                    typesAtS = known ? now - TYPES_S + 20 : now;
+                    return;
+                  }
+                  node.typesAre(types);
+                  told = types;
+                  node.dispatcher.wake();
+                }),
+        "read the machine types");
   }
 
   /**
@@ -120,9 +123,11 @@
       return;
     }
     keeping = true;
-    node.store
-        .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(told)))
-        .whenComplete((outcome, failure) -> keeping = false);
+    Futures.logFailure(
+        node.store
+            .settle(new Txn().when(Rows.TYPES, 0).set(Rows.TYPES, CloudWire.types(told)))
+            .whenComplete((outcome, failure) -> keeping = false),
+        "store the machine types");
   }
 
   private void giveBack(OwnedEntity h, double now) {
@@ -152,17 +157,19 @@
     List<Machine> batch = out.subList(0, Math.min(out.size(), CloudWire.MAX_RETURN));
     returning = true;
     LOG.info("entity {}: returning {}", h.entity(), batch.stream().map(Machine::id).toList());
-    cloud
-        .giveBack(batch.stream().map(Machine::id).toList())
-        .whenComplete(
-            (answer, failure) -> {
-              returning = false;
-              switch (failure == null ? answer : Return.UNCERTAIN) {
-                case GONE -> batch.forEach(m -> forget(h, m));
-                case REFUSED -> batch.forEach(m -> m.returning = m.returnUncertain);
-                default -> batch.forEach(m -> m.returnUncertain = true);
-              }
-            });
+    Futures.logFailure(
+        cloud
+            .giveBack(batch.stream().map(Machine::id).toList())
+            .whenComplete(
+                (answer, failure) -> {
+                  returning = false;
+                  switch (failure == null ? answer : Return.UNCERTAIN) {
+                    case GONE -> batch.forEach(m -> forget(h, m));
+                    case REFUSED -> batch.forEach(m -> m.returning = m.returnUncertain);
+                    default -> batch.forEach(m -> m.returnUncertain = true);
+                  }
+                }),
+        "return machines");
   }
 
   private static boolean idle(Machine m) {
@@ -219,7 +226,7 @@
       return m.empty();
     }
     return m.heard
-        && (m.empty() || m.spare() && !m.row.spot())
+        && (m.empty() || (m.spare() && !m.row.spot()))
         && now - m.idleSinceS > node.prices().idleS(m.type, m.row.spot(), node.options.idleS());
   }
 
@@ -239,16 +246,18 @@
         Math.round(age),
         Math.round(m.usedS));
     node.removed(h, m);
-    h.register
-        .remove(m.row)
-        .whenComplete(
-            (row, failure) -> {
-              if (failure != null) {
-                node.membership.relistThen(() -> node.gone.remove(m.id()));
-              } else {
-                node.gone.remove(m.id());
-              }
-            });
+    Futures.logFailure(
+        h.register
+            .remove(m.row)
+            .whenComplete(
+                (row, failure) -> {
+                  if (failure != null) {
+                    node.membership.relistThen(() -> node.gone.remove(m.id()));
+                  } else {
+                    node.gone.remove(m.id());
+                  }
+                }),
+        "delete a machine's record");
   }
 
   /** Puts what waits into machines that boot, and rents for the rest. */
@@ -296,7 +305,7 @@
               && now - job.arrivedS < TransferRequests.FIRST_S
               && node.directory.aliveCount() > 1;
       boolean probe = job.trial.suspect() && placeable(h, job);
-      if (job.mayStart(now) == 0 || job.recovered && uncertain || peersFirst || probe) {
+      if (job.mayStart(now) == 0 || (job.recovered && uncertain) || peersFirst || probe) {
         continue;
       }
       Amounts quota = left.computeIfAbsent(job.spec.team(), t -> node.dispatcher.quota(h, t, now));
--- a/src/main/java/io/violetrail/fleet/Hires.java
+++ b/src/main/java/io/violetrail/fleet/Hires.java
@@ -4,6 +4,7 @@
 import io.violetrail.cloud.CloudClient.Rental;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows;
@@ -78,26 +79,29 @@
             .put("count", count);
     // The name is stored before the cloud hears it: whoever owns the entity next repeats the
     // request.
-    node.store
-        .settle(
-            h.fenced()
-                .when(Rows.hires(h.entity()) + hire.name, 0)
-                .set(Rows.hires(h.entity()) + hire.name, v))
-        .whenComplete(
-            (outcome, failure) -> {
-              hire.calling = false;
-              // "Exists" can only mean that an earlier try of this write got through: names are
-              // unique.
-              boolean stored =
-                  failure == null
-                      && (outcome.applied() || !outcome.failed().contains(Rows.entity(h.entity())));
-              if (!stored) {
-                hires.remove(hire.name);
-                node.membership.suspect();
-              } else {
-                request(hire);
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .settle(
+                h.fenced()
+                    .when(Rows.hires(h.entity()) + hire.name, 0)
+                    .set(Rows.hires(h.entity()) + hire.name, v))
+            .whenComplete(
+                (outcome, failure) -> {
+                  hire.calling = false;
+                  // "Exists" can only mean that an earlier try of this write got through: names are
+                  // unique.
+                  boolean stored =
+                      failure == null
+                          && (outcome.applied()
+                              || !outcome.failed().contains(Rows.entity(h.entity())));
+                  if (!stored) {
+                    hires.remove(hire.name);
+                    node.membership.suspect();
+                  } else {
+                    request(hire);
+                  }
+                }),
+        "record a rental request");
   }
 
   /** Repeats the entity's requests that have no certain answer yet. */
@@ -133,28 +137,30 @@
   private void request(Hire hire) {
     hire.calling = true;
     Offer o = hire.offer;
-    cloud
-        .hire(hire.name, o.type(), o.zone(), o.spot(), hire.count)
-        .whenComplete(
-            (hired, failure) -> {
-              hire.calling = false;
-              if (failure != null || hired.rental() == Rental.UNCERTAIN) {
-                return;
-              }
-              LOG.info(
-                  "entity {}: hire {} of {} {}: {}",
-                  hire.holding.entity(),
-                  hire.name,
-                  hire.count,
-                  o,
-                  hired.machines());
-              if (hired.machines().size() < hire.count) {
-                soldOut(o);
-                node.peers.soldOut(o.type(), o.zone(), o.spot());
-              }
-              hire.calling = true;
-              record(hire, hired.machines());
-            });
+    Futures.logFailure(
+        cloud
+            .hire(hire.name, o.type(), o.zone(), o.spot(), hire.count)
+            .whenComplete(
+                (hired, failure) -> {
+                  hire.calling = false;
+                  if (failure != null || hired.rental() == Rental.UNCERTAIN) {
+                    return;
+                  }
+                  LOG.info(
+                      "entity {}: hire {} of {} {}: {}",
+                      hire.holding.entity(),
+                      hire.name,
+                      hire.count,
+                      o,
+                      hired.machines());
+                  if (hired.machines().size() < hire.count) {
+                    soldOut(o);
+                    node.peers.soldOut(o.type(), o.zone(), o.spot());
+                  }
+                  hire.calling = true;
+                  record(hire, hired.machines());
+                }),
+        "rent machines");
   }
 
   /** The cloud has none of these for now. */
@@ -183,20 +189,24 @@
                 node.loop.wallMillis()));
       }
     }
-    h.register
-        .addAll(rows)
-        .whenComplete(
-            (nothing, failure) -> {
-              hire.recorded = true;
-              node.changed();
-              if (h.phase == OwnedEntity.Phase.LOST) {
-                hires.remove(hire.name);
-                return;
-              }
-              node.store
-                  .settle(h.fenced().drop(Rows.hires(h.entity()) + hire.name))
-                  .whenComplete((outcome, f) -> hires.remove(hire.name));
-            });
+    Futures.logFailure(
+        h.register
+            .addAll(rows)
+            .whenComplete(
+                (nothing, failure) -> {
+                  hire.recorded = true;
+                  node.changed();
+                  if (h.phase == OwnedEntity.Phase.LOST) {
+                    hires.remove(hire.name);
+                    return;
+                  }
+                  Futures.logFailure(
+                      node.store
+                          .settle(h.fenced().drop(Rows.hires(h.entity()) + hire.name))
+                          .whenComplete((outcome, f) -> hires.remove(hire.name)),
+                      "delete a rental request's record");
+                }),
+        "record rented machines");
   }
 
   /** Repeats the rental requests that a former owner left open. */
--- a/src/main/java/io/violetrail/fleet/Inventory.java
+++ b/src/main/java/io/violetrail/fleet/Inventory.java
@@ -4,6 +4,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.wire.CloudWire;
 import java.util.ArrayList;
@@ -56,22 +57,24 @@
   }
 
   private void page(String after, Set<MachineId> listed) {
-    cloud
-        .list(after)
-        .whenComplete(
-            (page, failure) -> {
-              if (failure != null) {
-                reading = false;
-                return;
-              }
-              listed.addAll(page.machines());
-              if (page.more()) {
-                node.loop.after(1, () -> page(page.last(), listed));
-              } else {
-                reading = false;
-                judge(listed, node.loop.seconds());
-              }
-            });
+    Futures.logFailure(
+        cloud
+            .list(after)
+            .whenComplete(
+                (page, failure) -> {
+                  if (failure != null) {
+                    reading = false;
+                    return;
+                  }
+                  listed.addAll(page.machines());
+                  if (page.more()) {
+                    node.loop.after(1, () -> page(page.last(), listed));
+                  } else {
+                    reading = false;
+                    judge(listed, node.loop.seconds());
+                  }
+                }),
+        "list the rented machines");
   }
 
   private void judge(Set<MachineId> listed, double now) {
@@ -89,7 +92,7 @@
     }
     List<MachineId> batch = out.subList(0, Math.min(out.size(), CloudWire.MAX_RETURN));
     LOG.info("returning machines that nobody has recorded: {}", batch);
-    cloud.giveBack(batch);
+    Futures.logFailure(cloud.giveBack(batch), "return orphaned machines");
   }
 
   /**
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -2,6 +2,7 @@
 
 import io.violetrail.model.Amounts;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.Rows.EntityRow;
@@ -50,7 +51,7 @@
       }
       int fit = m.type.size().count(request.task());
       // What was emptied for such a request passes, though what was stopped for it waits here now.
-      boolean free = request.starving() && now <= m.evictedUntilS || !wantedHere(first, m);
+      boolean free = (request.starving() && now <= m.evictedUntilS) || !wantedHere(first, m);
       if (fit > 0 && m.empty() && passable(m, request) && free) {
         left -= fit;
         pass(h, m, target);
@@ -184,23 +185,25 @@
     m.promised = true;
     Version above = h.token(m).compareTo(target.version()) > 0 ? h.token(m) : target.version();
     MachineRow next = m.row.passedTo(target.entity(), above.nextFor(target.version().owner()));
-    h.register
-        .pass(m.row, next, target)
-        .whenComplete(
-            (row, failure) -> {
-              if (failure == null) {
-                LOG.info(
-                    "machine {} passes from entity {} to {} with term {}",
-                    m.id(),
-                    h.entity(),
-                    next.entity(),
-                    next.term());
-                h.machines.remove(m.id(), m);
-                node.changed();
-                node.heartbeats.answer(m.id());
-              } else {
-                node.checkMachine(h, m);
-              }
-            });
+    Futures.logFailure(
+        h.register
+            .pass(m.row, next, target)
+            .whenComplete(
+                (row, failure) -> {
+                  if (failure == null) {
+                    LOG.info(
+                        "machine {} passes from entity {} to {} with term {}",
+                        m.id(),
+                        h.entity(),
+                        next.entity(),
+                        next.term());
+                    h.machines.remove(m.id(), m);
+                    node.changed();
+                    node.heartbeats.answer(m.id());
+                  } else {
+                    node.checkMachine(h, m);
+                  }
+                }),
+        "transfer a machine");
   }
 }
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -7,6 +7,7 @@
 import io.violetrail.evidence.GoneProof;
 import io.violetrail.model.Amounts;
 import io.violetrail.model.ControllerId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Directory;
 import io.violetrail.ownership.Membership;
@@ -415,22 +416,24 @@
 
   private void attempt(Move move, int tries) {
     ObjectNode[] drawn = new ObjectNode[1];
-    store
-        .settleLate(
-            () -> {
-              drawn[0] = covered(move) ? move.draft(slices) : null;
-              return drawn[0] == null ? null : transaction(move, drawn[0]);
-            })
-        .whenComplete(
-            (outcome, failure) -> {
-              if (drawn[0] == null) {
-                underWay.remove(move.key());
-              } else if (failure == null && outcome.applied()) {
-                applied(move, drawn[0], outcome);
-              } else {
-                refused(move, outcome, tries);
-              }
-            });
+    Futures.logFailure(
+        store
+            .settleLate(
+                () -> {
+                  drawn[0] = covered(move) ? move.draft(slices) : null;
+                  return drawn[0] == null ? null : transaction(move, drawn[0]);
+                })
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (drawn[0] == null) {
+                    underWay.remove(move.key());
+                  } else if (failure == null && outcome.applied()) {
+                    applied(move, drawn[0], outcome);
+                  } else {
+                    refused(move, outcome, tries);
+                  }
+                }),
+        "transfer quota");
   }
 
   /**
@@ -474,25 +477,27 @@
       membership.relistThen(() -> underWay.remove(move.key()));
       return;
     }
-    store
-        .get(move.row())
-        .whenComplete(
-            (entry, failure) -> {
-              if (failure != null) {
-                Unavailable why = Unavailable.of(failure);
-                LOG.debug("slices of team {} not read: {}", move.team.name(), why.getMessage());
-                loop.after(AGAIN_S, () -> refused(move, outcome, tries));
-                return;
-              }
-              if (entry.value() != null) {
-                directory.apply(new Change(move.row(), entry.value(), entry.stamp()));
-              }
-              boolean superseded = outcome.failed().contains(Rows.CONFIGURATION);
-              if (tries < MAX_TRIES && !superseded) {
-                attempt(move, tries + 1);
-              } else {
-                underWay.remove(move.key());
-              }
-            });
+    Futures.logFailure(
+        store
+            .get(move.row())
+            .whenComplete(
+                (entry, failure) -> {
+                  if (failure != null) {
+                    Unavailable why = Unavailable.of(failure);
+                    LOG.debug("slices of team {} not read: {}", move.team.name(), why.getMessage());
+                    loop.after(AGAIN_S, () -> refused(move, outcome, tries));
+                    return;
+                  }
+                  if (entry.value() != null) {
+                    directory.apply(new Change(move.row(), entry.value(), entry.stamp()));
+                  }
+                  boolean superseded = outcome.failed().contains(Rows.CONFIGURATION);
+                  if (tries < MAX_TRIES && !superseded) {
+                    attempt(move, tries + 1);
+                  } else {
+                    underWay.remove(move.key());
+                  }
+                }),
+        "read a quota transfer's outcome");
   }
 }
--- a/src/main/java/io/violetrail/fleet/RequestOrder.java
+++ b/src/main/java/io/violetrail/fleet/RequestOrder.java
@@ -17,7 +17,7 @@
     int priority = job.spec.priority().ordinal();
     if (priority != request.priority() || job.arrivedMs != request.arrivedMs()) {
       return priority < request.priority()
-          || priority == request.priority() && job.arrivedMs < request.arrivedMs();
+          || (priority == request.priority() && job.arrivedMs < request.arrivedMs());
     }
     return job.spec.id().value().compareTo(request.job()) < 0;
   }
--- a/src/main/java/io/violetrail/fleet/Spares.java
+++ b/src/main/java/io/violetrail/fleet/Spares.java
@@ -130,7 +130,7 @@
     int n = 0;
     for (Machine m : machines) {
       boolean usable =
-          (m.open() || !m.row.up() && !m.returning)
+          (m.open() || (!m.row.up() && !m.returning))
               && job.allows(m.row.type(), m.row.zone(), m.row.spot());
       if (usable && prices.worth(job, m.type, m.row.spot(), job.tasks(), SPARE_WORTH)) {
         Amounts room = m.room();
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -56,7 +56,7 @@
     boolean uncertain = h.uncertain(now);
     for (Job job : node.dispatcher.order(h)) {
       // Nothing is gathered for what fails wherever it goes.
-      if (job.unplaced() == 0 || job.trial.suspect() || job.recovered && uncertain) {
+      if (job.unplaced() == 0 || job.trial.suspect() || (job.recovered && uncertain)) {
         continue;
       }
       if (kinds.merge(kind(job, now), 1, Integer::sum) <= MAX_OF_A_KIND) {
--- a/src/main/java/io/violetrail/kubernetes/Keeper.java
+++ b/src/main/java/io/violetrail/kubernetes/Keeper.java
@@ -5,6 +5,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
@@ -188,16 +189,18 @@
     } else {
       txn.set(key, next.value());
     }
-    node.store
-        .settleLast(txn)
-        .whenComplete(
-            (outcome, failure) -> {
-              own.writing.remove(key);
-              if (failure == null && outcome.applied() && !next.value().has("over")) {
-                put(own, next.at(outcome.revision()));
-              }
-              // Otherwise the feed tells what stands there now.
-            });
+    Futures.logFailure(
+        node.store
+            .settleLast(txn)
+            .whenComplete(
+                (outcome, failure) -> {
+                  own.writing.remove(key);
+                  if (failure == null && outcome.applied() && !next.value().has("over")) {
+                    put(own, next.at(outcome.revision()));
+                  }
+                  // Otherwise the feed tells what stands there now.
+                }),
+        "write an object's status");
   }
 
   /** Ends what a deleted object has left; its last row goes when nothing is. */
@@ -213,22 +216,24 @@
     if (left || !own.writing.add(key)) {
       return;
     }
-    node.store
-        .settleLast(h.fenced().when(key, gone.stamp()).drop(key))
-        .whenComplete(
-            (outcome, failure) -> {
-              own.writing.remove(key);
-              if (failure == null) {
-                own.gone.remove(key);
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .settleLast(h.fenced().when(key, gone.stamp()).drop(key))
+            .whenComplete(
+                (outcome, failure) -> {
+                  own.writing.remove(key);
+                  if (failure == null) {
+                    own.gone.remove(key);
+                  }
+                }),
+        "delete an object");
   }
 
   /** Cancels a native job for good; repeated until that is stored. */
   void end(OwnedEntity h, Job job) {
     if (job.phase == Job.Phase.OPEN) {
       LOG.info("job {} of entity {} is cancelled for its object", job.spec.id(), h.entity());
-      node.jobs.cancel(h, job);
+      Futures.logFailure(node.jobs.cancel(h, job), "cancel an object's job");
     }
   }
 
@@ -253,7 +258,9 @@
             done.run();
             return;
           }
-          node.jobs.store(h, spec, null).whenComplete((stored, f) -> done.run());
+          Futures.logFailure(
+              node.jobs.store(h, spec, null).whenComplete((stored, f) -> done.run()),
+              "submit an object's job");
         });
   }
 
@@ -280,16 +287,18 @@
       return;
     }
     Runnable done = () -> own.writing.remove(id.value());
-    node.jobs
-        .lookUp(id)
-        .whenComplete(
-            (found, failure) -> {
-              boolean sure = failure == null && h.active() && node.membership.valid();
-              if (sure && found.absent()) {
-                absent.accept(own, done);
-              } else {
-                done.run();
-              }
-            });
+    Futures.logFailure(
+        node.jobs
+            .lookUp(id)
+            .whenComplete(
+                (found, failure) -> {
+                  boolean sure = failure == null && h.active() && node.membership.valid();
+                  if (sure && found.absent()) {
+                    absent.accept(own, done);
+                  } else {
+                    done.run();
+                  }
+                }),
+        "look up an object's job");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -244,7 +244,7 @@
 
   /** The body as JSON; null if the answer has been given. */
   private static ObjectNode body(Request r, Exchange to) throws Malformed {
-    String type = r.type() == null ? "" : r.type().split(";")[0].strip();
+    String type = r.type() == null ? "" : r.type().split(";", 0)[0].strip();
     if (!JSON.contains(type)) {
       to.answer(KubeStatus.unsupportedMedia("only application/json is read, not " + type));
       return null;
--- a/src/main/java/io/violetrail/kubernetes/Objects.java
+++ b/src/main/java/io/violetrail/kubernetes/Objects.java
@@ -6,6 +6,7 @@
 import io.violetrail.api.Intake.Verdict;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
+import io.violetrail.net.Futures;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.state.StateStore.Unavailable;
@@ -117,38 +118,42 @@
 
   /** The Job and its native job are stored by one transaction, through the one intake. */
   private void withJob(KubeObject object, JobSpec spec, int bytes, Exchange to) {
-    node.intake
-        .admit(spec, new Companion(object.key(), 0, object.value(), bytes))
-        .thenAccept(
-            decision -> {
-              if (decision.verdict() == Verdict.ACCEPTED && decision.revision() > 0) {
-                to.answer(201, object.at(decision.revision()).json(), 0);
-              } else if (decision.verdict() == Verdict.IMPOSSIBLE) {
-                to.answer(impossible(object, decision.why()));
-              } else if (decision.verdict() == Verdict.LATER) {
-                to.answer(KubeStatus.unavailable(decision.why()));
-              } else {
-                answerExisting(object, decision.verdict() == Verdict.ACCEPTED ? 201 : 200, to);
-              }
-            });
+    Futures.logFailure(
+        node.intake
+            .admit(spec, new Companion(object.key(), 0, object.value(), bytes))
+            .thenAccept(
+                decision -> {
+                  if (decision.verdict() == Verdict.ACCEPTED && decision.revision() > 0) {
+                    to.answer(201, object.at(decision.revision()).json(), 0);
+                  } else if (decision.verdict() == Verdict.IMPOSSIBLE) {
+                    to.answer(impossible(object, decision.why()));
+                  } else if (decision.verdict() == Verdict.LATER) {
+                    to.answer(KubeStatus.unavailable(decision.why()));
+                  } else {
+                    answerExisting(object, decision.verdict() == Verdict.ACCEPTED ? 201 : 200, to);
+                  }
+                }),
+        "submit an object's job");
   }
 
   private void alone(KubeObject object, OwnedEntity own, Exchange to) {
-    Tombstones.creation(node.store, own::fenced, object.key(), object.value())
-        .thenCompose(node.store::settle)
-        .whenComplete(
-            (outcome, failure) -> {
-              if (failure != null) {
-                to.answer(unclear(failure));
-              } else if (outcome.applied()) {
-                to.answer(201, object.at(outcome.revision()).json(), 0);
-              } else if (outcome.failed().contains(object.key())) {
-                // Another's, or an earlier try of this very write has got through.
-                answerExisting(object, 201, to);
-              } else {
-                to.answer(KubeStatus.unavailable("the entity or what was deleted has changed"));
-              }
-            });
+    Futures.logFailure(
+        Tombstones.creation(node.store, own::fenced, object.key(), object.value())
+            .thenCompose(node.store::settle)
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (failure != null) {
+                    to.answer(unclear(failure));
+                  } else if (outcome.applied()) {
+                    to.answer(201, object.at(outcome.revision()).json(), 0);
+                  } else if (outcome.failed().contains(object.key())) {
+                    // Another's, or an earlier try of this very write has got through.
+                    answerExisting(object, 201, to);
+                  } else {
+                    to.answer(KubeStatus.unavailable("the entity or what was deleted has changed"));
+                  }
+                }),
+        "create an object");
   }
 
   private void answerExisting(KubeObject object, int code, Exchange to) {
@@ -173,19 +178,21 @@
 
   /** A fresh read, whoever owns the object: no answer is older than one given before. */
   void read(Ref at, Exchange to, Consumer<KubeObject> then) {
-    node.store
-        .getForUser(at.key())
-        .whenComplete(
-            (entry, failure) -> {
-              if (failure != null) {
-                to.answer(unclear(failure));
-              } else {
-                then.accept(
-                    entry.value() == null
-                        ? null
-                        : KubeObject.of(at.key(), entry.value(), entry.stamp()));
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .getForUser(at.key())
+            .whenComplete(
+                (entry, failure) -> {
+                  if (failure != null) {
+                    to.answer(unclear(failure));
+                  } else {
+                    then.accept(
+                        entry.value() == null
+                            ? null
+                            : KubeObject.of(at.key(), entry.value(), entry.stamp()));
+                  }
+                }),
+        "read an object");
   }
 
   void get(Ref at, Exchange to) {
@@ -208,50 +215,54 @@
       to.answer(KubeStatus.badRequest("continue: is not a token of this listing"));
       return;
     }
-    node.store
-        .pageForUser(prefix, query.after(), query.limit())
-        .whenComplete(
-            (page, failure) -> {
-              if (failure != null) {
-                to.answer(unclear(failure));
-                return;
-              }
-              ObjectNode m = Cbor.map().put("kind", kind.published() + "List");
-              m.put("apiVersion", kind.apiVersion());
-              ObjectNode meta = m.putObject("metadata");
-              meta.put("resourceVersion", String.valueOf(page.revision()));
-              if (page.more() && !page.entries().isEmpty()) {
-                String last = page.entries().get(page.entries().size() - 1).key();
-                meta.put("continue", Query.token(last));
-              }
-              var items = m.putArray("items");
-              page.entries().stream()
-                  .map(e -> KubeObject.of(e.key(), e.value(), e.stamp()))
-                  .filter(query.in(namespace))
-                  .forEach(o -> items.add(o.json()));
-              to.answer(200, m, 0);
-            });
+    Futures.logFailure(
+        node.store
+            .pageForUser(prefix, query.after(), query.limit())
+            .whenComplete(
+                (page, failure) -> {
+                  if (failure != null) {
+                    to.answer(unclear(failure));
+                    return;
+                  }
+                  ObjectNode m = Cbor.map().put("kind", kind.published() + "List");
+                  m.put("apiVersion", kind.apiVersion());
+                  ObjectNode meta = m.putObject("metadata");
+                  meta.put("resourceVersion", String.valueOf(page.revision()));
+                  if (page.more() && !page.entries().isEmpty()) {
+                    String last = page.entries().get(page.entries().size() - 1).key();
+                    meta.put("continue", Query.token(last));
+                  }
+                  var items = m.putArray("items");
+                  page.entries().stream()
+                      .map(e -> KubeObject.of(e.key(), e.value(), e.stamp()))
+                      .filter(query.in(namespace))
+                      .forEach(o -> items.add(o.json()));
+                  to.answer(200, m, 0);
+                }),
+        "list objects");
   }
 
   /** All objects there are now with their revision, for a watch that begins with them. */
   void all(Kind kind, String namespace, Exchange to, BiConsumer<List<KubeObject>, Long> then) {
     String prefix = KubeObject.rows(kind, namespace);
-    node.store
-        .pageForUser(prefix, "", 2 * MOST_OBJECTS)
-        .whenComplete(
-            (page, failure) -> {
-              if (failure != null) {
-                to.answer(unclear(failure));
-              } else if (page.more()) {
-                to.answer(KubeStatus.tooMany("too many objects: list them in pages first"));
-              } else {
-                then.accept(
-                    page.entries().stream()
-                        .map(e -> KubeObject.of(e.key(), e.value(), e.stamp()))
-                        .toList(),
-                    page.revision());
-              }
-            });
+    Futures.logFailure(
+        node.store
+            .pageForUser(prefix, "", 2 * MOST_OBJECTS)
+            .whenComplete(
+                (page, failure) -> {
+                  if (failure != null) {
+                    to.answer(unclear(failure));
+                  } else if (page.more()) {
+                    to.answer(KubeStatus.tooMany("too many objects: list them in pages first"));
+                  } else {
+                    then.accept(
+                        page.entries().stream()
+                            .map(e -> KubeObject.of(e.key(), e.value(), e.stamp()))
+                            .toList(),
+                        page.revision());
+                  }
+                }),
+        "read all objects for a listing");
   }
 
   /** Replaces what may change of an object. */
@@ -356,18 +367,20 @@
             to.answer(impossible(next, never));
             return;
           }
-          node.store
-              .settle(new Txn().when(found.key(), found.stamp()).set(found.key(), next.value()))
-              .whenComplete(
-                  (outcome, failure) -> {
-                    if (failure != null) {
-                      to.answer(unclear(failure));
-                    } else if (outcome.applied()) {
-                      to.answer(200, next.at(outcome.revision()).json(), 0);
-                    } else {
-                      tryChange(at, uid, version, to, change, tries - 1, next);
-                    }
-                  });
+          Futures.logFailure(
+              node.store
+                  .settle(new Txn().when(found.key(), found.stamp()).set(found.key(), next.value()))
+                  .whenComplete(
+                      (outcome, failure) -> {
+                        if (failure != null) {
+                          to.answer(unclear(failure));
+                        } else if (outcome.applied()) {
+                          to.answer(200, next.at(outcome.revision()).json(), 0);
+                        } else {
+                          tryChange(at, uid, version, to, change, tries - 1, next);
+                        }
+                      }),
+              "change an object");
         });
   }
 
@@ -436,21 +449,25 @@
           } else {
             txn.set(found.key(), marked.value());
           }
-          node.store
-              .settle(txn)
-              .whenComplete(
-                  (outcome, failure) -> {
-                    if (failure != null) {
-                      to.answer(unclear(failure));
-                    } else if (!outcome.applied()) {
-                      tryDelete(at, preconditions, policy, to, tries - 1);
-                    } else if (background) {
-                      to.answer(
-                          200, KubeStatus.success(at.kind().plural(), at.name(), found.uid()), 0);
-                    } else {
-                      to.answer(200, marked.at(outcome.revision()).json(), 0);
-                    }
-                  });
+          Futures.logFailure(
+              node.store
+                  .settle(txn)
+                  .whenComplete(
+                      (outcome, failure) -> {
+                        if (failure != null) {
+                          to.answer(unclear(failure));
+                        } else if (!outcome.applied()) {
+                          tryDelete(at, preconditions, policy, to, tries - 1);
+                        } else if (background) {
+                          to.answer(
+                              200,
+                              KubeStatus.success(at.kind().plural(), at.name(), found.uid()),
+                              0);
+                        } else {
+                          to.answer(200, marked.at(outcome.revision()).json(), 0);
+                        }
+                      }),
+              "delete an object");
         });
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/Pods.java
+++ b/src/main/java/io/violetrail/kubernetes/Pods.java
@@ -5,6 +5,7 @@
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.kubernetes.KubeObject.Part;
 import io.violetrail.model.ControllerId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -55,18 +56,20 @@
     for (ControllerId entity : node.settings.controllers()) {
       all.add(of(entity, namespace, query));
     }
-    CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
-        .whenComplete(
-            (nothing, failure) -> {
-              if (failure != null) {
-                to.answer(KubeStatus.unavailable("an owner of tasks does not answer"));
-                return;
-              }
-              List<ObjectNode> pods = new ArrayList<>();
-              all.forEach(f -> pods.addAll(f.join()));
-              pods.sort(inOrder());
-              to.answer(200, page(pods, query), 0);
-            });
+    Futures.logFailure(
+        CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
+            .whenComplete(
+                (nothing, failure) -> {
+                  if (failure != null) {
+                    to.answer(KubeStatus.unavailable("an owner of tasks does not answer"));
+                    return;
+                  }
+                  List<ObjectNode> pods = new ArrayList<>();
+                  all.forEach(f -> pods.addAll(f.join()));
+                  pods.sort(inOrder());
+                  to.answer(200, page(pods, query), 0);
+                }),
+        "collect tasks from their owners");
   }
 
   private static ObjectNode page(List<ObjectNode> pods, Query query) {
--- a/src/main/java/io/violetrail/net/Rounds.java
+++ b/src/main/java/io/violetrail/net/Rounds.java
@@ -36,19 +36,21 @@
 
   private void send(K question, CompletableFuture<V> answer) {
     underWay.add(question);
-    ask.apply(question)
-        .whenComplete(
-            (v, failure) -> {
-              underWay.remove(question);
-              CompletableFuture<V> waiting = next.remove(question);
-              if (waiting != null) {
-                send(question, waiting);
-              }
-              if (failure == null) {
-                answer.complete(v);
-              } else {
-                answer.completeExceptionally(failure);
-              }
-            });
+    Futures.logFailure(
+        ask.apply(question)
+            .whenComplete(
+                (v, failure) -> {
+                  underWay.remove(question);
+                  CompletableFuture<V> waiting = next.remove(question);
+                  if (waiting != null) {
+                    send(question, waiting);
+                  }
+                  if (failure == null) {
+                    answer.complete(v);
+                  } else {
+                    answer.completeExceptionally(failure);
+                  }
+                }),
+        "ask a shared question");
   }
 }
--- a/src/main/java/io/violetrail/node/Node.java
+++ b/src/main/java/io/violetrail/node/Node.java
@@ -24,6 +24,7 @@
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Service;
@@ -250,23 +251,26 @@
   }
 
   private void rewrite(OwnedEntity h, Machine m, MachineRow next) {
-    h.register
-        .change(m.row, next)
-        .whenComplete(
-            (stored, failure) -> {
-              m.marking = false;
-              if (failure == null) {
-                if (!m.row.up()) {
-                  fleet.boots.up(m.type, loop.seconds() - m.rentedS, loop.seconds());
-                  // Its boot is not idleness: dear machines were returned the moment they came up.
-                  m.idleSinceS = loop.seconds();
-                }
-                m.row = stored;
-                dispatcher.wake();
-              } else {
-                membership.suspect();
-              }
-            });
+    Futures.logFailure(
+        h.register
+            .change(m.row, next)
+            .whenComplete(
+                (stored, failure) -> {
+                  m.marking = false;
+                  if (failure == null) {
+                    if (!m.row.up()) {
+                      fleet.boots.up(m.type, loop.seconds() - m.rentedS, loop.seconds());
+                      // Its boot is not idleness: dear machines were returned the moment they came
+                      // up.
+                      m.idleSinceS = loop.seconds();
+                    }
+                    m.row = stored;
+                    dispatcher.wake();
+                  } else {
+                    membership.suspect();
+                  }
+                }),
+        "rewrite a machine's record");
   }
 
   /** Removes a machine that the cloud has taken back for sure. */
@@ -308,33 +312,35 @@
     var progress = store.list(Rows.progress(h.entity()));
     // Rows of machines as of after the move: from here on only this owner changes them.
     var common = store.list(Rows.COMMON);
-    open.thenCombine(hires, (o, i) -> o)
-        .thenCombine(progress, (o, p) -> o)
-        .thenCombine(common, (o, c) -> c)
-        .whenComplete(
-            (listing, failure) -> {
-              if (failure != null) {
-                loop.after(0.5, () -> load(h));
-                return;
-              }
-              directory.replace(listing.entries(), listing.revision());
-              if (h.phase != OwnedEntity.Phase.LOADING) {
-                return;
-              }
-              if (!activate(h)) {
-                loop.after(0.3, () -> load(h));
-                return;
-              }
-              jobs.load(h, open.join(), progress.join().entries());
-              fleet.resume(h, hires.join().entries());
-              LOG.info(
-                  "entity {} version {} active: {} jobs, {} machines",
-                  h.entity(),
-                  h.row.version(),
-                  h.jobs.size(),
-                  h.machines.size());
-              dispatcher.wake();
-            });
+    Futures.logFailure(
+        open.thenCombine(hires, (o, i) -> o)
+            .thenCombine(progress, (o, p) -> o)
+            .thenCombine(common, (o, c) -> c)
+            .whenComplete(
+                (listing, failure) -> {
+                  if (failure != null) {
+                    loop.after(0.5, () -> load(h));
+                    return;
+                  }
+                  directory.replace(listing.entries(), listing.revision());
+                  if (h.phase != OwnedEntity.Phase.LOADING) {
+                    return;
+                  }
+                  if (!activate(h)) {
+                    loop.after(0.3, () -> load(h));
+                    return;
+                  }
+                  jobs.load(h, open.join(), progress.join().entries());
+                  fleet.resume(h, hires.join().entries());
+                  LOG.info(
+                      "entity {} version {} active: {} jobs, {} machines",
+                      h.entity(),
+                      h.row.version(),
+                      h.jobs.size(),
+                      h.machines.size());
+                  dispatcher.wake();
+                }),
+        "load an entity's state");
   }
 
   private boolean activate(OwnedEntity h) {
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -4,6 +4,7 @@
 import io.violetrail.config.Settings;
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.ownership.Rows.EntityRow;
 import io.violetrail.ownership.Rows.OwnershipHistory;
@@ -144,22 +145,24 @@
    */
   private void acquire() {
     double sentAt = loop.seconds();
-    store
-        .lease(timing.ttlS())
-        .thenCombine(
-            store.list(Rows.COMMON),
-            (id, listing) -> {
-              directory.replace(listing.entries(), listing.revision());
-              return id;
-            })
-        .whenComplete(
-            (id, failure) -> {
-              if (failure != null) {
-                loop.after(0.3, this::acquire);
-              } else {
-                announce(id, sentAt);
-              }
-            });
+    Futures.logFailure(
+        store
+            .lease(timing.ttlS())
+            .thenCombine(
+                store.list(Rows.COMMON),
+                (id, listing) -> {
+                  directory.replace(listing.entries(), listing.revision());
+                  return id;
+                })
+            .whenComplete(
+                (id, failure) -> {
+                  if (failure != null) {
+                    loop.after(0.3, this::acquire);
+                  } else {
+                    announce(id, sentAt);
+                  }
+                }),
+        "acquire a lease");
   }
 
   private void announce(long id, double sentAt) {
@@ -184,27 +187,30 @@
       txn.when(Rows.entity(h.entity()), h.row.stamp());
     }
     EntityRow retaken = next;
-    store
-        .urgent(txn)
-        .whenComplete(
-            (outcome, failure) -> {
-              if (failure != null || !outcome.applied()) {
-                if (failure == null) {
-                  outcome.failed().forEach(key -> doubt(key));
-                }
-                loop.after(0.2, this::acquire);
-                return;
-              }
-              lease = OptionalLong.of(id);
-              validUntil = sentAt + timing.ttlS() - timing.marginS();
-              directory.apply(
-                  new Change(Rows.alive(me), Rows.aliveValue(settings.zone()), outcome.revision()));
-              LOG.info("lease {} begins, revision {}", id, outcome.revision());
-              if (retaken != null) {
-                hold(retaken.stamped(outcome.revision()), retaken.calm());
-              }
-              watch();
-            });
+    Futures.logFailure(
+        store
+            .urgent(txn)
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (failure != null || !outcome.applied()) {
+                    if (failure == null) {
+                      outcome.failed().forEach(key -> doubt(key));
+                    }
+                    loop.after(0.2, this::acquire);
+                    return;
+                  }
+                  lease = OptionalLong.of(id);
+                  validUntil = sentAt + timing.ttlS() - timing.marginS();
+                  directory.apply(
+                      new Change(
+                          Rows.alive(me), Rows.aliveValue(settings.zone()), outcome.revision()));
+                  LOG.info("lease {} begins, revision {}", id, outcome.revision());
+                  if (retaken != null) {
+                    hold(retaken.stamped(outcome.revision()), retaken.calm());
+                  }
+                  watch();
+                }),
+        "announce this controller and take its own entity");
   }
 
   private OwnershipHistory past(EntityRow row, boolean seized) {
@@ -239,21 +245,23 @@
     }
     long id = lease.getAsLong();
     double sentAt = loop.seconds();
-    store
-        .renew(id)
-        .whenComplete(
-            (renewed, failure) -> {
-              if (!lease.equals(OptionalLong.of(id)) || failure != null) {
-                return;
-              }
-              if (renewed) {
-                validUntil = Math.max(validUntil, sentAt + timing.ttlS() - timing.marginS());
-              } else {
-                LOG.info("lease {} has ended", id);
-                lease = OptionalLong.empty();
-                acquire();
-              }
-            });
+    Futures.logFailure(
+        store
+            .renew(id)
+            .whenComplete(
+                (renewed, failure) -> {
+                  if (!lease.equals(OptionalLong.of(id)) || failure != null) {
+                    return;
+                  }
+                  if (renewed) {
+                    validUntil = Math.max(validUntil, sentAt + timing.ttlS() - timing.marginS());
+                  } else {
+                    LOG.info("lease {} has ended", id);
+                    lease = OptionalLong.empty();
+                    acquire();
+                  }
+                }),
+        "renew the lease");
   }
 
   private void watch() {
@@ -301,25 +309,27 @@
   private void list() {
     List<Runnable> asked = List.copyOf(afterListing);
     afterListing.clear();
-    store
-        .list(Rows.COMMON)
-        .whenComplete(
-            (listing, failure) -> {
-              if (failure == null) {
-                directory.replace(listing.entries(), listing.revision());
-                asked.forEach(Runnable::run);
-                check();
-                listener.changed();
-                watch();
-              } else {
-                afterListing.addAll(asked);
-              }
-              if (afterListing.isEmpty()) {
-                this.listing = false;
-              } else {
-                loop.after(failure == null ? 0.2 : 1, this::list);
-              }
-            });
+    Futures.logFailure(
+        store
+            .list(Rows.COMMON)
+            .whenComplete(
+                (listing, failure) -> {
+                  if (failure == null) {
+                    directory.replace(listing.entries(), listing.revision());
+                    asked.forEach(Runnable::run);
+                    check();
+                    listener.changed();
+                    watch();
+                  } else {
+                    afterListing.addAll(asked);
+                  }
+                  if (afterListing.isEmpty()) {
+                    this.listing = false;
+                  } else {
+                    loop.after(failure == null ? 0.2 : 1, this::list);
+                  }
+                }),
+        "list the shared rows");
   }
 
   private void check() {
@@ -401,22 +411,24 @@
     if (!lapsed.equals(to)) {
       txn.when(Rows.alive(lapsed), 0);
     }
-    store
-        .urgent(txn)
-        .whenComplete(
-            (outcome, failure) -> {
-              moving.remove(row.entity());
-              if (failure == null && outcome.applied()) {
-                LOG.info(
-                    "entity {} taken from {} with version {}",
-                    row.entity(),
-                    lapsed,
-                    next.version());
-                hold(next.stamped(outcome.revision()), calm);
-              } else {
-                relist();
-              }
-            });
+    Futures.logFailure(
+        store
+            .urgent(txn)
+            .whenComplete(
+                (outcome, failure) -> {
+                  moving.remove(row.entity());
+                  if (failure == null && outcome.applied()) {
+                    LOG.info(
+                        "entity {} taken from {} with version {}",
+                        row.entity(),
+                        lapsed,
+                        next.version());
+                    hold(next.stamped(outcome.revision()), calm);
+                  } else {
+                    relist();
+                  }
+                }),
+        "take over an entity");
   }
 
   /** Hands an entity to its home controller. Nothing is launched for it from here on. */
@@ -438,21 +450,26 @@
             .set(Rows.entity(h.entity()), Rows.value(next, to.value()));
     // Nothing is launched meanwhile, so this does not wait behind other writes: it did, for the
     // whole of a burst of submissions, and two controllers of three stood idle.
-    store
-        .settleUrgent(txn)
-        .whenComplete(
-            (outcome, failure) -> {
-              if (failure == null && outcome.applied()) {
-                drop(h, "handed back to " + to);
-                directory.apply(
-                    new Change(
-                        Rows.entity(h.entity()), Rows.value(next, to.value()), outcome.revision()));
-              } else if (failure == null && !outcome.failed().contains(Rows.entity(h.entity()))) {
-                h.phase = OwnedEntity.Phase.ACTIVE;
-              } else {
-                relist();
-              }
-            });
+    Futures.logFailure(
+        store
+            .settleUrgent(txn)
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (failure == null && outcome.applied()) {
+                    drop(h, "handed back to " + to);
+                    directory.apply(
+                        new Change(
+                            Rows.entity(h.entity()),
+                            Rows.value(next, to.value()),
+                            outcome.revision()));
+                  } else if (failure == null
+                      && !outcome.failed().contains(Rows.entity(h.entity()))) {
+                    h.phase = OwnedEntity.Phase.ACTIVE;
+                  } else {
+                    relist();
+                  }
+                }),
+        "release an entity");
   }
 
   private void hold(EntityRow row, boolean calm) {
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -172,7 +172,7 @@
     boolean spareBefore = p.machine.spare();
     p.machine.remove(p);
     // Spare work does not keep an ordinary machine rented: its idleness began before.
-    if (!spareBefore && p.machine.spare() || p.machine.empty() && p.machine.row.spot()) {
+    if ((!spareBefore && p.machine.spare()) || (p.machine.empty() && p.machine.row.spot())) {
       p.machine.idleSinceS = now;
     }
     if (p.job.phase == Job.Phase.OVER && p.job.nothingPlaced()) {
--- a/src/main/java/io/violetrail/ownership/Register.java
+++ b/src/main/java/io/violetrail/ownership/Register.java
@@ -2,6 +2,7 @@
 
 import io.violetrail.config.Settings;
 import io.violetrail.model.MachineId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Soon;
 import io.violetrail.ownership.Directory.Block;
@@ -298,20 +299,22 @@
     }
     writing = true;
     Draft[] drawn = new Draft[1];
-    store
-        .settleLate(() -> (drawn[0] = draft()) == null ? null : drawn[0].finish())
-        .whenComplete(
-            (outcome, failure) -> {
-              writing = false;
-              if (drawn[0] == null) {
-                wake(AGAIN_S);
-              } else if (failure == null && outcome.applied()) {
-                applied(drawn[0], outcome);
-                wake(full ? 0 : GATHER_S);
-              } else {
-                refused(drawn[0], outcome);
-              }
-            });
+    Futures.logFailure(
+        store
+            .settleLate(() -> (drawn[0] = draft()) == null ? null : drawn[0].finish())
+            .whenComplete(
+                (outcome, failure) -> {
+                  writing = false;
+                  if (drawn[0] == null) {
+                    wake(AGAIN_S);
+                  } else if (failure == null && outcome.applied()) {
+                    applied(drawn[0], outcome);
+                    wake(full ? 0 : GATHER_S);
+                  } else {
+                    refused(drawn[0], outcome);
+                  }
+                }),
+        "write machine records");
   }
 
   /** Takes as many of the changes that wait as one transaction holds; null if there are none. */
@@ -335,7 +338,7 @@
   /** A machine that another entity has by now is not recorded twice. */
   private boolean taken(Edit e) {
     MachineRow known = directory.machine(e.row.id());
-    if (known == null || known.entity().equals(h.entity()) && known.inBlock()) {
+    if (known == null || (known.entity().equals(h.entity()) && known.inBlock())) {
       return false;
     }
     e.done.completeExceptionally(new Refused(e.row.id() + " is " + known.entity() + "'s"));
--- a/src/main/java/io/violetrail/peer/Peers.java
+++ b/src/main/java/io/violetrail/peer/Peers.java
@@ -12,6 +12,7 @@
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.net.Service;
 import io.violetrail.node.Node;
@@ -58,7 +59,9 @@
 
   private void askForBudget(ControllerId peer, long units) {
     Question question = new Question(Kind.BUDGET, node.settings.self().value(), "", units);
-    call(peer, question, TIMEOUT_S).thenAccept(r -> lending.borrowed(r.number()));
+    Futures.logFailure(
+        call(peer, question, TIMEOUT_S).thenAccept(r -> lending.borrowed(r.number())),
+        "borrow request budget");
   }
 
   /** What is asked. */
@@ -229,10 +232,13 @@
    * here.
    */
   public void askBack(ControllerId owner) {
-    call(
-        owner,
-        new Question(Kind.HAND_BACK, node.settings.self().value(), node.settings.self().value(), 0),
-        TIMEOUT_S);
+    Futures.logFailure(
+        call(
+            owner,
+            new Question(
+                Kind.HAND_BACK, node.settings.self().value(), node.settings.self().value(), 0),
+            TIMEOUT_S),
+        "ask for an entity back");
   }
 
   /** Tells all peers what this controller holds, so that a former owner in doubt stops at once. */
@@ -245,7 +251,10 @@
     Question q =
         new Question(
             Kind.MOVED, node.settings.self().value(), h.entity().value(), h.row.version().value());
-    node.settings.peers().keySet().forEach(p -> call(p, q, TIMEOUT_S));
+    node.settings
+        .peers()
+        .keySet()
+        .forEach(p -> Futures.logFailure(call(p, q, TIMEOUT_S), "announce a move"));
   }
 
   /** Asks all peers for machines or slices that an entity held here lacks. */
@@ -259,7 +268,7 @@
             new ArrayList<>(requests));
     node.settings.peers().keySet().stream()
         .filter(node.directory::isAlive)
-        .forEach(p -> call(p, q, TIMEOUT_S));
+        .forEach(p -> Futures.logFailure(call(p, q, TIMEOUT_S), "ask for resources"));
   }
 
   /** Saves the peers a call to the cloud. */
@@ -269,7 +278,7 @@
             Kind.SOLD_OUT, node.settings.self().value(), type + " " + zone + " " + spot, 0);
     node.settings.peers().keySet().stream()
         .filter(node.directory::isAlive)
-        .forEach(p -> call(p, q, TIMEOUT_S));
+        .forEach(p -> Futures.logFailure(call(p, q, TIMEOUT_S), "announce missing capacity"));
   }
 
   private CompletableFuture<Reply> call(ControllerId to, Question question, double timeoutS) {
@@ -362,10 +371,12 @@
     } else if (h == null || !node.membership.valid()) {
       reply.accept(Reply.UNKNOWN);
     } else {
-      node.jobs
-          .cancel(h, h.jobs.get(id))
-          .whenComplete(
-              (v, failure) -> reply.accept(failure == null ? Reply.of(v) : Reply.UNKNOWN));
+      Futures.logFailure(
+          node.jobs
+              .cancel(h, h.jobs.get(id))
+              .whenComplete(
+                  (v, failure) -> reply.accept(failure == null ? Reply.of(v) : Reply.UNKNOWN)),
+          "cancel a job for a peer");
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/Views.java
+++ b/src/main/java/io/violetrail/peer/Views.java
@@ -3,6 +3,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
+import io.violetrail.net.Futures;
 import io.violetrail.state.StateStore.Unavailable;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -71,24 +72,26 @@
       it.remove();
     }
     lane.inFlight++;
-    sender
-        .send(owner, new ArrayList<>(batch.keySet()))
-        .whenComplete(
-            (views, failure) -> {
-              lane.inFlight--;
-              send(owner, lane);
-              batch.forEach(
-                  (id, future) -> {
-                    JobView view = failure == null ? views.get(id) : null;
-                    if (view != null) {
-                      future.complete(view);
-                    } else {
-                      future.completeExceptionally(
-                          failure != null
-                              ? failure
-                              : new Unavailable("the owner does not know", 404));
-                    }
-                  });
-            });
+    Futures.logFailure(
+        sender
+            .send(owner, new ArrayList<>(batch.keySet()))
+            .whenComplete(
+                (views, failure) -> {
+                  lane.inFlight--;
+                  send(owner, lane);
+                  batch.forEach(
+                      (id, future) -> {
+                        JobView view = failure == null ? views.get(id) : null;
+                        if (view != null) {
+                          future.complete(view);
+                        } else {
+                          future.completeExceptionally(
+                              failure != null
+                                  ? failure
+                                  : new Unavailable("the owner does not know", 404));
+                        }
+                      });
+                }),
+        "ask a peer for jobs' states");
   }
 }
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -5,6 +5,7 @@
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.Status;
 import io.violetrail.model.Shape;
+import io.violetrail.net.Futures;
 import java.util.ArrayDeque;
 import java.util.BitSet;
 import java.util.List;
@@ -268,13 +269,15 @@
       return;
     }
     writing = true;
-    writes
-        .poll()
-        .get()
-        .whenComplete(
-            (r, f) -> {
-              writing = false;
-              nextWrite();
-            });
+    Futures.logFailure(
+        writes
+            .poll()
+            .get()
+            .whenComplete(
+                (r, f) -> {
+                  writing = false;
+                  nextWrite();
+                }),
+        "write a job's state");
   }
 }
--- a/src/main/java/io/violetrail/state/FirstListing.java
+++ b/src/main/java/io/violetrail/state/FirstListing.java
@@ -1,5 +1,6 @@
 package io.violetrail.state;
 
+import io.violetrail.net.Futures;
 import io.violetrail.wire.StateWire.Entry;
 import java.util.function.Consumer;
 
@@ -18,16 +19,18 @@
       return;
     }
     reading = true;
-    store
-        .list(prefix)
-        .whenComplete(
-            (listing, failure) -> {
-              reading = false;
-              if (failure == null) {
-                listing.entries().forEach(each);
-                done = true;
-                whole.run();
-              }
-            });
+    Futures.logFailure(
+        store
+            .list(prefix)
+            .whenComplete(
+                (listing, failure) -> {
+                  reading = false;
+                  if (failure == null) {
+                    listing.entries().forEach(each);
+                    done = true;
+                    whole.run();
+                  }
+                }),
+        "list rows for the first time");
   }
 }
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -1,6 +1,7 @@
 package io.violetrail.state;
 
 import io.violetrail.net.Budget;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.net.Soon;
 import io.violetrail.state.StateStore.Unavailable;
@@ -225,7 +226,7 @@
         // A wide transaction goes when a narrow one could, and those after it pay: one that had to
         // find its whole need in the bucket never went while submissions kept that low.
         double need = sum.writes + Math.min(p.writes(), NARROW) + left;
-        if (!writes.has(Math.min(need, writes.burst()), now) || p.alone && !group.isEmpty()) {
+        if (!writes.has(Math.min(need, writes.burst()), now) || (p.alone && !group.isEmpty())) {
           break;
         }
         if (!p.drafted()) {
@@ -258,10 +259,10 @@
     boolean takes(Part p, int maxWrites) {
       boolean fits =
           parts == 0
-              || !p.alone
+              || (!p.alone
                   && writes + p.txn.writes() <= maxWrites
                   && bytes + p.bytes <= MAX_BYTES
-                  && conditions.size() + p.txn.conditions().size() <= 4 * maxWrites;
+                  && conditions.size() + p.txn.conditions().size() <= 4 * maxWrites);
       if (closed || !fits) {
         return false;
       }
@@ -272,7 +273,7 @@
       }
       for (var c : p.txn.conditions().entrySet()) {
         Long other = conditions.get(c.getKey());
-        if (written.contains(c.getKey()) || other != null && !other.equals(c.getValue())) {
+        if (written.contains(c.getKey()) || (other != null && !other.equals(c.getValue()))) {
           return false;
         }
       }
@@ -289,22 +290,24 @@
   private void send(List<Part> group) {
     Txn all = new Txn();
     group.forEach(p -> all.add(p.txn));
-    send.apply(all)
-        .whenComplete(
-            (outcome, failure) -> {
-              inFlight--;
-              if (failure == null) {
-                settled(group, outcome);
-              } else if (Unavailable.of(failure).status() != 400) {
-                loop.after(RETRY_S, () -> again(group));
-              } else if (group.size() == 1) {
-                group.get(0).done.completeExceptionally(failure);
-              } else {
-                group.forEach(p -> p.alone = true);
-                again(group);
-              }
-              next.in(0);
-            });
+    Futures.logFailure(
+        send.apply(all)
+            .whenComplete(
+                (outcome, failure) -> {
+                  inFlight--;
+                  if (failure == null) {
+                    settled(group, outcome);
+                  } else if (Unavailable.of(failure).status() != 400) {
+                    loop.after(RETRY_S, () -> again(group));
+                  } else if (group.size() == 1) {
+                    group.get(0).done.completeExceptionally(failure);
+                  } else {
+                    group.forEach(p -> p.alone = true);
+                    again(group);
+                  }
+                  next.in(0);
+                }),
+        "commit a group of transactions");
   }
 
   private void settled(List<Part> group, Outcome outcome) {
--- a/src/main/java/io/violetrail/state/RowFeed.java
+++ b/src/main/java/io/violetrail/state/RowFeed.java
@@ -1,5 +1,6 @@
 package io.violetrail.state;
 
+import io.violetrail.net.Futures;
 import io.violetrail.net.Loop;
 import io.violetrail.wire.StateWire;
 import io.violetrail.wire.StateWire.Change;
@@ -40,19 +41,21 @@
 
   /** Lists all rows and then watches for changes; a failed listing is tried again after a delay. */
   public void start() {
-    store
-        .list(prefix)
-        .whenComplete(
-            (listing, failure) -> {
-              if (failure != null) {
-                loop.after(AGAIN_S, this::start);
-                return;
-              }
-              revision = listing.revision();
-              ready = true;
-              rows.listed(listing.entries(), revision);
-              watch();
-            });
+    Futures.logFailure(
+        store
+            .list(prefix)
+            .whenComplete(
+                (listing, failure) -> {
+                  if (failure != null) {
+                    loop.after(AGAIN_S, this::start);
+                    return;
+                  }
+                  revision = listing.revision();
+                  ready = true;
+                  rows.listed(listing.entries(), revision);
+                  watch();
+                }),
+        "list the rows of a feed");
   }
 
   public boolean ready() {
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings;
 import io.violetrail.net.Budget;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.net.Loop;
 import io.violetrail.wire.Cbor;
@@ -238,17 +239,22 @@
   /** Repeats a transaction that cannot wait for the budget until its outcome is certain. */
   public CompletableFuture<Outcome> settleUrgent(Txn txn) {
     CompletableFuture<Outcome> done = new CompletableFuture<>();
-    urgent(txn)
-        .whenComplete(
-            (outcome, failure) -> {
-              if (failure == null) {
-                done.complete(outcome);
-              } else {
-                loop.after(
-                    URGENT_RETRY_S,
-                    () -> settleUrgent(txn).whenComplete((o, f) -> done.complete(o)));
-              }
-            });
+    Futures.logFailure(
+        urgent(txn)
+            .whenComplete(
+                (outcome, failure) -> {
+                  if (failure == null) {
+                    done.complete(outcome);
+                  } else {
+                    loop.after(
+                        URGENT_RETRY_S,
+                        () ->
+                            Futures.logFailure(
+                                settleUrgent(txn).whenComplete((o, f) -> done.complete(o)),
+                                "repeat an urgent transaction"));
+                  }
+                }),
+        "commit an urgent transaction");
     return done;
   }
 
@@ -337,47 +343,51 @@
       Consumer<ObjectNode> changed,
       Consumer<Boolean> failed) {
     requests.force(1, loop.seconds());
-    http.call(
-            settings.state(),
-            "GET",
-            "/changes?under="
-                + prefix
-                + "&after="
-                + after
-                + "&block_ms="
-                + Math.round(waitS * 1000),
-            null,
-            waitS + 3)
-        .whenComplete(
-            (r, failure) -> {
-              if (failure == null && r.ok()) {
-                try {
-                  changed.accept(Cbor.parse(r.body()));
-                  return;
-                } catch (Malformed e) {
-                  // Treated like any other failure.
-                }
-              }
-              failed.accept(failure == null && r.status() == 410);
-            });
+    Futures.logFailure(
+        http.call(
+                settings.state(),
+                "GET",
+                "/changes?under="
+                    + prefix
+                    + "&after="
+                    + after
+                    + "&block_ms="
+                    + Math.round(waitS * 1000),
+                null,
+                waitS + 3)
+            .whenComplete(
+                (r, failure) -> {
+                  if (failure == null && r.ok()) {
+                    try {
+                      changed.accept(Cbor.parse(r.body()));
+                      return;
+                    } catch (Malformed e) {
+                      // Treated like any other failure.
+                    }
+                  }
+                  failed.accept(failure == null && r.status() == 410);
+                }),
+        "watch for changes");
   }
 
   private CompletableFuture<Http.Reply> call(
       String method, String path, byte[] body, double timeoutS) {
     CompletableFuture<Http.Reply> done = new CompletableFuture<>();
-    http.call(settings.state(), method, path, body, timeoutS)
-        .whenComplete(
-            (r, failure) -> {
-              if (failure != null) {
-                done.completeExceptionally(
-                    new Unavailable("state service: " + failure.getMessage(), 0));
-              } else if (r.status() == 200 || r.status() == 404 || r.status() == 409) {
-                done.complete(r);
-              } else {
-                done.completeExceptionally(
-                    new Unavailable("state service answered " + r.status(), r.status()));
-              }
-            });
+    Futures.logFailure(
+        http.call(settings.state(), method, path, body, timeoutS)
+            .whenComplete(
+                (r, failure) -> {
+                  if (failure != null) {
+                    done.completeExceptionally(
+                        new Unavailable("state service: " + failure.getMessage(), 0));
+                  } else if (r.status() == 200 || r.status() == 404 || r.status() == 409) {
+                    done.complete(r);
+                  } else {
+                    done.completeExceptionally(
+                        new Unavailable("state service answered " + r.status(), r.status()));
+                  }
+                }),
+        "call the state service");
     return done;
   }
 
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -34,7 +34,7 @@
     }
 
     public boolean newerThan(long otherSession, long otherSequence) {
-      return session > otherSession || session == otherSession && sequence > otherSequence;
+      return session > otherSession || (session == otherSession && sequence > otherSequence);
     }
   }
 
--- a/src/main/java/io/violetrail/wire/kubernetes/Paths.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/Paths.java
@@ -7,7 +7,7 @@
   /** Turns a JSON pointer into such a path. */
   public static String dotted(String pointer) {
     StringBuilder path = new StringBuilder();
-    for (String raw : pointer.split("/")) {
+    for (String raw : pointer.split("/", 0)) {
       String step = raw.replace("~1", "/").replace("~0", "~");
       if (step.isEmpty()) {
         continue;
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -9,6 +9,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.Version;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Service.Answer;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -222,7 +223,7 @@
       List<Command> orders = new ArrayList<>(r.first());
       boolean newest = m.session == r.report().session() && m.sequence == r.report().sequence();
       if (newest && node.membership.valid() && holding.active()) {
-        command(m, now, orders);
+        command(m, orders);
       }
       r.done().accept(renew(holding, holding.token(m), r.report(), orders));
     }
@@ -289,17 +290,20 @@
             true,
             term,
             node.loop.wallMillis());
-    own.register
-        .add(row)
-        .whenComplete(
-            (stored, failure) -> {
-              if (failure != null) {
-                done.accept(HeartbeatReply.elsewhere(null));
-                return;
-              }
-              LOG.info("machine {} adopted by entity {} version {}", row.id(), own.entity(), term);
-              handleAgain(own, stored, report, done);
-            });
+    Futures.logFailure(
+        own.register
+            .add(row)
+            .whenComplete(
+                (stored, failure) -> {
+                  if (failure != null) {
+                    done.accept(HeartbeatReply.elsewhere(null));
+                    return;
+                  }
+                  LOG.info(
+                      "machine {} adopted by entity {} version {}", row.id(), own.entity(), term);
+                  handleAgain(own, stored, report, done);
+                }),
+        "add a machine that reported");
   }
 
   /**
@@ -362,7 +366,7 @@
         // Passed over empty: it can be given its first tasks before it has seen its new term.
         m.session = report.session();
         m.sequence = report.sequence();
-        command(m, now, first);
+        command(m, first);
       }
       return renew(holding, token, report, first);
     }
@@ -387,7 +391,7 @@
     } else if (!wasOpen && m.open()) {
       node.dispatcher.wake();
     }
-    command(m, now, orders);
+    command(m, orders);
     return renew(holding, token, report, orders);
   }
 
@@ -410,7 +414,7 @@
     return renew(holding, token, report, halts);
   }
 
-  private void command(Machine m, double now, List<Command> orders) {
+  private void command(Machine m, List<Command> orders) {
     for (Placement p : m.tasks().values()) {
       if (p.revocable()) {
         if (m.open() && orders.size() < MAX_ORDERS && node.configuration.fresh()) {
--- a/src/main/java/io/violetrail/worker/LongPolls.java
+++ b/src/main/java/io/violetrail/worker/LongPolls.java
@@ -35,9 +35,9 @@
   private final double waitS;
   private final Map<MachineId, Report> reports = new HashMap<>();
 
-  LongPolls(Loop loop, double reportS) {
+  LongPolls(Loop loop, double reportSeconds) {
     this.loop = loop;
-    this.waitS = Math.min(MOST_S, PART * reportS);
+    this.waitS = Math.min(MOST_S, PART * reportSeconds);
   }
 
   /** Keeps the answer open; {@code answer} is run when the time is over. */
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -1,6 +1,7 @@
 package io.violetrail.worker;
 
 import io.violetrail.fleet.Machine;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -133,7 +134,9 @@
       return;
     }
     byte[] body = Cbor.bytes(HeartbeatMessages.reply(h.token(m), orders).put("tenure", m.session));
-    http.callOnce(m.endpoint, "POST", "/orders", body, TIMEOUT_S)
-        .whenComplete((r, failure) -> done.run());
+    Futures.logFailure(
+        http.callOnce(m.endpoint, "POST", "/orders", body, TIMEOUT_S)
+            .whenComplete((r, failure) -> done.run()),
+        "send orders to a worker");
   }
 }
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -3,6 +3,7 @@
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.fleet.Machine;
 import io.violetrail.model.ControllerId;
+import io.violetrail.net.Futures;
 import io.violetrail.net.Http;
 import io.violetrail.node.Node;
 import io.violetrail.ownership.OwnedEntity;
@@ -107,7 +108,7 @@
     }
     if (!deaf) {
       if (now - heardS > quietS()) {
-        suspect(now);
+        suspect();
       }
       return;
     }
@@ -128,7 +129,7 @@
   }
 
   /** Nothing was heard for too long: asks the workers heard last. */
-  private void suspect(double now) {
+  private void suspect() {
     List<HostPort> own = new ArrayList<>();
     for (OwnedEntity h : node.membership.holdings()) {
       for (Machine m : h.machines.values()) {
@@ -163,15 +164,17 @@
     int[] open = {workers.size()};
     int[] ok = {0};
     for (HostPort w : workers) {
-      http.callOnce(w, "GET", "/status", null, PROBE_S)
-          .whenComplete(
-              (r, failure) -> {
-                ok[0] += failure == null && r.ok() ? 1 : 0;
-                if (--open[0] == 0) {
-                  probing = false;
-                  answered.accept(ok[0]);
-                }
-              });
+      Futures.logFailure(
+          http.callOnce(w, "GET", "/status", null, PROBE_S)
+              .whenComplete(
+                  (r, failure) -> {
+                    ok[0] += failure == null && r.ok() ? 1 : 0;
+                    if (--open[0] == 0) {
+                      probing = false;
+                      answered.accept(ok[0]);
+                    }
+                  }),
+          "probe a worker");
     }
   }
 
@@ -191,16 +194,18 @@
       return;
     }
     ControllerId peer = peers.remove(0);
-    node.peers
-        .hears(peer)
-        .whenComplete(
-            (hears, failure) -> {
-              if (failure == null && hears && deaf) {
-                handing = false;
-                node.membership.holdings().forEach(h -> node.membership.release(h, peer));
-              } else {
-                ask(peers);
-              }
-            });
+    Futures.logFailure(
+        node.peers
+            .hears(peer)
+            .whenComplete(
+                (hears, failure) -> {
+                  if (failure == null && hears && deaf) {
+                    handing = false;
+                    node.membership.holdings().forEach(h -> node.membership.release(h, peer));
+                  } else {
+                    ask(peers);
+                  }
+                }),
+        "ask a peer whether it hears workers");
   }
 }
