--- a/src/main/java/io/violetrail/api/Intake.java
+++ b/src/main/java/io/violetrail/api/JobAdmission.java
@@ -3,13 +3,13 @@
 import io.violetrail.config.Settings.Team;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.fleet.MachineTypes;
+import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.MachineType;
-import io.violetrail.model.Shape;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.state.StateStore;
-import io.violetrail.tracing.Traces;
+import io.violetrail.tracing.JobTracer;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -18,24 +18,24 @@
  * Takes new jobs into this controller's entity, however they were described. Every interface that
  * accepts work goes through here, so equal jobs meet equal checks.
  */
-public final class Intake {
+public final class JobAdmission {
   private static final int MAX_OPEN_JOBS = 5_000;
 
   private final StateStore store;
   private final Membership membership;
   private final Configuration configuration;
   private final MachineTypes machineTypes;
-  private final Jobs jobs;
-  private final Traces traces;
+  private final JobLifecycle jobs;
+  private final JobTracer traces;
 
   /** Stores what it accepts as jobs of this controller's own entity. */
-  public Intake(
+  public JobAdmission(
       StateStore store,
       Membership membership,
       Configuration configuration,
       MachineTypes machineTypes,
-      Jobs jobs,
-      Traces traces) {
+      JobLifecycle jobs,
+      JobTracer traces) {
     this.store = store;
     this.membership = membership;
     this.configuration = configuration;
@@ -59,106 +59,111 @@
   }
 
   /** The verdict with its reason; {@code revision}: of the accepted job, 0 if it is not known. */
-  public record Decision(Verdict verdict, String why, long revision) {
+  public record Decision(Verdict verdict, String reason, long revision) {
     static Decision of(Verdict verdict, String why) {
       return new Decision(verdict, why, 0);
     }
   }
 
   /** Takes the job in, with a row of its own if one is given. */
-  public CompletableFuture<Decision> admit(JobSpec spec, Companion with) {
-    traces.asked(spec.id());
-    return decide(spec, with)
-        .whenComplete((d, failure) -> traces.answered(spec.id(), d.verdict().name()));
+  public CompletableFuture<Decision> admit(JobSpec spec, CoWrittenRow coWrittenRow) {
+    traces.submissionStarted(spec.id());
+    return decideAdmission(spec, coWrittenRow)
+        .whenComplete((d, failure) -> traces.submissionDecided(spec.id(), d.verdict().name()));
   }
 
-  private CompletableFuture<Decision> decide(JobSpec spec, Companion with) {
-    String closed = closed();
-    if (closed != null) {
-      return later(closed);
+  private CompletableFuture<Decision> decideAdmission(JobSpec spec, CoWrittenRow coWrittenRow) {
+    String closedReason = findClosedReason();
+    if (closedReason != null) {
+      return retryLater(closedReason);
     }
-    OwnedEntity own = membership.own();
-    String never = neverRuns(spec);
-    if (never != null) {
-      return refuse(spec, never);
+    OwnedEntity ownedEntity = membership.findHomeEntity();
+    String impossibleReason = findImpossibleReason(spec);
+    if (impossibleReason != null) {
+      return rejectUnlessStored(spec, impossibleReason);
     }
-    if (own.jobs().size() >= MAX_OPEN_JOBS || store.overloaded(jobs.waiting(own))) {
+    if (ownedEntity.jobs().size() >= MAX_OPEN_JOBS
+        || store.isOverloaded(jobs.pendingSubmissionCount(ownedEntity))) {
       // Said at once: who waits in vain for a place in the queue comes back later than who is told.
-      return later("too many jobs at once");
+      return retryLater("too many jobs at once");
     }
-    return jobs.store(own, spec, with)
+    return jobs.store(ownedEntity, spec, coWrittenRow)
         .handle(
             (stored, failure) -> {
               if (failure != null) {
                 return Decision.of(Verdict.LATER, "the job could not be stored");
               }
-              if (stored.fresh()) {
+              if (stored.newlyStored()) {
                 return new Decision(Verdict.ACCEPTED, "", stored.revision());
               }
-              return stored.companionTaken()
+              return stored.coWrittenRowConflict()
                   ? Decision.of(Verdict.CONFLICT, "it exists already")
                   : Decision.of(Verdict.KNOWN, "its id is taken");
             });
   }
 
   /**
-   * Why nothing can be taken in now; null if it can. Whoever asks {@link #neverRuns} asks this
-   * first: while the machine types are not known nothing seems ever to run, which is not an answer.
+   * Why nothing can be taken in now; null if it can. Whoever asks {@link #findImpossibleReason}
+   * asks this first: while the machine types are not known nothing seems ever to run, which is not
+   * an answer.
    */
-  public String closed() {
-    OwnedEntity own = membership.own();
-    if (own == null || !own.active() || !membership.valid()) {
+  public String findClosedReason() {
+    OwnedEntity ownedEntity = membership.findHomeEntity();
+    if (ownedEntity == null || !ownedEntity.isActive() || !membership.isLeaseValid()) {
       return "this controller cannot take jobs now";
     }
     return machineTypes.isEmpty() ? "the machine types are not known yet" : null;
   }
 
-  private static CompletableFuture<Decision> later(String why) {
-    return CompletableFuture.completedFuture(Decision.of(Verdict.LATER, why));
+  private static CompletableFuture<Decision> retryLater(String reason) {
+    return CompletableFuture.completedFuture(Decision.of(Verdict.LATER, reason));
   }
 
   /** A job that was accepted once is never refused, even if a check would now fail. */
-  private CompletableFuture<Decision> refuse(JobSpec spec, String why) {
+  private CompletableFuture<Decision> rejectUnlessStored(JobSpec spec, String reason) {
     return jobs.lookUp(spec.id())
         .handle(
             (found, failure) -> {
               if (failure != null) {
                 return Decision.of(Verdict.LATER, "the state service does not answer");
               }
-              return found.absent()
-                  ? Decision.of(Verdict.IMPOSSIBLE, why)
+              return found.isAbsent()
+                  ? Decision.of(Verdict.IMPOSSIBLE, reason)
                   : Decision.of(Verdict.KNOWN, "its id is taken");
             });
   }
 
   /** Why a job can never run; null if it can. */
-  public String neverRuns(JobSpec s) {
-    Team team = configuration.team(s.team());
+  public String findImpossibleReason(JobSpec spec) {
+    Team team = configuration.findTeam(spec.team());
     if (team == null) {
       return "unknown team";
     }
-    if (!configuration.accepts(s.team())) {
+    if (!configuration.acceptsJobs(spec.team())) {
       return "the team is closed";
     }
     Set<String> zones = new HashSet<>();
-    for (MachineType t : machineTypes.all()) {
-      if ((s.types() == null || s.types().contains(t.name())) && s.task().fitsIn(t.size())) {
-        zones.addAll(t.zones());
+    for (MachineType machineType : machineTypes.all()) {
+      if ((spec.machineTypes() == null || spec.machineTypes().contains(machineType.name()))
+          && spec.taskResources().fitsIn(machineType.capacity())) {
+        zones.addAll(machineType.zones());
       }
     }
-    if (s.zone() != null) {
-      zones.retainAll(Set.of(s.zone()));
+    if (spec.zone() != null) {
+      zones.retainAll(Set.of(spec.zone()));
     }
     if (zones.isEmpty()) {
       return "a task fits no allowed machine type";
     }
-    int most = (s.oneZone() ? 1 : zones.size()) * ((s.tasks() + 1) / 2);
-    if (s.spread() && s.shape() != Shape.ARRAY && most < s.tasks()) {
+    int maxTaskCount = (spec.singleZone() ? 1 : zones.size()) * ((spec.taskCount() + 1) / 2);
+    if (spec.spreadAcrossZones()
+        && spec.shape() != JobShape.ARRAY
+        && maxTaskCount < spec.taskCount()) {
       return "its tasks run together and may not be apart";
     }
-    double tasks = s.shape() == Shape.ARRAY ? 1 : s.tasks();
-    if (s.task().cpus() * tasks > team.cpusMax() + 1e-6
-        || s.task().gpus() * tasks > team.gpusMax() + 1e-6) {
+    double concurrentTaskCount = spec.shape() == JobShape.ARRAY ? 1 : spec.taskCount();
+    if (spec.taskResources().cpus() * concurrentTaskCount > team.maxCpus() + 1e-6
+        || spec.taskResources().gpus() * concurrentTaskCount > team.maxGpus() + 1e-6) {
       return "the job needs more than the team's limit";
     }
     return null;
--- /dev/null
+++ b/src/main/java/io/violetrail/api/JobProgressStore.java
@@ -0,0 +1,219 @@
+package io.violetrail.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.model.JobId;
+import io.violetrail.net.EventLoop;
+import io.violetrail.ownership.Membership;
+import io.violetrail.ownership.OwnedEntity;
+import io.violetrail.ownership.StateSchema;
+import io.violetrail.scheduling.Job;
+import io.violetrail.state.StateStore;
+import io.violetrail.wire.Cbor;
+import io.violetrail.wire.StateStoreMessages.Entry;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Which tasks of an entity's open jobs are done, as stored. A row holds parts of many jobs, so that
+ * a hundred jobs in progress cost a few writes and not a hundred: the state service counts each.
+ */
+final class JobProgressStore {
+  /** Tasks that are done wait this long for others, so that one write stores many. */
+  private static final double FLUSH_INTERVAL_SECONDS = 3;
+
+  /** Part of a value that a row is filled to; keys and the rest of the map come on top. */
+  private static final double MAX_FILL_SHARE = 0.7;
+
+  /** What a part's name and marks take beside its bits. */
+  private static final int ENTRY_OVERHEAD_CHARS = 40;
+
+  private final EventLoop loop;
+  private final StateStore store;
+  private final Membership membership;
+  private final OwnedEntity entity;
+  private final int tasksPerRange;
+  private final int maxChars;
+  private final List<ProgressRow> rows = new ArrayList<>();
+  private final Map<String, ProgressRow> rowByRangeName = new HashMap<>();
+
+  /** A row, with the parts of jobs in it. */
+  private static final class ProgressRow {
+    final int number;
+    long revision;
+    int charCount;
+    boolean dirty;
+    boolean writeInFlight;
+    double flushedAtSeconds;
+    final Map<String, TaskRange> rangesByName = new HashMap<>();
+
+    ProgressRow(int number) {
+      this.number = number;
+    }
+  }
+
+  /** The tasks of a job from {@code fromIndex} to before {@code toIndex}. */
+  private record TaskRange(Job job, int fromIndex, int toIndex) {
+    String name() {
+      return job.spec().id() + "/" + fromIndex;
+    }
+
+    int charCount() {
+      return ENTRY_OVERHEAD_CHARS + ((toIndex - fromIndex + 7) / 8 + 2) / 3 * 4;
+    }
+  }
+
+  JobProgressStore(
+      EventLoop loop,
+      StateStore store,
+      StateStoreLimits limits,
+      Membership membership,
+      OwnedEntity entity) {
+    this.loop = loop;
+    this.store = store;
+    this.membership = membership;
+    this.entity = entity;
+    this.maxChars = (int) (limits.maxValueBytes() * MAX_FILL_SHARE);
+    // Six tasks a character of base64, and at most half a value.
+    this.tasksPerRange = Math.min(16_384, limits.maxValueBytes() / 2 * 6);
+  }
+
+  /** Tasks of the job are done that are not stored. */
+  void markChanged(Job job) {
+    for (int fromIndex = 0; fromIndex < job.spec().taskCount(); fromIndex += tasksPerRange) {
+      TaskRange range =
+          new TaskRange(
+              job, fromIndex, Math.min(job.spec().taskCount(), fromIndex + tasksPerRange));
+      if (!job.doneNotStored(range.fromIndex(), range.toIndex()).isEmpty()) {
+        rowByRangeName.computeIfAbsent(range.name(), n -> assignRow(range)).dirty = true;
+      }
+    }
+  }
+
+  private ProgressRow assignRow(TaskRange range) {
+    ProgressRow row = null;
+    for (ProgressRow candidate : rows) {
+      if (row == null && candidate.charCount + range.charCount() <= maxChars) {
+        row = candidate;
+      }
+    }
+    if (row == null) {
+      row = new ProgressRow(rows.size());
+      rows.add(row);
+    }
+    addRange(row, range);
+    return row;
+  }
+
+  private static void addRange(ProgressRow row, TaskRange range) {
+    if (row.rangesByName.put(range.name(), range) == null) {
+      row.charCount += range.charCount();
+    }
+  }
+
+  /** Stores what is due, and lets go of jobs that are over. */
+  void flush(double nowSeconds) {
+    for (ProgressRow row : rows) {
+      for (TaskRange range : List.copyOf(row.rangesByName.values())) {
+        if (range.job().phase() == Job.Phase.FINISHED) {
+          row.rangesByName.remove(range.name());
+          rowByRangeName.remove(range.name());
+          row.charCount -= range.charCount();
+        }
+      }
+      if (row.dirty
+          && !row.writeInFlight
+          && nowSeconds - row.flushedAtSeconds >= FLUSH_INTERVAL_SECONDS) {
+        row.flushedAtSeconds = nowSeconds;
+        writeRow(row);
+      }
+    }
+  }
+
+  private void writeRow(ProgressRow row) {
+    row.writeInFlight = true;
+    row.dirty = false;
+    String key = StateSchema.progressKey(entity.id(), row.number);
+    ObjectNode value = Cbor.newMap();
+    Map<TaskRange, BitSet> writtenTasks = new HashMap<>();
+    for (TaskRange range : row.rangesByName.values()) {
+      BitSet doneTasks = range.job().doneTasks().get(range.fromIndex(), range.toIndex());
+      writtenTasks.put(range, doneTasks);
+      value.put(range.name(), Base64.getEncoder().encodeToString(doneTasks.toByteArray()));
+    }
+    // The row's stamp keeps a late write of older progress from undoing newer one.
+    store
+        .commitInBackground(
+            entity.fencedTransaction().ifRevision(key, row.revision).put(key, value))
+        .whenComplete(
+            (outcome, failure) -> {
+              row.writeInFlight = false;
+              if (failure != null) {
+                row.dirty = true;
+              } else if (outcome.applied()) {
+                row.revision = outcome.revision();
+                writtenTasks.forEach(
+                    (p, doneTasks) ->
+                        doneTasks.stream().forEach(i -> p.job().markStored(p.fromIndex() + i)));
+              } else if (outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
+                membership.verifyOwnership();
+              } else {
+                rereadRow(row, key);
+              }
+            });
+  }
+
+  /** An earlier try that was thought lost has changed the row. */
+  private void rereadRow(ProgressRow row, String key) {
+    row.writeInFlight = true;
+    store
+        .get(key)
+        .whenComplete(
+            (entry, failure) -> {
+              if (failure != null) {
+                loop.schedule(1, () -> rereadRow(row, key));
+              } else {
+                row.writeInFlight = false;
+                row.revision = entry.modRevision();
+                row.dirty = true;
+              }
+            });
+  }
+
+  /** Takes over what a former owner stored. */
+  void restore(List<Entry> entries) {
+    String prefix = StateSchema.progressPrefix(entity.id());
+    for (Entry entry : entries) {
+      int number = Integer.parseInt(entry.key().substring(prefix.length()));
+      while (rows.size() <= number) {
+        rows.add(new ProgressRow(rows.size()));
+      }
+      ProgressRow row = rows.get(number);
+      row.revision = entry.modRevision();
+      entry.value().properties().forEach(f -> restoreRange(row, f.getKey(), f.getValue().asText()));
+    }
+  }
+
+  private void restoreRange(ProgressRow row, String rangeName, String encodedTasks) {
+    int separatorIndex = rangeName.indexOf('/');
+    Job job = entity.jobs().get(new JobId(rangeName.substring(0, separatorIndex)));
+    int fromIndex = Integer.parseInt(rangeName.substring(separatorIndex + 1));
+    if (job == null || fromIndex >= job.spec().taskCount()) {
+      return;
+    }
+    BitSet.valueOf(Base64.getDecoder().decode(encodedTasks)).stream()
+        .forEach(
+            i -> {
+              job.markDone(fromIndex + i);
+              job.markStored(fromIndex + i);
+            });
+    TaskRange range =
+        new TaskRange(job, fromIndex, Math.min(job.spec().taskCount(), fromIndex + tasksPerRange));
+    addRange(row, range);
+    rowByRangeName.put(range.name(), row);
+  }
+}
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -9,10 +9,10 @@
 /** What this controller can say of a job's state from its own memory, for users and peers. */
 public final class JobStateLookup {
   private final Membership membership;
-  private final Jobs jobs;
+  private final JobLifecycle jobs;
 
   /** Looks in the entities owned here, and among the ended jobs that are remembered. */
-  public JobStateLookup(Membership membership, Jobs jobs) {
+  public JobStateLookup(Membership membership, JobLifecycle jobs) {
     this.membership = membership;
     this.jobs = jobs;
   }
@@ -26,19 +26,19 @@
    * told the same user "cancelled"; now whoever asks gets what the rows say.
    */
   public JobView knownView(JobId id) {
-    JobView ended = jobs.terminalView(id);
-    if (ended != null || !membership.valid()) {
+    JobView ended = jobs.findTerminalView(id);
+    if (ended != null || !membership.isLeaseValid()) {
       return ended;
     }
     OwnedEntity entity = entityOfOpenJob(id);
     Job job = entity == null ? null : entity.jobs().get(id);
-    return job == null || job.endUndecided() ? null : job.view();
+    return job == null || job.isEndUndecided() ? null : job.toView();
   }
 
   /** The owned entity that has the job open; null if there is none. */
   public OwnedEntity entityOfOpenJob(JobId id) {
-    for (OwnedEntity entity : membership.holdings()) {
-      if (entity.active() && entity.jobs().containsKey(id)) {
+    for (OwnedEntity entity : membership.ownedEntities()) {
+      if (entity.isActive() && entity.jobs().containsKey(id)) {
         return entity;
       }
     }
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -7,11 +7,11 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import io.violetrail.configuration.Configuration;
 import io.violetrail.evidence.EvidenceLog;
-import io.violetrail.evidence.GoneProof;
-import io.violetrail.evidence.ReplyKind;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service.Answer;
-import io.violetrail.ownership.Directory;
+import io.violetrail.evidence.HeartbeatReplyKind;
+import io.violetrail.evidence.TerminationEvidence;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
@@ -28,24 +28,24 @@
 
 /** Figures for operators, as lines of text. Latencies go through HdrHistogram. */
 public final class Metrics {
-  private static final Duration WINDOW = Duration.ofMinutes(10);
-  private static final Duration LONGEST = Duration.ofSeconds(10);
+  private static final Duration PERCENTILE_WINDOW = Duration.ofMinutes(10);
+  private static final Duration MAX_LATENCY = Duration.ofSeconds(10);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
   private final Map<String, Timer> timers = new HashMap<>();
 
   /** Reads what it shows from the given parts whenever it is asked for. */
   public Metrics(
-      Loop loop,
-      Directory directory,
+      EventLoop loop,
+      ClusterView directory,
       Membership membership,
       Configuration configuration,
       EvidenceLog evidence) {
     this.loop = loop;
-    gauge("lease.valid", membership, m -> m.valid() ? 1 : 0);
-    gauge("lease.remaining.s", membership, Membership::remainingS);
-    gauge("rows.revision", directory, Directory::revision);
+    registerGauge("lease.valid", membership, m -> m.isLeaseValid() ? 1 : 0);
+    registerGauge("lease.remaining.s", membership, Membership::remainingLeaseSeconds);
+    registerGauge("rows.revision", directory, ClusterView::revision);
     configurationGauges(configuration);
     evidenceGauges(evidence);
     entityGauges(membership);
@@ -53,66 +53,73 @@
 
   private void configurationGauges(Configuration configuration) {
     if (configuration.canChange()) {
-      gauge("configuration.revision", configuration, Configuration::revision);
-      gauge("configuration.fresh", configuration, c -> c.fresh() ? 1 : 0);
-      gauge("configuration.confirmed.ms", configuration, c -> c.state().confirmedMsAgo());
+      registerGauge("configuration.revision", configuration, Configuration::revision);
+      registerGauge("configuration.fresh", configuration, c -> c.isFresh() ? 1 : 0);
+      registerGauge(
+          "configuration.confirmed.ms", configuration, c -> c.findState().confirmedMsAgo());
     }
   }
 
   private void entityGauges(Membership membership) {
-    gauge("entities.held", membership, m -> m.holdings().size());
-    gauge("jobs.open", membership, m -> sum(m, entity -> entity.jobs().size()));
-    gauge("machines", membership, m -> sum(m, entity -> entity.machines().size()));
-    gauge("machines.silent", membership, m -> sum(m, Metrics::silentMachines));
-    gauge("tasks.placed", membership, m -> sum(m, Metrics::placedTasks));
-    gauge("tasks.waiting", membership, m -> sum(m, Metrics::pendingTasks));
+    registerGauge("entities.held", membership, m -> m.ownedEntities().size());
+    registerGauge("jobs.open", membership, m -> sumOverEntities(m, entity -> entity.jobs().size()));
+    registerGauge(
+        "machines", membership, m -> sumOverEntities(m, entity -> entity.machines().size()));
+    registerGauge("machines.silent", membership, m -> sumOverEntities(m, Metrics::silentMachines));
+    registerGauge("tasks.placed", membership, m -> sumOverEntities(m, Metrics::placedTasks));
+    registerGauge("tasks.waiting", membership, m -> sumOverEntities(m, Metrics::pendingTasks));
   }
 
   private static double silentMachines(OwnedEntity entity) {
-    return entity.machines().values().stream().filter(machine -> machine.silent()).count();
+    return entity.machines().values().stream().filter(machine -> machine.unresponsive()).count();
   }
 
   private static double placedTasks(OwnedEntity entity) {
-    return entity.machines().values().stream().mapToInt(machine -> machine.tasks().size()).sum();
+    return entity.machines().values().stream()
+        .mapToInt(machine -> machine.placements().size())
+        .sum();
   }
 
   private static double pendingTasks(OwnedEntity entity) {
-    return entity.jobs().values().stream().mapToInt(Job::unplaced).sum();
+    return entity.jobs().values().stream().mapToInt(Job::unplacedCount).sum();
   }
 
   private void evidenceGauges(EvidenceLog evidence) {
-    for (ReplyKind kind : ReplyKind.values()) {
-      counted("heartbeat.replies", "kind", kind.name(), () -> evidence.replies(kind));
+    for (HeartbeatReplyKind kind : HeartbeatReplyKind.values()) {
+      registerCount("heartbeat.replies", "kind", kind.name(), () -> evidence.replyCount(kind));
     }
-    for (GoneProof proof : GoneProof.values()) {
-      counted("starts.elsewhere", "proof", proof.name(), () -> evidence.startsElsewhere(proof));
+    for (TerminationEvidence proof : TerminationEvidence.values()) {
+      registerCount(
+          "starts.elsewhere", "proof", proof.name(), () -> evidence.startElsewhereCount(proof));
     }
-    gauge("leases.outlived", evidence, EvidenceLog::outlivedLeases);
-    gauge("evidence.lines.left.out", evidence, EvidenceLog::droppedLines);
+    registerGauge("leases.outlived", evidence, EvidenceLog::outlivedLeaseCount);
+    registerGauge("evidence.lines.left.out", evidence, EvidenceLog::droppedLineCount);
   }
 
-  private void counted(String name, String tag, String value, Supplier<Number> count) {
+  private void registerCount(String name, String tag, String value, Supplier<Number> count) {
     Gauge.builder(name, count).tag(tag, value.toLowerCase(Locale.ROOT)).register(registry);
   }
 
-  private <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+  private <T> void registerGauge(String name, T source, ToDoubleFunction<T> value) {
     Gauge.builder(name, source, value).strongReference(true).register(registry);
   }
 
-  private static double sum(Membership membership, ToDoubleFunction<OwnedEntity> value) {
-    return membership.holdings().stream().mapToDouble(value).sum();
+  private static double sumOverEntities(
+      Membership membership, ToDoubleFunction<OwnedEntity> value) {
+    return membership.ownedEntities().stream().mapToDouble(value).sum();
   }
 
   /** Counts an answer and how long it took. */
-  Consumer<Answer> timed(String kind, Consumer<Answer> done) {
-    long began = loop.nanos();
+  Consumer<HttpAnswer> recordLatency(String kind, Consumer<HttpAnswer> respond) {
+    long startedAtNanos = loop.monotonicNanos();
     return answer -> {
-      timer(kind, answer.status()).record(loop.nanos() - began, TimeUnit.NANOSECONDS);
-      done.accept(answer);
+      timerFor(kind, answer.status())
+          .record(loop.monotonicNanos() - startedAtNanos, TimeUnit.NANOSECONDS);
+      respond.accept(answer);
     };
   }
 
-  private Timer timer(String kind, int status) {
+  private Timer timerFor(String kind, int status) {
     return timers.computeIfAbsent(
         kind + " " + status,
         k ->
@@ -121,13 +128,13 @@
                 .tag("status", String.valueOf(status))
                 .publishPercentiles(0.5, 0.95, 0.99)
                 .percentilePrecision(1)
-                .maximumExpectedValue(LONGEST)
-                .distributionStatisticExpiry(WINDOW)
+                .maximumExpectedValue(MAX_LATENCY)
+                .distributionStatisticExpiry(PERCENTILE_WINDOW)
                 .distributionStatisticBufferLength(1)
                 .register(registry));
   }
 
-  String text() {
+  String render() {
     List<String> lines = new ArrayList<>();
     for (Meter meter : registry.getMeters()) {
       StringBuilder line = new StringBuilder("violetrail.").append(meter.getId().getName());
@@ -135,11 +142,11 @@
         line.append(' ').append(tag.getKey()).append('=').append(tag.getValue());
       }
       if (meter instanceof Timer timer) {
-        var s = timer.takeSnapshot();
-        line.append(" count=").append(s.count());
-        for (var p : s.percentileValues()) {
-          line.append(" p").append(Math.round(p.percentile() * 100)).append('=');
-          line.append(Math.round(p.value(TimeUnit.MICROSECONDS)) / 1000.0);
+        var snapshot = timer.takeSnapshot();
+        line.append(" count=").append(snapshot.count());
+        for (var percentile : snapshot.percentileValues()) {
+          line.append(" p").append(Math.round(percentile.percentile() * 100)).append('=');
+          line.append(Math.round(percentile.value(TimeUnit.MICROSECONDS)) / 1000.0);
         }
       } else if (meter instanceof Gauge gauge) {
         line.append(' ').append(gauge.value());
--- a/src/main/java/io/violetrail/api/Readiness.java
+++ b/src/main/java/io/violetrail/api/Readiness.java
@@ -25,14 +25,17 @@
    * Whether requests of users can be taken: the own entity is here, and its lease at most lapsing.
    */
   public boolean isReady() {
-    OwnedEntity own = membership.own();
-    return own != null && own.active() && membership.mayKeepAlive() && !machineTypes.isEmpty();
+    OwnedEntity own = membership.findHomeEntity();
+    return own != null
+        && own.isActive()
+        && membership.mayKeepWorkersAlive()
+        && !machineTypes.isEmpty();
   }
 
   /** The body of the answer to a health check that succeeds. */
   ObjectNode describe() {
-    ObjectNode body = Cbor.map().put("status", "ready");
-    ConfigurationState state = configuration.state();
+    ObjectNode body = Cbor.newMap().put("status", "ready");
+    ConfigurationState state = configuration.findState();
     if (state != null) {
       body.putObject("configuration")
           .put("revision", state.revision())
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -5,18 +5,18 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.JobView;
-import io.violetrail.model.JobView.Status;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
-import io.violetrail.ownership.Directory;
+import io.violetrail.model.JobView.JobStatus;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.peer.PeerJobViews;
-import io.violetrail.tracing.Traces;
+import io.violetrail.tracing.JobTracer;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.Cbor.Malformed;
-import io.violetrail.wire.JobWire;
+import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.JobMessages;
 import io.violetrail.worker.HeartbeatHandler;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -28,48 +28,48 @@
 import org.slf4j.LoggerFactory;
 
 /** What users, workers and health checks ask of a controller. */
-public final class UserApi implements Service {
+public final class UserApi implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
-  private static final String WORK = "/work";
-  private static final String ABORT = "/abort";
-  private static final int MAX_BODY = 64 * 1024;
+  private static final String JOBS_PATH = "/work";
+  private static final String CANCEL_PATH_SUFFIX = "/abort";
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Below the 2 s that users wait for a poll, and the 5 s for the rest. */
-  private static final double POLL_S = 1.8;
+  private static final double QUERY_TIMEOUT_SECONDS = 1.8;
 
-  private static final double CHANGE_S = 4.5;
+  private static final double CHANGE_TIMEOUT_SECONDS = 4.5;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
-  private final Directory directory;
+  private final ClusterView directory;
   private final Membership membership;
   private final PeerClient peers;
   private final PeerJobViews peerJobViews;
-  private final Jobs jobs;
+  private final JobLifecycle jobs;
   private final JobStateLookup jobStates;
-  private final Intake intake;
+  private final JobAdmission intake;
   private final HeartbeatHandler heartbeats;
-  private final Readiness readiness;
-  private final Traces traces;
+  private final Readiness readinessBody;
+  private final JobTracer traces;
   private final Metrics metrics;
 
   /** Serves the paths of what is off unless it is switched on; answers 404 if nothing is. */
-  private Service optionalService = UserApi::notFound;
+  private RequestHandler optionalService = UserApi::notFound;
 
   /** Serves requests through the given parts. */
   public UserApi(
-      Loop loop,
+      EventLoop loop,
       Settings settings,
-      Directory directory,
+      ClusterView directory,
       Membership membership,
       PeerClient peers,
       PeerJobViews peerJobViews,
-      Jobs jobs,
+      JobLifecycle jobs,
       JobStateLookup jobStates,
-      Intake intake,
+      JobAdmission intake,
       HeartbeatHandler heartbeats,
       Readiness readiness,
-      Traces traces,
+      JobTracer traces,
       Metrics metrics) {
     this.loop = loop;
     this.settings = settings;
@@ -81,7 +81,7 @@
     this.jobStates = jobStates;
     this.intake = intake;
     this.heartbeats = heartbeats;
-    this.readiness = readiness;
+    this.readinessBody = readiness;
     this.traces = traces;
     this.metrics = metrics;
   }
@@ -91,102 +91,122 @@
    *
    * @param next makes the service from the one that served what is unknown so far
    */
-  public void addOptionalService(UnaryOperator<Service> next) {
+  public void addOptionalService(UnaryOperator<RequestHandler> next) {
     optionalService = next.apply(optionalService);
   }
 
-  private static void notFound(String method, String path, byte[] body, Consumer<Answer> done) {
-    done.accept(Answer.empty(404));
+  private static void notFound(
+      String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
+    respond.accept(HttpAnswer.empty(404));
   }
 
   @Override
-  public void handle(String method, String target, byte[] body, Consumer<Answer> done) {
-    int mark = target.indexOf('?');
-    String path = mark < 0 ? target : target.substring(0, mark);
-    boolean post = "POST".equals(method);
-    boolean get = "GET".equals(method);
+  public void handle(String method, String target, byte[] body, Consumer<HttpAnswer> respond) {
+    int queryIndex = target.indexOf('?');
+    String path = queryIndex < 0 ? target : target.substring(0, queryIndex);
+    boolean isPost = "POST".equals(method);
+    boolean isGet = "GET".equals(method);
     if (path.equals("/agent/beat")) {
-      allow(post, done, () -> heartbeats.handle(body, metrics.timed("beat", done)));
+      requireMethod(
+          isPost, respond, () -> heartbeats.handle(body, metrics.recordLatency("beat", respond)));
     } else if (path.equals("/ready")) {
-      allow(
-          get,
-          done,
+      requireMethod(
+          isGet,
+          respond,
           () ->
-              done.accept(
-                  readiness.isReady()
-                      ? Answer.of(200, readiness.describe())
-                      : Answer.later("not ready")));
-    } else if (path.equals(WORK)) {
-      allow(post, done, () -> submit(body, metrics.timed("submit", within(CHANGE_S, done))));
-    } else if (path.startsWith(WORK + "/") && path.endsWith(ABORT)) {
+              respond.accept(
+                  readinessBody.isReady()
+                      ? HttpAnswer.of(200, readinessBody.describe())
+                      : HttpAnswer.unavailable("not ready")));
+    } else if (path.equals(JOBS_PATH)) {
+      requireMethod(
+          isPost,
+          respond,
+          () ->
+              submitJob(
+                  body,
+                  metrics.recordLatency("submit", answerWithin(CHANGE_TIMEOUT_SECONDS, respond))));
+    } else if (path.startsWith(JOBS_PATH + "/") && path.endsWith(CANCEL_PATH_SUFFIX)) {
       String id =
           path.substring(
-              WORK.length() + 1, Math.max(WORK.length() + 1, path.length() - ABORT.length()));
-      allow(post, done, () -> abort(id, metrics.timed("abort", within(CHANGE_S, done))));
-    } else if (path.startsWith(WORK + "/")) {
-      allow(
-          get,
-          done,
+              JOBS_PATH.length() + 1,
+              Math.max(JOBS_PATH.length() + 1, path.length() - CANCEL_PATH_SUFFIX.length()));
+      requireMethod(
+          isPost,
+          respond,
+          () ->
+              cancelJob(
+                  id,
+                  metrics.recordLatency("abort", answerWithin(CHANGE_TIMEOUT_SECONDS, respond))));
+    } else if (path.startsWith(JOBS_PATH + "/")) {
+      requireMethod(
+          isGet,
+          respond,
           () ->
-              poll(path.substring(WORK.length() + 1), metrics.timed("poll", within(POLL_S, done))));
+              getJob(
+                  path.substring(JOBS_PATH.length() + 1),
+                  metrics.recordLatency("poll", answerWithin(QUERY_TIMEOUT_SECONDS, respond))));
     } else if (path.equals("/metrics")) {
-      allow(get, done, () -> done.accept(Answer.text(metrics.text())));
-    } else if (path.equals("/traces") && traces != Traces.NONE) {
-      allow(get, done, () -> done.accept(Answer.text(traces.text())));
+      requireMethod(isGet, respond, () -> respond.accept(HttpAnswer.text(metrics.render())));
+    } else if (path.equals("/traces") && traces != JobTracer.NO_OP) {
+      requireMethod(
+          isGet, respond, () -> respond.accept(HttpAnswer.text(traces.finishedSpansAsJsonLines())));
     } else {
-      optionalService.handle(method, target, body, done);
+      optionalService.handle(method, target, body, respond);
     }
   }
 
-  private static void allow(boolean method, Consumer<Answer> done, Runnable action) {
-    if (method) {
+  private static void requireMethod(
+      boolean allowed, Consumer<HttpAnswer> respond, Runnable action) {
+    if (allowed) {
       action.run();
     } else {
-      done.accept(Answer.empty(405));
+      respond.accept(HttpAnswer.empty(405));
     }
   }
 
   /** Answers at most once, and in time. */
-  private Consumer<Answer> within(double seconds, Consumer<Answer> done) {
+  private Consumer<HttpAnswer> answerWithin(double seconds, Consumer<HttpAnswer> respond) {
     AtomicBoolean answered = new AtomicBoolean();
     var timer =
-        loop.after(
+        loop.schedule(
             seconds,
             () -> {
               if (answered.compareAndSet(false, true)) {
-                done.accept(Answer.later("no decision in time"));
+                respond.accept(HttpAnswer.unavailable("no decision in time"));
               }
             });
     return answer -> {
       if (answered.compareAndSet(false, true)) {
         timer.cancel();
-        done.accept(answer);
+        respond.accept(answer);
       }
     };
   }
 
-  private void submit(byte[] body, Consumer<Answer> done) {
+  private void submitJob(byte[] body, Consumer<HttpAnswer> respond) {
     JobSpec spec;
     JobId id = null;
     try {
-      if (body.length > MAX_BODY) {
-        throw new Malformed("the body is too long");
+      if (body.length > MAX_BODY_BYTES) {
+        throw new MalformedMessageException("the body is too long");
       }
       var map = Cbor.parse(body);
       id =
-          JobId.wellFormed(map.path("name_id").asText(null))
+          JobId.isWellFormed(map.path("name_id").asText(null))
               ? new JobId(map.get("name_id").asText())
               : null;
-      if (id != null && (jobs.terminalView(id) != null || jobs.boundTo(id) != null)) {
-        answerKnown(id, done);
+      if (id != null && (jobs.findTerminalView(id) != null || jobs.findEntityOf(id) != null)) {
+        answerKnown(id, respond);
         return;
       }
-      spec = JobWire.submitted(map);
-      if (Cbor.bytes(JobWire.spec(spec)).length > settings.stateLimits().valueBytes() / 2) {
-        throw new Malformed("the job's description is too long");
+      spec = JobMessages.parseSubmission(map);
+      if (Cbor.encode(JobMessages.jobSpec(spec)).length
+          > settings.stateStoreLimits().maxValueBytes() / 2) {
+        throw new MalformedMessageException("the job's description is too long");
       }
-    } catch (Malformed e) {
-      malformed(id, e.getMessage(), done);
+    } catch (MalformedMessageException exception) {
+      answerMalformed(id, exception.getMessage(), respond);
       return;
     }
     intake
@@ -195,13 +215,14 @@
             decision -> {
               switch (decision.verdict()) {
                 case ACCEPTED ->
-                    done.accept(
-                        Answer.of(
+                    respond.accept(
+                        HttpAnswer.of(
                             201,
-                            JobWire.view(new JobView(spec.id().value(), Status.QUEUED, 0, 0))));
-                case KNOWN -> answerKnown(spec.id(), done);
-                case IMPOSSIBLE -> done.accept(Answer.error(422, decision.why()));
-                default -> done.accept(Answer.later(decision.why()));
+                            JobMessages.viewMessage(
+                                new JobView(spec.id().value(), JobStatus.QUEUED, 0, 0))));
+                case KNOWN -> answerKnown(spec.id(), respond);
+                case IMPOSSIBLE -> respond.accept(HttpAnswer.error(422, decision.reason()));
+                default -> respond.accept(HttpAnswer.unavailable(decision.reason()));
               }
             });
   }
@@ -210,64 +231,67 @@
    * A repeat of an accepted job is never refused, whatever its other fields say: users send what
    * they have of it. Where its id cannot be told there is nothing to look for.
    */
-  private void malformed(JobId id, String why, Consumer<Answer> done) {
-    LOG.debug("submission refused: {}", why);
+  private void answerMalformed(JobId id, String reason, Consumer<HttpAnswer> respond) {
+    LOG.debug("submission refused: {}", reason);
     if (id == null) {
-      done.accept(Answer.error(400, why));
+      respond.accept(HttpAnswer.error(400, reason));
       return;
     }
     jobs.lookUp(id)
         .whenComplete(
             (found, failure) -> {
               if (failure != null) {
-                done.accept(Answer.later("the state service does not answer"));
-              } else if (found.absent()) {
-                done.accept(Answer.error(400, why));
+                respond.accept(HttpAnswer.unavailable("the state service does not answer"));
+              } else if (found.isAbsent()) {
+                respond.accept(HttpAnswer.error(400, reason));
               } else {
-                answerKnown(id, done);
+                answerKnown(id, respond);
               }
             });
   }
 
-  private void answerKnown(JobId id, Consumer<Answer> done) {
-    resolve(id)
+  private void answerKnown(JobId id, Consumer<HttpAnswer> respond) {
+    resolveView(id)
         .whenComplete(
             (view, failure) ->
-                done.accept(
+                respond.accept(
                     failure != null || view == null
-                        ? Answer.later("the job's state is not known now")
-                        : Answer.of(200, JobWire.view(view))));
+                        ? HttpAnswer.unavailable("the job's state is not known now")
+                        : HttpAnswer.of(200, JobMessages.viewMessage(view))));
   }
 
-  private void poll(String text, Consumer<Answer> done) {
-    if (!JobId.wellFormed(text)) {
-      done.accept(Answer.empty(404));
+  private void getJob(String idText, Consumer<HttpAnswer> respond) {
+    if (!JobId.isWellFormed(idText)) {
+      respond.accept(HttpAnswer.empty(404));
       return;
     }
-    resolve(new JobId(text))
+    resolveView(new JobId(idText))
         .whenComplete(
             (view, failure) -> {
               if (failure != null) {
-                done.accept(Answer.later("the job's state is not known now"));
+                respond.accept(HttpAnswer.unavailable("the job's state is not known now"));
               } else {
-                done.accept(view == null ? Answer.empty(404) : Answer.of(200, JobWire.view(view)));
+                respond.accept(
+                    view == null
+                        ? HttpAnswer.empty(404)
+                        : HttpAnswer.of(200, JobMessages.viewMessage(view)));
               }
             });
   }
 
   /** The current state of a job; null only if it is proven that there is no such job. */
-  private CompletableFuture<JobView> resolve(JobId id) {
-    JobView here = jobStates.knownView(id);
-    if (here != null) {
-      return CompletableFuture.completedFuture(here);
+  private CompletableFuture<JobView> resolveView(JobId id) {
+    JobView localView = jobStates.knownView(id);
+    if (localView != null) {
+      return CompletableFuture.completedFuture(localView);
     }
-    ControllerId entity = jobs.boundTo(id);
+    ControllerId entity = jobs.findEntityOf(id);
     if (entity == null) {
       // After a start nothing is known of all the jobs that users ask about. With a read for each
       // in the state service's budget, some were not answered for minutes.
-      return orElse(fromAnyone(id), () -> fromRows(id));
+      return orElse(viewFromAnyPeer(id), () -> viewFromStore(id));
     }
-    return orElse(fromOwner(id, entity), () -> stored(id));
+    return orElse(viewFromOwner(id, entity), () -> storedView(id));
   }
 
   private static CompletableFuture<JobView> orElse(
@@ -279,40 +303,40 @@
         .thenCompose(f -> f);
   }
 
-  private CompletableFuture<JobView> fromRows(JobId id) {
+  private CompletableFuture<JobView> viewFromStore(JobId id) {
     return jobs.lookUp(id)
         .thenCompose(
             found -> {
-              if (found.openAt() == null) {
+              if (found.openAtEntity() == null) {
                 return CompletableFuture.completedFuture(found.view());
               }
-              return fromOwner(id, found.openAt()).exceptionally(f -> found.asStored());
+              return viewFromOwner(id, found.openAtEntity()).exceptionally(f -> found.storedView());
             });
   }
 
   /** What any peer knows for sure, as its owner or because the job is over; fails if none does. */
-  private CompletableFuture<JobView> fromAnyone(JobId id) {
+  private CompletableFuture<JobView> viewFromAnyPeer(JobId id) {
     CompletableFuture<JobView> first = new CompletableFuture<>();
-    List<CompletableFuture<JobView>> all =
+    List<CompletableFuture<JobView>> peerViews =
         settings.peers().keySet().stream()
             .filter(directory::isAlive)
             .map(p -> peerJobViews.view(p, id))
             .toList();
-    all.forEach(f -> f.thenAccept(first::complete));
-    CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
+    peerViews.forEach(f -> f.thenAccept(first::complete));
+    CompletableFuture.allOf(peerViews.toArray(CompletableFuture[]::new))
         .whenComplete(
             (nothing, failure) ->
                 first.completeExceptionally(new IllegalStateException("no peer knows")));
     return first;
   }
 
-  private CompletableFuture<JobView> stored(JobId id) {
+  private CompletableFuture<JobView> storedView(JobId id) {
     return jobs.lookUp(id)
-        .thenApply(found -> found.view() != null ? found.view() : found.asStored());
+        .thenApply(found -> found.view() != null ? found.view() : found.storedView());
   }
 
-  private CompletableFuture<JobView> fromOwner(JobId id, ControllerId entity) {
-    ControllerId owner = peerThatOwns(entity);
+  private CompletableFuture<JobView> viewFromOwner(JobId id, ControllerId entity) {
+    ControllerId owner = findPeerOwning(entity);
     if (owner == null) {
       return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
     }
@@ -320,75 +344,76 @@
   }
 
   /** The peer that owns the entity and is alive; null if there is none. */
-  private ControllerId peerThatOwns(ControllerId entity) {
-    ControllerId owner = directory.ownerOf(entity);
+  private ControllerId findPeerOwning(ControllerId entity) {
+    ControllerId owner = directory.findLatestOwner(entity);
     boolean peer = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
     return peer ? owner : null;
   }
 
-  private void abort(String text, Consumer<Answer> done) {
-    if (!JobId.wellFormed(text)) {
-      done.accept(Answer.empty(404));
+  private void cancelJob(String idText, Consumer<HttpAnswer> respond) {
+    if (!JobId.isWellFormed(idText)) {
+      respond.accept(HttpAnswer.empty(404));
       return;
     }
-    JobId id = new JobId(text);
-    JobView over = jobs.terminalView(id);
-    if (over != null) {
-      done.accept(Answer.of(200, JobWire.view(over)));
+    JobId id = new JobId(idText);
+    JobView finalView = jobs.findTerminalView(id);
+    if (finalView != null) {
+      respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(finalView)));
       return;
     }
-    OwnedEntity h = jobStates.entityOfOpenJob(id);
-    if (h != null && membership.valid()) {
-      answer(jobs.cancel(h, h.jobs().get(id)), done);
+    OwnedEntity entity = jobStates.entityOfOpenJob(id);
+    if (entity != null && membership.isLeaseValid()) {
+      answerCancellation(jobs.cancel(entity, entity.jobs().get(id)), respond);
       return;
     }
-    ControllerId bound = jobs.boundTo(id);
-    ControllerId owner = bound == null ? null : peerThatOwns(bound);
+    ControllerId entityId = jobs.findEntityOf(id);
+    ControllerId owner = entityId == null ? null : findPeerOwning(entityId);
     if (owner == null) {
-      abortByRows(id, done);
+      cancelByStoredRows(id, respond);
       return;
     }
     peers
         .cancel(owner, id)
         .whenComplete(
             (view, failure) -> {
-              if (failure == null && view.status().terminal()) {
-                done.accept(Answer.of(200, JobWire.view(view)));
+              if (failure == null && view.status().isTerminal()) {
+                respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(view)));
               } else {
                 // The owner may not remember a job that ended long ago.
-                abortByRows(id, done);
+                cancelByStoredRows(id, respond);
               }
             });
   }
 
-  private void abortByRows(JobId id, Consumer<Answer> done) {
+  private void cancelByStoredRows(JobId id, Consumer<HttpAnswer> respond) {
     jobs.lookUp(id)
         .whenComplete(
             (found, failure) -> {
               if (failure != null) {
-                done.accept(Answer.later("the state service does not answer"));
-              } else if (found.absent()) {
-                done.accept(Answer.empty(404));
+                respond.accept(HttpAnswer.unavailable("the state service does not answer"));
+              } else if (found.isAbsent()) {
+                respond.accept(HttpAnswer.empty(404));
               } else if (found.view() != null) {
-                done.accept(Answer.of(200, JobWire.view(found.view())));
+                respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(found.view())));
               } else {
-                ControllerId owner = directory.ownerOf(found.openAt());
+                ControllerId owner = directory.findLatestOwner(found.openAtEntity());
                 if (owner == null || owner.equals(settings.self())) {
-                  done.accept(Answer.later("the job's owner is not ready"));
+                  respond.accept(HttpAnswer.unavailable("the job's owner is not ready"));
                 } else {
-                  answer(peers.cancel(owner, id), done);
+                  answerCancellation(peers.cancel(owner, id), respond);
                 }
               }
             });
   }
 
-  private static void answer(CompletableFuture<JobView> view, Consumer<Answer> done) {
-    view.whenComplete(
-        (v, failure) -> {
-          if (failure != null || !v.status().terminal()) {
-            done.accept(Answer.later("the cancellation is not stored yet"));
+  private static void answerCancellation(
+      CompletableFuture<JobView> cancellation, Consumer<HttpAnswer> respond) {
+    cancellation.whenComplete(
+        (view, failure) -> {
+          if (failure != null || !view.status().isTerminal()) {
+            respond.accept(HttpAnswer.unavailable("the cancellation is not stored yet"));
           } else {
-            done.accept(Answer.of(200, JobWire.view(v)));
+            respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(view)));
           }
         });
   }
--- a/src/main/java/io/violetrail/calendar/Expression.java
+++ b/src/main/java/io/violetrail/calendar/CalendarExpression.java
@@ -26,41 +26,42 @@
  * of the gap; one that comes twice is due the first time. Times that become the same instant are
  * one.
  */
-public final class Expression {
+public final class CalendarExpression {
   /** From one 29 February to the next at most, across a century without one, is eight years. */
-  static final int HORIZON_DAYS = 8 * 366 + 1;
+  static final int MAX_LOOKAHEAD_DAYS = 8 * 366 + 1;
 
-  private static final int MOST_LENGTH = 1_000;
-  private static final int MOST_A_DAY = 24 * 60;
+  private static final int MAX_LENGTH = 1_000;
+  private static final int MINUTES_PER_DAY = 24 * 60;
 
   private final List<Rule> rules;
   private final String text;
 
-  private Expression(String text, List<Rule> rules) {
+  private CalendarExpression(String text, List<Rule> rules) {
     this.text = text;
     this.rules = rules;
   }
 
   /** A text that is no expression, with line, column and what was expected there. */
-  public static final class Malformed extends Exception {
+  public static final class MalformedExpressionException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String why) {
-      super(why, null, false, false);
+    MalformedExpressionException(String reason) {
+      super(reason, null, false, false);
     }
   }
 
-  /** Some times on some days; {@code everyMinutes} above 0 instead: counted from midnight. */
-  record Rule(List<LocalTime> times, int everyMinutes, DayRule days) {}
+  /** Some times on some days; {@code intervalMinutes} above 0 instead: counted from midnight. */
+  record Rule(List<LocalTime> times, int intervalMinutes, DayRule dayRule) {}
 
   /**
    * Parses a calendar expression.
    *
-   * @throws Malformed if the text is too long, does not follow the grammar or can never match
+   * @throws MalformedRequestException if the text is too long, does not follow the grammar or can
+   *     never match
    */
-  public static Expression parse(String text) throws Malformed {
-    if (text.length() > MOST_LENGTH) {
-      throw new Malformed("longer than " + MOST_LENGTH + " characters");
+  public static CalendarExpression parse(String text) throws MalformedExpressionException {
+    if (text.length() > MAX_LENGTH) {
+      throw new MalformedExpressionException("longer than " + MAX_LENGTH + " characters");
     }
     List<String> errors = new ArrayList<>();
     BaseErrorListener listener =
@@ -72,7 +73,7 @@
               int line,
               int column,
               String message,
-              RecognitionException e) {
+              RecognitionException exception) {
             errors.add("line " + line + ", column " + (column + 1) + ": " + message);
           }
         };
@@ -84,9 +85,9 @@
     parser.addErrorListener(listener);
     CalendarParser.CalendarContext tree = parser.calendar();
     if (!errors.isEmpty()) {
-      throw new Malformed(errors.get(0));
+      throw new MalformedExpressionException(errors.get(0));
     }
-    return new Expression(text, new Reading().rules(tree));
+    return new CalendarExpression(text, new ExpressionParser().parseRules(tree));
   }
 
   @Override
@@ -95,15 +96,15 @@
   }
 
   /** Names of holiday regions and local days that it speaks of. */
-  public void names(TreeSet<String> regions, TreeSet<String> named) {
-    rules.forEach(r -> r.days().names(regions, named));
+  public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
+    rules.forEach(r -> r.dayRule().collectReferences(regions, dayNames));
   }
 
   /** The first due instant after another; null if there is none within eight years. */
-  public Instant next(Instant after, ZoneId zone, String region, Days days) {
+  public Instant findNextDue(Instant after, ZoneId zone, String region, DayCalendar dayCalendar) {
     LocalDate day = after.atZone(zone).toLocalDate().minusDays(1);
-    for (int i = 0; i < HORIZON_DAYS; i++, day = day.plusDays(1)) {
-      for (Instant due : on(day, zone, region, days)) {
+    for (int i = 0; i < MAX_LOOKAHEAD_DAYS; i++, day = day.plusDays(1)) {
+      for (Instant due : dueTimesOn(day, zone, region, dayCalendar)) {
         if (due.isAfter(after)) {
           return due;
         }
@@ -113,23 +114,24 @@
   }
 
   /** The due instants of a local day, in order. */
-  public TreeSet<Instant> on(LocalDate day, ZoneId zone, String region, Days days) {
-    TreeSet<Instant> all = new TreeSet<>();
-    for (Rule r : rules) {
-      if (!r.days().matches(day, region, days)) {
+  public TreeSet<Instant> dueTimesOn(
+      LocalDate day, ZoneId zone, String region, DayCalendar dayCalendar) {
+    TreeSet<Instant> dueTimes = new TreeSet<>();
+    for (Rule rule : rules) {
+      if (!rule.dayRule().matches(day, region, dayCalendar)) {
         continue;
       }
-      r.times().forEach(t -> all.add(instant(day.atTime(t), zone)));
-      if (r.everyMinutes() > 0) {
-        for (int m = 0; m < MOST_A_DAY; m += r.everyMinutes()) {
-          all.add(instant(day.atStartOfDay().plusMinutes(m), zone));
+      rule.times().forEach(t -> dueTimes.add(toInstant(day.atTime(t), zone)));
+      if (rule.intervalMinutes() > 0) {
+        for (int minute = 0; minute < MINUTES_PER_DAY; minute += rule.intervalMinutes()) {
+          dueTimes.add(toInstant(day.atStartOfDay().plusMinutes(minute), zone));
         }
       }
     }
-    return all;
+    return dueTimes;
   }
 
-  private static Instant instant(LocalDateTime local, ZoneId zone) {
+  private static Instant toInstant(LocalDateTime local, ZoneId zone) {
     var offsets = zone.getRules().getValidOffsets(local);
     if (offsets.isEmpty()) {
       ZoneOffsetTransition gap = zone.getRules().getTransition(local);
@@ -140,9 +142,9 @@
   }
 
   /** Why a day is due or is not, for people. */
-  public String why(LocalDate day, String region, Days days) {
+  public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
     return rules.stream()
-        .map(r -> r.days().why(day, region, days))
+        .map(r -> r.dayRule().explain(day, region, dayCalendar))
         .collect(Collectors.joining("; "));
   }
 }
--- a/src/main/java/io/violetrail/calendar/DayRule.java
+++ b/src/main/java/io/violetrail/calendar/DayRule.java
@@ -10,181 +10,190 @@
 
 /** Which days. Plain decisions on a day and what days are called. */
 interface DayRule {
-  boolean matches(LocalDate day, String region, Days days);
+  boolean matches(LocalDate day, String region, DayCalendar dayCalendar);
 
   /** Why it matches or does not. */
-  String why(LocalDate day, String region, Days days);
+  String explain(LocalDate day, String region, DayCalendar dayCalendar);
 
-  default void names(TreeSet<String> regions, TreeSet<String> named) {}
+  default void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {}
 
   /** A simple rule with a name for people. */
-  record Simple(String name, Test test) implements DayRule {
-    interface Test {
-      boolean of(LocalDate day, String region, Days days);
+  record PredicateRule(String description, DayPredicate predicate) implements DayRule {
+    interface DayPredicate {
+      boolean test(LocalDate day, String region, DayCalendar dayCalendar);
     }
 
     @Override
-    public boolean matches(LocalDate day, String region, Days days) {
-      return test.of(day, region, days);
+    public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
+      return predicate.test(day, region, dayCalendar);
     }
 
     @Override
-    public String why(LocalDate day, String region, Days days) {
-      return day + (matches(day, region, days) ? " is " : " is not ") + name;
+    public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
+      return day + (matches(day, region, dayCalendar) ? " is " : " is not ") + description;
     }
   }
 
   static DayRule everyDay() {
-    return new Simple("a day", (day, region, days) -> true);
+    return new PredicateRule("a day", (day, region, dayCalendar) -> true);
   }
 
   static DayRule workdays() {
-    return new Simple("a workday", (day, region, days) -> days.workday(region, day));
+    return new PredicateRule(
+        "a workday", (day, region, dayCalendar) -> dayCalendar.isWorkday(region, day));
   }
 
-  static DayRule weekday(DayOfWeek which) {
-    return new Simple("a " + which, (day, region, days) -> day.getDayOfWeek() == which);
+  static DayRule onWeekday(DayOfWeek dayOfWeek) {
+    return new PredicateRule(
+        "a " + dayOfWeek, (day, region, dayCalendar) -> day.getDayOfWeek() == dayOfWeek);
   }
 
-  static DayRule date(LocalDate date) {
-    return new Simple(date.toString(), (day, region, days) -> day.equals(date));
+  static DayRule onDate(LocalDate date) {
+    return new PredicateRule(date.toString(), (day, region, dayCalendar) -> day.equals(date));
   }
 
-  static DayRule dayOfMonth(int number, Set<Month> months) {
-    return new Simple(
-        "day " + number + " of " + months,
-        (day, region, days) -> day.getDayOfMonth() == number && months.contains(day.getMonth()));
+  static DayRule dayOfMonth(int dayOfMonth, Set<Month> months) {
+    return new PredicateRule(
+        "day " + dayOfMonth + " of " + months,
+        (day, region, dayCalendar) ->
+            day.getDayOfMonth() == dayOfMonth && months.contains(day.getMonth()));
   }
 
   /** The n-th (0: the last) day of its kind in its month; a kind is null for any day. */
-  static DayRule nth(int n, Simple kind, Set<Month> months) {
-    return new Simple(
-        (n == 0 ? "the last" : "number " + n) + " of its month that is " + kind.name(),
-        (day, region, days) -> {
-          if (!months.contains(day.getMonth()) || !kind.matches(day, region, days)) {
+  static DayRule nthOfMonth(int ordinal, PredicateRule kind, Set<Month> months) {
+    return new PredicateRule(
+        (ordinal == 0 ? "the last" : "number " + ordinal)
+            + " of its month that is "
+            + kind.description(),
+        (day, region, dayCalendar) -> {
+          if (!months.contains(day.getMonth()) || !kind.matches(day, region, dayCalendar)) {
             return false;
           }
           YearMonth month = YearMonth.from(day);
           int count = 0;
-          int from = n == 0 ? day.getDayOfMonth() + 1 : 1;
-          int to = n == 0 ? month.lengthOfMonth() : day.getDayOfMonth();
-          for (int d = from; d <= to; d++) {
-            count += kind.matches(month.atDay(d), region, days) ? 1 : 0;
+          int firstDay = ordinal == 0 ? day.getDayOfMonth() + 1 : 1;
+          int lastDay = ordinal == 0 ? month.lengthOfMonth() : day.getDayOfMonth();
+          for (int dayOfMonth = firstDay; dayOfMonth <= lastDay; dayOfMonth++) {
+            count += kind.matches(month.atDay(dayOfMonth), region, dayCalendar) ? 1 : 0;
           }
-          return count == n;
+          return count == ordinal;
         });
   }
 
   /** Holidays of a region. */
-  record HolidaysOf(String name) implements DayRule {
+  record RegionHolidays(String holidayRegion) implements DayRule {
     @Override
-    public boolean matches(LocalDate day, String region, Days days) {
-      return days.holiday(name, day);
+    public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
+      return dayCalendar.isHoliday(holidayRegion, day);
     }
 
     @Override
-    public String why(LocalDate day, String region, Days days) {
-      return day + (matches(day, region, days) ? " is" : " is not") + " a holiday of " + name;
+    public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
+      return day
+          + (matches(day, region, dayCalendar) ? " is" : " is not")
+          + " a holiday of "
+          + holidayRegion;
     }
 
     @Override
-    public void names(TreeSet<String> regions, TreeSet<String> named) {
-      regions.add(name);
+    public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
+      regions.add(holidayRegion);
     }
   }
 
   /** Days that are kept under a name; none if nothing is. */
-  record Named(String name) implements DayRule {
+  record NamedDays(String name) implements DayRule {
     @Override
-    public boolean matches(LocalDate day, String region, Days days) {
-      Set<LocalDate> all = days.named(name);
-      return all != null && all.contains(day);
+    public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
+      Set<LocalDate> namedDays = dayCalendar.findNamedDays(name);
+      return namedDays != null && namedDays.contains(day);
     }
 
     @Override
-    public String why(LocalDate day, String region, Days days) {
+    public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
       return day
-          + (matches(day, region, days) ? " is" : " is not")
+          + (matches(day, region, dayCalendar) ? " is" : " is not")
           + " among the days \""
           + name
           + "\"";
     }
 
     @Override
-    public void names(TreeSet<String> regions, TreeSet<String> named) {
-      named.add(name);
+    public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
+      dayNames.add(name);
     }
   }
 
   /** So many days or workdays before (negative) or after another rule's days. */
-  record Shifted(DayRule base, int by, boolean workdays) implements DayRule {
+  record ShiftedDays(DayRule base, int offset, boolean countsWorkdays) implements DayRule {
     @Override
-    public boolean matches(LocalDate day, String region, Days days) {
-      if (workdays && !days.workday(region, day)) {
+    public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
+      if (countsWorkdays && !dayCalendar.isWorkday(region, day)) {
         return false;
       }
       // Every base day from which so many steps lead here.
-      LocalDate back = day;
-      int left = Math.abs(by);
-      int step = by < 0 ? 1 : -1;
-      while (left > 0) {
-        back = back.plusDays(step);
-        if (!workdays) {
-          left--;
+      LocalDate candidate = day;
+      int remaining = Math.abs(offset);
+      int step = offset < 0 ? 1 : -1;
+      while (remaining > 0) {
+        candidate = candidate.plusDays(step);
+        if (!countsWorkdays) {
+          remaining--;
           continue;
         }
         // Days between two workdays lead to the same one as the nearer workday's end.
-        if (left == 1 && base.matches(back, region, days)) {
+        if (remaining == 1 && base.matches(candidate, region, dayCalendar)) {
           return true;
         }
-        left -= days.workday(region, back) ? 1 : 0;
+        remaining -= dayCalendar.isWorkday(region, candidate) ? 1 : 0;
       }
-      return base.matches(back, region, days);
+      return base.matches(candidate, region, dayCalendar);
     }
 
     @Override
-    public String why(LocalDate day, String region, Days days) {
+    public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
       return day
-          + (matches(day, region, days) ? " is " : " is not ")
-          + Math.abs(by)
-          + (workdays ? " workdays " : " days ")
-          + (by < 0 ? "before" : "after")
+          + (matches(day, region, dayCalendar) ? " is " : " is not ")
+          + Math.abs(offset)
+          + (countsWorkdays ? " workdays " : " days ")
+          + (offset < 0 ? "before" : "after")
           + " such a day";
     }
 
     @Override
-    public void names(TreeSet<String> regions, TreeSet<String> named) {
-      base.names(regions, named);
+    public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
+      base.collectReferences(regions, dayNames);
     }
   }
 
   /** Any of these, and none of those. */
-  record Among(List<DayRule> any, List<DayRule> none) implements DayRule {
+  record DaySelection(List<DayRule> included, List<DayRule> excluded) implements DayRule {
     @Override
-    public boolean matches(LocalDate day, String region, Days days) {
-      return any.stream().anyMatch(r -> r.matches(day, region, days))
-          && none.stream().noneMatch(r -> r.matches(day, region, days));
+    public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
+      return included.stream().anyMatch(r -> r.matches(day, region, dayCalendar))
+          && excluded.stream().noneMatch(r -> r.matches(day, region, dayCalendar));
     }
 
     @Override
-    public String why(LocalDate day, String region, Days days) {
-      for (DayRule r : none) {
-        if (r.matches(day, region, days)) {
-          return "excepted: " + r.why(day, region, days);
+    public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
+      for (DayRule rule : excluded) {
+        if (rule.matches(day, region, dayCalendar)) {
+          return "excepted: " + rule.explain(day, region, dayCalendar);
         }
       }
-      for (DayRule r : any) {
-        if (r.matches(day, region, days)) {
-          return r.why(day, region, days);
+      for (DayRule rule : included) {
+        if (rule.matches(day, region, dayCalendar)) {
+          return rule.explain(day, region, dayCalendar);
         }
       }
-      return String.join(", ", any.stream().map(r -> r.why(day, region, days)).toList());
+      return String.join(
+          ", ", included.stream().map(r -> r.explain(day, region, dayCalendar)).toList());
     }
 
     @Override
-    public void names(TreeSet<String> regions, TreeSet<String> named) {
-      any.forEach(r -> r.names(regions, named));
-      none.forEach(r -> r.names(regions, named));
+    public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
+      included.forEach(r -> r.collectReferences(regions, dayNames));
+      excluded.forEach(r -> r.collectReferences(regions, dayNames));
     }
   }
 }
--- /dev/null
+++ b/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
@@ -0,0 +1,74 @@
+package io.violetrail.calendar;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.wire.Cbor;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.util.Base64;
+import org.tukaani.xz.LZMA2Options;
+import org.tukaani.xz.XZ;
+import org.tukaani.xz.XZInputStream;
+import org.tukaani.xz.XZOutputStream;
+
+/**
+ * Blocks of ended runs: XZ, which checks what it unpacks, in the text that the state service's
+ * values allow. What does not unpack whole, or holds another number of runs than it says, is torn.
+ */
+final class RunHistoryCodec {
+  /** A block is a few KiB; the smallest dictionary is enough, and costs the least memory. */
+  private static final int DICTIONARY_BYTES = LZMA2Options.DICT_SIZE_MIN;
+
+  private static final int MAX_MEMORY_KIB = 4 * 1024;
+  private static final int MAX_DECODED_BYTES = 1 << 20;
+
+  private RunHistoryCodec() {}
+
+  /** A block that cannot be read. */
+  static final class CorruptBlockException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    CorruptBlockException(String reason) {
+      super(reason, null, false, false);
+    }
+  }
+
+  static ObjectNode encode(ArrayNode runs) {
+    try {
+      LZMA2Options options = new LZMA2Options(1);
+      options.setDictSize(DICTIONARY_BYTES);
+      ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+      try (XZOutputStream xz = new XZOutputStream(compressed, options, XZ.CHECK_CRC64)) {
+        xz.write(Cbor.encode(Cbor.newMap().set("runs", runs)));
+      }
+      return Cbor.newMap()
+          .put("count", runs.size())
+          .put("xz", Base64.getEncoder().encodeToString(compressed.toByteArray()));
+    } catch (IOException exception) {
+      throw new IllegalStateException(exception);
+    }
+  }
+
+  static ArrayNode decode(JsonNode block) throws CorruptBlockException {
+    try {
+      byte[] compressed = Base64.getDecoder().decode(block.path("xz").asText());
+      byte[] bytes;
+      try (XZInputStream xz =
+          new XZInputStream(new ByteArrayInputStream(compressed), MAX_MEMORY_KIB)) {
+        bytes = xz.readNBytes(MAX_DECODED_BYTES);
+        if (xz.read() >= 0) {
+          throw new CorruptBlockException("the block is too long");
+        }
+      }
+      JsonNode runs = Cbor.parse(bytes).get("runs");
+      if (!(runs instanceof ArrayNode runList) || runList.size() != block.path("count").asInt(-1)) {
+        throw new CorruptBlockException("the block holds another number of runs than it says");
+      }
+      return runList;
+    } catch (IOException | IllegalArgumentException | Cbor.MalformedMessageException exception) {
+      throw new CorruptBlockException("the block does not unpack: " + exception.getMessage());
+    }
+  }
+}
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.violetrail.api.Intake;
-import io.violetrail.calendar.Definition.Refused;
+import io.violetrail.api.JobAdmission;
+import io.violetrail.calendar.ScheduleDefinition.InvalidDefinitionException;
 import io.violetrail.calendar.ScheduleRow.Run;
 import io.violetrail.config.Settings;
 import io.violetrail.fleet.MachineTypes;
 import io.violetrail.model.JobId;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.RequestHandler;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.state.StateStore;
-import io.violetrail.state.StateStore.Unavailable;
+import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.state.Tombstones;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.StateWire.Txn;
-import io.violetrail.wire.kubernetes.KubeJson;
+import io.violetrail.wire.StateStoreMessages.Transaction;
+import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.time.DateTimeException;
 import java.time.Instant;
 import java.time.LocalDate;
@@ -38,38 +38,39 @@
  * are conditional on the row, so one that races a firing comes either before or after it, never in
  * between.
  */
-public final class ScheduleApi implements Service {
+public final class ScheduleApi implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleApi.class);
-  private static final String SCHEDULES = "/schedules";
-  private static final String CALENDARS = "/calendars/";
-  private static final String NAME = "[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?";
-  private static final int PAGE = 200;
-  private static final int TRIES = 5;
-  private static final int MOST_DATES = 600;
-  private static final Set<String> MOMENTS = Set.of("due", "last", "fired", "done", "at", "said");
+  private static final String SCHEDULES_PATH = "/schedules";
+  private static final String CALENDARS_PATH = "/calendars/";
+  private static final String NAME_PATTERN = "[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?";
+  private static final int PAGE_SIZE = 200;
+  private static final int MAX_ATTEMPTS = 5;
+  private static final int MAX_DATES = 600;
+  private static final Set<String> TIMESTAMP_FIELDS =
+      Set.of("due", "last", "fired", "done", "at", "said");
 
   /** Schedules of all controllers together: a takeover reads them all. */
-  static final int MOST_SCHEDULES = 20_000;
+  static final int MAX_SCHEDULES = 20_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Random random;
   private final Settings settings;
   private final StateStore store;
   private final Membership membership;
   private final MachineTypes machineTypes;
-  private final Intake intake;
-  private final Schedules schedules;
+  private final JobAdmission intake;
+  private final ScheduleRegistry schedules;
 
   /** Serves what is stored, and what the schedules here know. */
   public ScheduleApi(
-      Loop loop,
+      EventLoop loop,
       Random random,
       Settings settings,
       StateStore store,
       Membership membership,
       MachineTypes machineTypes,
-      Intake intake,
-      Schedules schedules) {
+      JobAdmission intake,
+      ScheduleRegistry schedules) {
     this.loop = loop;
     this.random = random;
     this.settings = settings;
@@ -81,279 +82,309 @@
   }
 
   /** Whether a path is served here. */
-  public static boolean serves(String path) {
-    return path.startsWith(SCHEDULES) || path.startsWith(CALENDARS) || path.equals("/reports");
+  public static boolean servesPath(String path) {
+    return path.startsWith(SCHEDULES_PATH)
+        || path.startsWith(CALENDARS_PATH)
+        || path.equals("/reports");
   }
 
-  private static Answer json(int code, JsonNode body) {
-    return new Answer(code, KubeJson.bytes(body), code == 503 ? 1 : 0, "application/json");
+  private static HttpAnswer jsonAnswer(int httpStatus, JsonNode body) {
+    return new HttpAnswer(
+        httpStatus, KubernetesJson.toBytes(body), httpStatus == 503 ? 1 : 0, "application/json");
   }
 
-  private static Answer error(int code, String why) {
-    return json(code, Cbor.map().put("error", why));
+  private static HttpAnswer errorAnswer(int httpStatus, String reason) {
+    return jsonAnswer(httpStatus, Cbor.newMap().put("error", reason));
   }
 
   @Override
-  public void handle(String method, String target, byte[] body, Consumer<Answer> done) {
-    int mark = target.indexOf('?');
-    String path = mark < 0 ? target : target.substring(0, mark);
+  public void handle(String method, String target, byte[] body, Consumer<HttpAnswer> responder) {
+    int queryStart = target.indexOf('?');
+    String path = queryStart < 0 ? target : target.substring(0, queryStart);
     try {
       if (path.equals("/reports")) {
-        reports(done);
-      } else if (path.startsWith(CALENDARS)) {
-        calendar(method, path.substring(CALENDARS.length()), body, done);
+        listReports(responder);
+      } else if (path.startsWith(CALENDARS_PATH)) {
+        handleCalendar(method, path.substring(CALENDARS_PATH.length()), body, responder);
       } else {
-        route(method, path, mark < 0 ? "" : target.substring(mark + 1), body, done);
+        route(
+            method, path, queryStart < 0 ? "" : target.substring(queryStart + 1), body, responder);
       }
-    } catch (KubeJson.Malformed e) {
-      done.accept(error(400, (e.path().isEmpty() ? "" : e.path() + ": ") + e.getMessage()));
-    } catch (Refused e) {
-      done.accept(error(e.code(), e.getMessage()));
+    } catch (KubernetesJson.MalformedRequestException exception) {
+      responder.accept(
+          errorAnswer(
+              400,
+              (exception.path().isEmpty() ? "" : exception.path() + ": ")
+                  + exception.getMessage()));
+    } catch (InvalidDefinitionException exception) {
+      responder.accept(errorAnswer(exception.httpStatus(), exception.getMessage()));
     }
   }
 
-  private void route(String method, String path, String query, byte[] body, Consumer<Answer> done)
-      throws KubeJson.Malformed, Refused {
-    String[] p = path.split("/", -1);
-    if (p.length == 2 && p[1].equals("schedules")) {
+  private void route(
+      String method, String path, String query, byte[] body, Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
+    String[] segments = path.split("/", -1);
+    if (segments.length == 2 && segments[1].equals("schedules")) {
       if (method.equals("POST")) {
-        create(KubeJson.parse(body), done);
+        createSchedule(KubernetesJson.parse(body), responder);
       } else if (method.equals("GET")) {
-        list(query, done);
+        listSchedules(query, responder);
       } else {
-        done.accept(error(405, "GET and POST are served"));
+        responder.accept(errorAnswer(405, "GET and POST are served"));
       }
-    } else if (p.length > 4 || p.length < 3 || !p[2].matches(NAME)) {
-      done.accept(error(404, "no such path"));
-    } else if (p.length == 4 && method.equals("GET") && p[3].equals("history")) {
-      read(p[2], done, row -> history(row, done));
-    } else if (p.length == 4 && method.equals("POST") && p[3].matches("pause|resume")) {
-      pause(p[2], p[3].equals("pause"), done);
-    } else if (p.length == 4) {
-      done.accept(error(404, "no such path"));
+    } else if (segments.length > 4 || segments.length < 3 || !segments[2].matches(NAME_PATTERN)) {
+      responder.accept(errorAnswer(404, "no such path"));
+    } else if (segments.length == 4 && method.equals("GET") && segments[3].equals("history")) {
+      readSchedule(segments[2], responder, row -> showHistory(row, responder));
+    } else if (segments.length == 4
+        && method.equals("POST")
+        && segments[3].matches("pause|resume")) {
+      setPaused(segments[2], segments[3].equals("pause"), responder);
+    } else if (segments.length == 4) {
+      responder.accept(errorAnswer(404, "no such path"));
     } else {
-      one(method, p[2], body, done);
+      handleSchedule(method, segments[2], body, responder);
     }
   }
 
-  private void one(String method, String name, byte[] body, Consumer<Answer> done)
-      throws KubeJson.Malformed, Refused {
+  private void handleSchedule(
+      String method, String name, byte[] body, Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
     switch (method) {
-      case "GET" -> read(name, done, row -> done.accept(json(200, shown(row))));
-      case "PUT" -> replace(name, KubeJson.parse(body), done);
-      case "DELETE" -> delete(name, done, TRIES);
-      default -> done.accept(error(405, "GET, PUT and DELETE are served"));
+      case "GET" ->
+          readSchedule(name, responder, row -> responder.accept(jsonAnswer(200, toJson(row))));
+      case "PUT" -> replaceSchedule(name, KubernetesJson.parse(body), responder);
+      case "DELETE" -> deleteSchedule(name, responder, MAX_ATTEMPTS);
+      default -> responder.accept(errorAnswer(405, "GET, PUT and DELETE are served"));
     }
   }
 
-  private void checked(ObjectNode m) throws Refused {
-    Definition d = Definition.of(m);
-    d.check(Instant.ofEpochMilli(loop.wallMillis()), schedules.days());
-    String never = intake.neverRuns(d.spec(new JobId("job-0")));
-    if (never != null) {
-      throw new Refused(422, "job", "it can never run: " + never);
+  private void validateDefinition(ObjectNode json) throws InvalidDefinitionException {
+    ScheduleDefinition definition = ScheduleDefinition.parse(json);
+    definition.validate(Instant.ofEpochMilli(loop.wallMillis()), schedules.dayCalendar());
+    String reasonNeverRuns = intake.findImpossibleReason(definition.toJobSpec(new JobId("job-0")));
+    if (reasonNeverRuns != null) {
+      throw new InvalidDefinitionException(422, "job", "it can never run: " + reasonNeverRuns);
     }
-    if (Cbor.bytes(m).length > settings.stateLimits().valueBytes() / 4) {
-      throw new Refused(422, "job", "the description is too long");
+    if (Cbor.encode(json).length > settings.stateStoreLimits().maxValueBytes() / 4) {
+      throw new InvalidDefinitionException(422, "job", "the description is too long");
     }
   }
 
-  private static ObjectNode kept(ObjectNode m) {
-    ObjectNode d = m.deepCopy();
-    d.remove(List.of("name", "version"));
-    return d;
+  private static ObjectNode toStoredDefinition(ObjectNode json) {
+    ObjectNode definition = json.deepCopy();
+    definition.remove(List.of("name", "version"));
+    return definition;
   }
 
-  private void create(ObjectNode m, Consumer<Answer> done) throws Refused {
-    String name = m.path("name").asText("");
-    if (!name.matches(NAME)) {
-      throw new Refused(400, "name", "must be lower case letters, digits and hyphens, at most 63");
+  private void createSchedule(ObjectNode json, Consumer<HttpAnswer> responder)
+      throws InvalidDefinitionException {
+    String name = json.path("name").asText("");
+    if (!name.matches(NAME_PATTERN)) {
+      throw new InvalidDefinitionException(
+          400, "name", "must be lower case letters, digits and hyphens, at most 63");
     }
-    String closed = intake.closed();
-    if (!schedules.ready() || closed != null) {
-      done.accept(error(503, closed == null ? "the schedules are not read yet" : closed));
+    String closedReason = intake.findClosedReason();
+    if (!schedules.isReady() || closedReason != null) {
+      responder.accept(
+          errorAnswer(503, closedReason == null ? "the schedules are not read yet" : closedReason));
       return;
     }
-    OwnedEntity own = membership.own();
-    if (schedules.count() >= MOST_SCHEDULES) {
-      done.accept(error(429, "there are " + MOST_SCHEDULES + " schedules already"));
+    OwnedEntity ownEntity = membership.findHomeEntity();
+    if (schedules.scheduleCount() >= MAX_SCHEDULES) {
+      responder.accept(errorAnswer(429, "there are " + MAX_SCHEDULES + " schedules already"));
       return;
     }
-    checked(m);
+    validateDefinition(json);
     String uid = new UUID(random.nextLong(), random.nextLong()).toString();
-    ScheduleRow row = ScheduleRow.fresh(name, kept(m), own.entity(), uid, loop.wallMillis());
-    Tombstones.creation(store, own::fenced, row.key(), row.value())
-        .thenCompose(store::settle)
+    ScheduleRow row =
+        ScheduleRow.create(name, toStoredDefinition(json), ownEntity.id(), uid, loop.wallMillis());
+    Tombstones.draftCreation(store, ownEntity::fencedTransaction, row.key(), row.value())
+        .thenCompose(store::commit)
         .whenComplete(
             (outcome, failure) -> {
               if (failure != null) {
-                done.accept(error(503, "the state service does not answer"));
+                responder.accept(errorAnswer(503, "the state service does not answer"));
               } else if (outcome.applied()) {
-                LOG.info("schedule {} created: {}", name, m.path("due").asText());
-                done.accept(json(201, shown(row)));
-              } else if (!outcome.failed().contains(row.key())) {
-                done.accept(error(503, "the entity or what was deleted has changed"));
+                LOG.info("schedule {} created: {}", name, json.path("due").asText());
+                responder.accept(jsonAnswer(201, toJson(row)));
+              } else if (!outcome.failedKeys().contains(row.key())) {
+                responder.accept(errorAnswer(503, "the entity or what was deleted has changed"));
               } else {
-                read(
+                readSchedule(
                     name,
-                    done,
+                    responder,
                     found ->
-                        done.accept(
+                        responder.accept(
                             found.uid().equals(uid)
-                                ? json(201, shown(found))
-                                : error(409, "the schedule exists already")));
+                                ? jsonAnswer(201, toJson(found))
+                                : errorAnswer(409, "the schedule exists already")));
               }
             });
   }
 
-  private void read(String name, Consumer<Answer> done, Consumer<ScheduleRow> then) {
-    String key = ScheduleRow.ROWS + name;
+  private void readSchedule(
+      String name, Consumer<HttpAnswer> responder, Consumer<ScheduleRow> onFound) {
+    String key = ScheduleRow.KEY_PREFIX + name;
     store
         .getForUser(key)
         .whenComplete(
             (entry, failure) -> {
               if (failure != null) {
-                boolean busy = Unavailable.of(failure).status() == 429;
-                done.accept(error(busy ? 429 : 503, "the state service cannot be asked now"));
+                boolean busy = StateUnavailableException.from(failure).status() == 429;
+                responder.accept(
+                    errorAnswer(busy ? 429 : 503, "the state service cannot be asked now"));
               } else if (entry.value() == null) {
-                done.accept(error(404, "there is no such schedule"));
+                responder.accept(errorAnswer(404, "there is no such schedule"));
               } else {
-                then.accept(ScheduleRow.of(key, entry.value(), entry.stamp()));
+                onFound.accept(ScheduleRow.fromRow(key, entry.value(), entry.modRevision()));
               }
             });
   }
 
   /** A change takes effect when it is stored: older due times that have no run yet get none. */
-  private void replace(String name, ObjectNode m, Consumer<Answer> done) throws Refused {
-    if (!m.path("version").isIntegralNumber()) {
-      throw new Refused(400, "version", "must be the version that is to be changed");
+  private void replaceSchedule(String name, ObjectNode json, Consumer<HttpAnswer> responder)
+      throws InvalidDefinitionException {
+    if (!json.path("version").isIntegralNumber()) {
+      throw new InvalidDefinitionException(
+          400, "version", "must be the version that is to be changed");
     }
-    if (m.has("name") && !m.get("name").asText().equals(name)) {
-      throw new Refused(422, "name", "is not the name in the request's path");
+    if (json.has("name") && !json.get("name").asText().equals(name)) {
+      throw new InvalidDefinitionException(422, "name", "is not the name in the request's path");
     }
     if (machineTypes.isEmpty()) {
-      done.accept(error(503, "the machine types are not known yet"));
+      responder.accept(errorAnswer(503, "the machine types are not known yet"));
       return;
     }
-    checked(m);
-    int version = m.get("version").asInt();
-    change(
+    validateDefinition(json);
+    int version = json.get("version").asInt();
+    updateSchedule(
         name,
-        done,
+        responder,
         row ->
             row.version() != version
                 ? null
-                : row.with(
-                    v -> {
-                      v.set("def", kept(m));
-                      v.put("version", version + 1);
-                      v.put("cursor", Math.max(row.cursorMs(), loop.wallMillis()));
+                : row.withChange(
+                    changed -> {
+                      changed.set("def", toStoredDefinition(json));
+                      changed.put("version", version + 1);
+                      changed.put("cursor", Math.max(row.cursorMillis(), loop.wallMillis()));
                     }),
-        TRIES);
+        MAX_ATTEMPTS);
   }
 
   /** While it is paused nothing is due, and what would have been is not made up. */
-  private void pause(String name, boolean paused, Consumer<Answer> done) {
-    change(
+  private void setPaused(String name, boolean paused, Consumer<HttpAnswer> responder) {
+    updateSchedule(
         name,
-        done,
+        responder,
         row ->
-            row.paused() == paused
+            row.isPaused() == paused
                 ? row
-                : row.with(
-                    v -> {
-                      v.put("paused", paused);
-                      v.put("cursor", Math.max(row.cursorMs(), loop.wallMillis()));
+                : row.withChange(
+                    changed -> {
+                      changed.put("paused", paused);
+                      changed.put("cursor", Math.max(row.cursorMillis(), loop.wallMillis()));
                     }),
-        TRIES);
+        MAX_ATTEMPTS);
   }
 
-  private void change(
-      String name, Consumer<Answer> done, Function<ScheduleRow, ScheduleRow> change, int tries) {
-    read(
+  private void updateSchedule(
+      String name,
+      Consumer<HttpAnswer> responder,
+      Function<ScheduleRow, ScheduleRow> change,
+      int attemptsLeft) {
+    readSchedule(
         name,
-        done,
+        responder,
         row -> {
           ScheduleRow next = change.apply(row);
-          if (next == null || tries == 0) {
-            done.accept(
-                error(409, "the schedule has been changed; its version is " + row.version()));
+          if (next == null || attemptsLeft == 0) {
+            responder.accept(
+                errorAnswer(409, "the schedule has been changed; its version is " + row.version()));
             return;
           }
           if (next == row) {
-            done.accept(json(200, shown(row)));
+            responder.accept(jsonAnswer(200, toJson(row)));
             return;
           }
           store
-              .settle(new Txn().when(row.key(), row.stamp()).set(row.key(), next.value()))
+              .commit(
+                  new Transaction()
+                      .ifRevision(row.key(), row.modRevision())
+                      .put(row.key(), next.value()))
               .whenComplete(
                   (outcome, failure) -> {
                     if (failure != null) {
-                      done.accept(error(503, "the state service does not answer"));
+                      responder.accept(errorAnswer(503, "the state service does not answer"));
                     } else if (outcome.applied()) {
-                      done.accept(json(200, shown(next)));
+                      responder.accept(jsonAnswer(200, toJson(next)));
                     } else {
                       // A firing came first, or an earlier try of this change: it is made anew.
-                      again(name, done, change, tries - 1, next);
+                      retryUpdate(name, responder, change, attemptsLeft - 1, next);
                     }
                   });
         });
   }
 
-  private void again(
+  private void retryUpdate(
       String name,
-      Consumer<Answer> done,
+      Consumer<HttpAnswer> responder,
       Function<ScheduleRow, ScheduleRow> change,
-      int tries,
+      int attemptsLeft,
       ScheduleRow sent) {
-    read(
+    readSchedule(
         name,
-        done,
+        responder,
         row -> {
           boolean stored =
               row.version() == sent.version()
-                  && row.paused() == sent.paused()
+                  && row.isPaused() == sent.isPaused()
                   && row.definition().equals(sent.definition());
           if (stored) {
-            done.accept(json(200, shown(row)));
+            responder.accept(jsonAnswer(200, toJson(row)));
           } else {
-            change(name, done, change, tries);
+            updateSchedule(name, responder, change, attemptsLeft);
           }
         });
   }
 
   /** Runs under way go on as ordinary jobs; the blocks of the history go with the schedule. */
-  private void delete(String name, Consumer<Answer> done, int tries) {
-    read(
+  private void deleteSchedule(String name, Consumer<HttpAnswer> responder, int attemptsLeft) {
+    readSchedule(
         name,
-        done,
+        responder,
         row ->
             store
-                .settle(
-                    Tombstones.mark(
-                        new Txn().when(row.key(), row.stamp()).drop(row.key()),
+                .commit(
+                    Tombstones.markDeletion(
+                        new Transaction()
+                            .ifRevision(row.key(), row.modRevision())
+                            .delete(row.key()),
                         row.key(),
                         loop.wallMillis()))
                 .whenComplete(
                     (outcome, failure) -> {
                       if (failure != null) {
-                        done.accept(error(503, "the state service does not answer"));
+                        responder.accept(errorAnswer(503, "the state service does not answer"));
                       } else if (outcome.applied()) {
                         LOG.info("schedule {} deleted", name);
-                        blocks(row).forEach(k -> store.settleLast(new Txn().drop(k)));
-                        done.accept(json(200, Cbor.map().put("deleted", name)));
-                      } else if (tries > 0) {
-                        delete(name, done, tries - 1);
+                        historyBlockKeys(row)
+                            .forEach(k -> store.commitInBackground(new Transaction().delete(k)));
+                        responder.accept(jsonAnswer(200, Cbor.newMap().put("deleted", name)));
+                      } else if (attemptsLeft > 0) {
+                        deleteSchedule(name, responder, attemptsLeft - 1);
                       } else {
-                        done.accept(error(503, "the schedule is being changed"));
+                        responder.accept(errorAnswer(503, "the schedule is being changed"));
                       }
                     }));
   }
 
-  private static List<String> blocks(ScheduleRow row) {
+  private static List<String> historyBlockKeys(ScheduleRow row) {
     List<String> keys = new ArrayList<>();
     int count = row.value().path("blocks").asInt();
-    for (int i = Math.max(0, count - Firing.MOST_BLOCKS); i < count; i++) {
+    for (int i = Math.max(0, count - ScheduleTrigger.MAX_HISTORY_BLOCKS); i < count; i++) {
       keys.add(row.blockKey(i));
     }
     return keys;
@@ -362,177 +393,192 @@
   /**
    * All that is kept of ended runs; a block that cannot be read is named, never taken for empty.
    */
-  private void history(ScheduleRow row, Consumer<Answer> done) {
-    List<String> keys = blocks(row);
+  private void showHistory(ScheduleRow row, Consumer<HttpAnswer> responder) {
+    List<String> keys = historyBlockKeys(row);
     List<CompletableFuture<JsonNode>> reads = new ArrayList<>();
     keys.forEach(k -> reads.add(store.getForUser(k).thenApply(e -> e.value())));
     CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
         .whenComplete(
             (nothing, failure) -> {
               if (failure != null) {
-                done.accept(error(429, "the history cannot be read now: too many requests"));
+                responder.accept(
+                    errorAnswer(429, "the history cannot be read now: too many requests"));
                 return;
               }
-              ObjectNode m = Cbor.map().put("name", row.name());
-              ArrayNode torn = m.putArray("torn");
-              ArrayNode runs = m.putArray("runs");
+              ObjectNode json = Cbor.newMap().put("name", row.name());
+              ArrayNode torn = json.putArray("torn");
+              ArrayNode runs = json.putArray("runs");
               for (int i = 0; i < keys.size(); i++) {
                 try {
                   JsonNode block = reads.get(i).join();
                   if (block == null) {
-                    throw new Archive.Torn("the block is missing");
+                    throw new RunHistoryCodec.CorruptBlockException("the block is missing");
                   }
-                  Archive.unpack(block).forEach(r -> runs.add(readable(r)));
-                } catch (Archive.Torn e) {
-                  torn.addObject().put("block", keys.get(i)).put("error", e.getMessage());
+                  RunHistoryCodec.decode(block).forEach(r -> runs.add(withReadableTimestamps(r)));
+                } catch (RunHistoryCodec.CorruptBlockException exception) {
+                  torn.addObject().put("block", keys.get(i)).put("error", exception.getMessage());
                 }
               }
-              row.past().forEach(r -> runs.add(readable(r)));
-              done.accept(json(200, m));
+              row.endedRuns().forEach(r -> runs.add(withReadableTimestamps(r)));
+              responder.accept(jsonAnswer(200, json));
             });
   }
 
   /** Rows and blocks hold moments as numbers, people read them as times. */
-  private static JsonNode readable(JsonNode run) {
-    ObjectNode m = Cbor.map();
+  private static JsonNode withReadableTimestamps(JsonNode run) {
+    ObjectNode json = Cbor.newMap();
     run.properties()
         .forEach(
-            e -> {
-              boolean moment = MOMENTS.contains(e.getKey()) && e.getValue().isNumber();
+            entry -> {
+              boolean moment =
+                  TIMESTAMP_FIELDS.contains(entry.getKey()) && entry.getValue().isNumber();
               if (moment) {
-                m.put(e.getKey(), Instant.ofEpochMilli(e.getValue().asLong()).toString());
+                json.put(
+                    entry.getKey(), Instant.ofEpochMilli(entry.getValue().asLong()).toString());
               } else {
-                m.set(e.getKey(), e.getValue().isObject() ? readable(e.getValue()) : e.getValue());
+                json.set(
+                    entry.getKey(),
+                    entry.getValue().isObject()
+                        ? withReadableTimestamps(entry.getValue())
+                        : entry.getValue());
               }
             });
-    return m;
+    return json;
   }
 
-  private void list(String query, Consumer<Answer> done) {
+  private void listSchedules(String query, Consumer<HttpAnswer> responder) {
     String after = query.startsWith("after=") ? query.substring(6) : "";
-    if (!after.isEmpty() && !after.matches(NAME)) {
-      done.accept(error(400, "after: is no name"));
+    if (!after.isEmpty() && !after.matches(NAME_PATTERN)) {
+      responder.accept(errorAnswer(400, "after: is no name"));
       return;
     }
     store
-        .pageForUser(ScheduleRow.ROWS, after.isEmpty() ? "" : ScheduleRow.ROWS + after, PAGE)
+        .pageForUser(
+            ScheduleRow.KEY_PREFIX,
+            after.isEmpty() ? "" : ScheduleRow.KEY_PREFIX + after,
+            PAGE_SIZE)
         .whenComplete(
             (page, failure) -> {
               if (failure != null) {
-                done.accept(error(503, "the state service cannot be asked now"));
+                responder.accept(errorAnswer(503, "the state service cannot be asked now"));
                 return;
               }
-              ObjectNode m = Cbor.map();
-              ArrayNode all = m.putArray("schedules");
+              ObjectNode json = Cbor.newMap();
+              ArrayNode schedules = json.putArray("schedules");
               page.entries()
-                  .forEach(e -> all.add(shown(ScheduleRow.of(e.key(), e.value(), e.stamp()))));
+                  .forEach(
+                      e ->
+                          schedules.add(
+                              toJson(ScheduleRow.fromRow(e.key(), e.value(), e.modRevision()))));
               if (page.more()) {
-                m.put("after", all.get(all.size() - 1).path("name").asText());
+                json.put("after", schedules.get(schedules.size() - 1).path("name").asText());
               }
-              done.accept(json(200, m));
+              responder.accept(jsonAnswer(200, json));
             });
   }
 
   /** Reports that stand at the entities held here. */
-  private void reports(Consumer<Answer> done) {
-    ObjectNode m = Cbor.map();
-    ArrayNode all = m.putArray("reports");
-    for (ScheduleRow row : schedules.reported()) {
-      for (Run run : row.runs()) {
-        if (run.open()) {
-          all.add(shownRun(row, run).put("schedule", row.name()));
+  private void listReports(Consumer<HttpAnswer> responder) {
+    ObjectNode json = Cbor.newMap();
+    ArrayNode reports = json.putArray("reports");
+    for (ScheduleRow row : schedules.findSchedulesWithOpenReports()) {
+      for (Run run : row.openRuns()) {
+        if (run.hasOpenReport()) {
+          reports.add(runToJson(row, run).put("schedule", row.name()));
         }
       }
     }
-    done.accept(json(200, m));
+    responder.accept(jsonAnswer(200, json));
   }
 
-  private ObjectNode shown(ScheduleRow row) {
-    ObjectNode m = Cbor.map().put("name", row.name()).put("version", row.version());
-    row.definition().properties().forEach(e -> m.set(e.getKey(), e.getValue()));
-    m.put("paused", row.paused()).put("entity", row.entity().value());
-    m.put("settled", Instant.ofEpochMilli(row.cursorMs()).toString());
+  private ObjectNode toJson(ScheduleRow row) {
+    ObjectNode json = Cbor.newMap().put("name", row.name()).put("version", row.version());
+    row.definition().properties().forEach(e -> json.set(e.getKey(), e.getValue()));
+    json.put("paused", row.isPaused()).put("entity", row.entity().value());
+    json.put("settled", Instant.ofEpochMilli(row.cursorMillis()).toString());
     try {
       Instant next =
-          row.paused()
+          row.isPaused()
               ? null
-              : Definition.of(row.definition())
-                  .next(Instant.ofEpochMilli(row.cursorMs()), schedules.days());
-      m.put("next", next == null ? null : next.toString());
-    } catch (Refused e) {
-      m.put("error", e.getMessage());
+              : ScheduleDefinition.parse(row.definition())
+                  .findNextDue(Instant.ofEpochMilli(row.cursorMillis()), schedules.dayCalendar());
+      json.put("next", next == null ? null : next.toString());
+    } catch (InvalidDefinitionException exception) {
+      json.put("error", exception.getMessage());
     }
-    ArrayNode runs = m.putArray("runs");
-    row.runs().forEach(run -> runs.add(shownRun(row, run)));
-    return m;
+    ArrayNode runs = json.putArray("runs");
+    row.openRuns().forEach(run -> runs.add(runToJson(row, run)));
+    return json;
   }
 
-  private static ObjectNode shownRun(ScheduleRow row, Run run) {
-    ObjectNode m = Cbor.map().put("due", Instant.ofEpochMilli(run.dueMs()).toString());
-    m.put("job", ScheduleRow.runId(row.uid(), run.dueMs()).value());
-    long deadline = run.dueMs() + (long) (1000 * row.definition().path("deadline_s").asDouble());
-    m.put("deadline", Instant.ofEpochMilli(deadline).toString());
+  private static ObjectNode runToJson(ScheduleRow row, Run run) {
+    ObjectNode json = Cbor.newMap().put("due", Instant.ofEpochMilli(run.dueMillis()).toString());
+    json.put("job", ScheduleRow.runJobId(row.uid(), run.dueMillis()).value());
+    long deadlineMillis =
+        run.dueMillis() + (long) (1000 * row.definition().path("deadline_s").asDouble());
+    json.put("deadline", Instant.ofEpochMilli(deadlineMillis).toString());
     if (run.report() != null) {
-      ObjectNode r = m.putObject("report");
-      r.put("first", Instant.ofEpochMilli(run.report().path("at").asLong()).toString());
-      r.put("foreseen", Instant.ofEpochMilli(run.report().path("done").asLong()).toString());
-      r.put("withdrawn", run.report().path("withdrawn").asBoolean());
+      ObjectNode report = json.putObject("report");
+      report.put("first", Instant.ofEpochMilli(run.report().path("at").asLong()).toString());
+      report.put("foreseen", Instant.ofEpochMilli(run.report().path("done").asLong()).toString());
+      report.put("withdrawn", run.report().path("withdrawn").asBoolean());
     }
-    return m;
+    return json;
   }
 
-  private void calendar(String method, String name, byte[] body, Consumer<Answer> done)
-      throws KubeJson.Malformed, Refused {
-    if (!name.matches(NAME)) {
-      done.accept(error(404, "no such path"));
+  private void handleCalendar(
+      String method, String name, byte[] body, Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
+    if (!name.matches(NAME_PATTERN)) {
+      responder.accept(errorAnswer(404, "no such path"));
       return;
     }
-    String key = ScheduleRow.DAYS + name;
-    Txn txn = new Txn();
+    String key = ScheduleRow.CALENDAR_KEY_PREFIX + name;
+    Transaction transaction = new Transaction();
     switch (method) {
       case "GET" -> {
-        var dates = schedules.days().named(name);
+        var dates = schedules.dayCalendar().findNamedDays(name);
         if (dates == null) {
-          done.accept(error(404, "no days are kept under this name"));
+          responder.accept(errorAnswer(404, "no days are kept under this name"));
         } else {
-          ObjectNode m = Cbor.map().put("name", name);
-          dates.stream().sorted().forEach(d -> m.withArray("dates").add(d.toString()));
-          done.accept(json(200, m));
+          ObjectNode json = Cbor.newMap().put("name", name);
+          dates.stream().sorted().forEach(d -> json.withArray("dates").add(d.toString()));
+          responder.accept(jsonAnswer(200, json));
         }
         return;
       }
-      case "PUT" -> txn.set(key, dates(KubeJson.parse(body)));
-      case "DELETE" -> txn.drop(key);
+      case "PUT" -> transaction.put(key, validateDates(KubernetesJson.parse(body)));
+      case "DELETE" -> transaction.delete(key);
       default -> {
-        done.accept(error(405, "GET, PUT and DELETE are served"));
+        responder.accept(errorAnswer(405, "GET, PUT and DELETE are served"));
         return;
       }
     }
     // The same again does no harm: whole sets of days replace one another.
     store
-        .txn(txn)
+        .tryTransaction(transaction)
         .whenComplete(
             (outcome, failure) ->
-                done.accept(
+                responder.accept(
                     failure != null
-                        ? error(503, "the days could not be stored")
-                        : json(200, Cbor.map().put("name", name))));
+                        ? errorAnswer(503, "the days could not be stored")
+                        : jsonAnswer(200, Cbor.newMap().put("name", name))));
   }
 
-  private static ObjectNode dates(ObjectNode m) throws Refused {
-    if (m.size() != 1 || !m.path("dates").isArray()) {
-      throw new Refused(400, "dates", "must be the only field, and a list");
+  private static ObjectNode validateDates(ObjectNode json) throws InvalidDefinitionException {
+    if (json.size() != 1 || !json.path("dates").isArray()) {
+      throw new InvalidDefinitionException(400, "dates", "must be the only field, and a list");
     }
-    if (m.get("dates").size() > MOST_DATES) {
-      throw new Refused(422, "dates", "must be at most " + MOST_DATES);
+    if (json.get("dates").size() > MAX_DATES) {
+      throw new InvalidDefinitionException(422, "dates", "must be at most " + MAX_DATES);
     }
-    for (JsonNode d : m.get("dates")) {
+    for (JsonNode node : json.get("dates")) {
       try {
-        LocalDate.parse(d.asText());
-      } catch (DateTimeException e) {
-        throw new Refused(400, "dates", "'" + d.asText() + "' is no date");
+        LocalDate.parse(node.asText());
+      } catch (DateTimeException exception) {
+        throw new InvalidDefinitionException(400, "dates", "'" + node.asText() + "' is no date");
       }
     }
-    return m;
+    return json;
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleRow.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRow.java
@@ -15,52 +15,52 @@
 /**
  * A schedule as its row holds it. Everything that decides whether a due time has had its run stands
  * in this one row: the cursor says up to which due time all is settled, and it advances only by the
- * transaction that stores the run's job. Never changed; {@link #with} makes the next one.
+ * transaction that stores the run's job. Never changed; {@link #withChange} makes the next one.
  */
 public final class ScheduleRow {
-  static final String ROWS = "cal/s/";
-  static final String DAYS = "cal/d/";
-  private static final String BLOCKS = "cal/h/";
+  static final String KEY_PREFIX = "cal/s/";
+  static final String CALENDAR_KEY_PREFIX = "cal/d/";
+  private static final String HISTORY_KEY_PREFIX = "cal/h/";
 
   private final String name;
   private final ObjectNode value;
-  private final long stamp;
+  private final long modRevision;
 
   /** A run that is not over: its report, if there is one, says when it was last foreseen late. */
-  public record Run(long dueMs, long firedMs, JsonNode report) {
-    boolean open() {
+  public record Run(long dueMillis, long firedMillis, JsonNode report) {
+    boolean hasOpenReport() {
       return report != null && !report.path("withdrawn").asBoolean();
     }
   }
 
-  ScheduleRow(String name, ObjectNode value, long stamp) {
+  ScheduleRow(String name, ObjectNode value, long modRevision) {
     this.name = name;
     this.value = value;
-    this.stamp = stamp;
+    this.modRevision = modRevision;
   }
 
-  static ScheduleRow of(String key, JsonNode value, long stamp) {
-    return new ScheduleRow(key.substring(ROWS.length()), (ObjectNode) value, stamp);
+  static ScheduleRow fromRow(String key, JsonNode value, long modRevision) {
+    return new ScheduleRow(key.substring(KEY_PREFIX.length()), (ObjectNode) value, modRevision);
   }
 
-  static ScheduleRow fresh(
-      String name, ObjectNode definition, ControllerId entity, String uid, long nowMs) {
-    ObjectNode v = Cbor.map().put("uid", uid).put("entity", entity.value());
-    v.put("version", 1).put("paused", false).put("cursor", nowMs).put("blocks", 0);
+  static ScheduleRow create(
+      String name, ObjectNode definition, ControllerId entity, String uid, long nowMillis) {
+    ObjectNode value = Cbor.newMap().put("uid", uid).put("entity", entity.value());
+    value.put("version", 1).put("paused", false).put("cursor", nowMillis).put("blocks", 0);
 
-    v.set("def", definition);
-    v.putArray("runs");
-    v.putArray("past");
-    return new ScheduleRow(name, v, 0);
+    value.set("def", definition);
+    value.putArray("runs");
+    value.putArray("past");
+    return new ScheduleRow(name, value, 0);
   }
 
-  ScheduleRow with(Consumer<ObjectNode> change) {
+  ScheduleRow withChange(Consumer<ObjectNode> change) {
     ObjectNode next = value.deepCopy();
     change.accept(next);
-    return new ScheduleRow(name, next, stamp);
+    return new ScheduleRow(name, next, modRevision);
   }
 
-  ScheduleRow at(long revision) {
+  ScheduleRow withModRevision(long revision) {
     return new ScheduleRow(name, value, revision);
   }
 
@@ -69,15 +69,15 @@
   }
 
   String key() {
-    return ROWS + name;
+    return KEY_PREFIX + name;
   }
 
   ObjectNode value() {
     return value;
   }
 
-  long stamp() {
-    return stamp;
+  long modRevision() {
+    return modRevision;
   }
 
   String uid() {
@@ -92,7 +92,7 @@
     return value.path("def");
   }
 
-  boolean paused() {
+  boolean isPaused() {
     return value.path("paused").asBoolean();
   }
 
@@ -101,75 +101,77 @@
   }
 
   /** Every due time up to here is settled. */
-  long cursorMs() {
+  long cursorMillis() {
     return value.path("cursor").asLong();
   }
 
-  List<Run> runs() {
-    List<Run> all = new ArrayList<>();
-    for (JsonNode r : value.path("runs")) {
-      all.add(new Run(r.path("due").asLong(), r.path("fired").asLong(), r.get("report")));
+  List<Run> openRuns() {
+    List<Run> runs = new ArrayList<>();
+    for (JsonNode run : value.path("runs")) {
+      runs.add(new Run(run.path("due").asLong(), run.path("fired").asLong(), run.get("report")));
     }
-    return all;
+    return runs;
   }
 
   /** How due times ended that are not in a block yet. */
-  ArrayNode past() {
+  ArrayNode endedRuns() {
     return (ArrayNode) value.get("past");
   }
 
-  static void ran(ObjectNode row, long dueMs, long nowMs) {
-    row.put("cursor", dueMs);
-    ((ArrayNode) row.get("runs")).addObject().put("due", dueMs).put("fired", nowMs);
+  static void recordFired(ObjectNode row, long dueMillis, long nowMillis) {
+    row.put("cursor", dueMillis);
+    ((ArrayNode) row.get("runs")).addObject().put("due", dueMillis).put("fired", nowMillis);
   }
 
   /** The entry of a run in a row under construction. */
-  static ObjectNode run(ObjectNode row, long dueMs) {
-    for (JsonNode r : row.path("runs")) {
-      if (r.path("due").asLong() == dueMs) {
-        return (ObjectNode) r;
+  static ObjectNode runEntry(ObjectNode row, long dueMillis) {
+    for (JsonNode run : row.path("runs")) {
+      if (run.path("due").asLong() == dueMillis) {
+        return (ObjectNode) run;
       }
     }
-    throw new IllegalStateException("no run of " + dueMs);
+    throw new IllegalStateException("no run of " + dueMillis);
   }
 
-  static void over(ObjectNode row, long dueMs, long nowMs, String how, boolean late) {
-    ObjectNode run = run(row, dueMs);
-    ObjectNode end = ((ArrayNode) row.get("past")).addObject();
-    end.put("due", dueMs).put("fired", run.path("fired").asLong()).put("done", nowMs);
-    end.put("how", how).put("late", late);
+  static void recordEnded(
+      ObjectNode row, long dueMillis, long nowMillis, String outcome, boolean late) {
+    ObjectNode run = runEntry(row, dueMillis);
+    ObjectNode ended = ((ArrayNode) row.get("past")).addObject();
+    ended.put("due", dueMillis).put("fired", run.path("fired").asLong()).put("done", nowMillis);
+    ended.put("how", outcome).put("late", late);
     if (run.has("report")) {
-      end.set("report", run.get("report"));
+      ended.set("report", run.get("report"));
     }
-    ArrayNode rest = Cbor.list();
-    row.path("runs").forEach(r -> rest.addAll(r == run ? List.of() : List.of(r)));
-    row.set("runs", rest);
+    ArrayNode remaining = Cbor.newList();
+    row.path("runs").forEach(r -> remaining.addAll(r == run ? List.of() : List.of(r)));
+    row.set("runs", remaining);
   }
 
   /** Due times that get no run, for a reason. */
-  static void skipped(ObjectNode row, long firstMs, long lastMs, int count, String why) {
-    row.put("cursor", lastMs);
+  static void recordSkipped(
+      ObjectNode row, long firstMillis, long lastMillis, int count, String reason) {
+    row.put("cursor", lastMillis);
     ((ArrayNode) row.get("past"))
         .addObject()
-        .put("due", firstMs)
-        .put("last", lastMs)
+        .put("due", firstMillis)
+        .put("last", lastMillis)
         .put("count", count)
         .put("how", "skipped")
-        .put("why", why);
+        .put("why", reason);
   }
 
   String blockKey(long number) {
-    return BLOCKS + uid() + "/" + "%08d".formatted(number);
+    return HISTORY_KEY_PREFIX + uid() + "/" + "%08d".formatted(number);
   }
 
   /**
    * The id of the run of a due time: it follows from the two, so a run that is stored twice is the
    * same job, whose claim exists.
    */
-  static JobId runId(String uid, long dueMs) {
+  static JobId runJobId(String uid, long dueMillis) {
     long number =
         Hashing.sha256()
-            .hashString("violetrail run " + uid + " " + dueMs, StandardCharsets.UTF_8)
+            .hashString("violetrail run " + uid + " " + dueMillis, StandardCharsets.UTF_8)
             .asLong();
     return new JobId("job-8" + "%019d".formatted(number & Long.MAX_VALUE));
   }
--- a/src/main/java/io/violetrail/cli/Rehearsal.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
-import io.violetrail.model.Amounts;
 import io.violetrail.model.JobId;
+import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
 import io.violetrail.model.Priority;
-import io.violetrail.model.Shape;
-import io.violetrail.net.Service;
+import io.violetrail.model.Resources;
+import io.violetrail.net.RequestHandler;
 import io.violetrail.peer.PeerClient;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.JobWire;
+import io.violetrail.wire.JobMessages;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.function.Consumer;
@@ -21,17 +21,17 @@
  * Runs a controller for a moment against services that answer from a script, all in this process,
  * so that the build can archive the classes a start needs. Takes no part in serving.
  */
-final class Rehearsal {
-  private static final double FOR_S = 2.5;
+final class ClassArchiveWarmUp {
+  private static final double RUN_SECONDS = 2.5;
   private static long revision = 1;
 
-  private Rehearsal() {}
+  private ClassArchiveWarmUp() {}
 
   static int run() throws Exception {
     int[] ports = new int[4];
     for (int i = 0; i < ports.length; i++) {
-      try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-        ports[i] = s.getLocalPort();
+      try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        ports[i] = socket.getLocalPort();
       }
     }
     String toml =
@@ -76,35 +76,35 @@
         sockets = 700
         """
             .formatted(ports[0], ports[1], ports[1], ports[2], ports[3]);
-    Settings settings = Settings.read(new TomlMapper().readTree(toml));
-    Main.Running controller = Main.start(settings, Options.DEFAULTS, null);
+    Settings settings = Settings.parse(new TomlMapper().readTree(toml));
+    Main.StartedController controller = Main.start(settings, Options.DEFAULTS, null);
     Main.start(
         new Settings(
             settings.self(),
             "z",
-            settings.cloud(),
-            settings.state(),
+            settings.cloudAddress(),
+            settings.stateStoreAddress(),
             settings.peers(),
-            settings.cloud(),
-            settings.state(),
+            settings.cloudAddress(),
+            settings.stateStoreAddress(),
             0,
             settings.teams(),
             settings.objectives(),
-            settings.workers(),
-            settings.stateLimits(),
+            settings.workerTiming(),
+            settings.stateStoreLimits(),
             settings.cloudLimits(),
-            settings.limits()),
+            settings.processLimits()),
         Options.DEFAULTS,
-        Rehearsal::script);
+        ClassArchiveWarmUp::answerFromScript);
     JobSpec spec =
         new JobSpec(
             new JobId("job-1"),
             "c",
             "t",
-            Shape.ARRAY,
+            JobShape.ARRAY,
             Priority.HIGH,
             2,
-            new Amounts(1, 0, 1),
+            new Resources(1, 0, 1),
             "i",
             1,
             null,
@@ -119,54 +119,80 @@
     PeerClient.exerciseCodec(spec);
     controller
         .loop()
-        .after(
+        .schedule(
             1,
             () -> {
               for (String path :
                   new String[] {"/ready", "/work/job-1", "/work/job-2", "/metrics"}) {
-                controller.http().call(settings.api(), "GET", path, null, 1);
+                controller.http().call(settings.apiAddress(), "GET", path, null, 1);
               }
               controller
                   .http()
-                  .call(settings.api(), "POST", "/work", Cbor.bytes(JobWire.spec(spec)), 1);
-              controller.http().call(settings.api(), "POST", "/agent/beat", Cbor.bytes(beat(1)), 1);
+                  .call(
+                      settings.apiAddress(),
+                      "POST",
+                      "/work",
+                      Cbor.encode(JobMessages.jobSpec(spec)),
+                      1);
+              controller
+                  .http()
+                  .call(settings.apiAddress(), "POST", "/agent/beat", Cbor.encode(heartbeat(1)), 1);
             });
     controller
         .loop()
-        .after(
+        .schedule(
             1.6,
             () ->
                 controller
                     .http()
-                    .call(settings.api(), "POST", "/agent/beat", Cbor.bytes(beat(2)), 1));
+                    .call(
+                        settings.apiAddress(),
+                        "POST",
+                        "/agent/beat",
+                        Cbor.encode(heartbeat(2)),
+                        1));
     controller
         .loop()
-        .after(
+        .schedule(
             2,
             () ->
                 controller
                     .http()
-                    .call(settings.api(), "POST", "/work/job-1/abort", Cbor.bytes(Cbor.map()), 1));
-    Thread.sleep((long) (FOR_S * 1000));
+                    .call(
+                        settings.apiAddress(),
+                        "POST",
+                        "/work/job-1/abort",
+                        Cbor.encode(Cbor.newMap()),
+                        1));
+    Thread.sleep((long) (RUN_SECONDS * 1000));
     System.exit(0);
     return 0;
   }
 
-  private static JsonNode beat(int seq) {
-    var m =
-        Cbor.map().put("host", "vm-1").put("hosttype", "t").put("yard", "z").put("loaners", false);
-    m.put("tenure", 1).put("tick", seq).put("baton", seq == 1 ? 0 : 100).putArray("pieces");
-    return m;
+  private static JsonNode heartbeat(int sequence) {
+    var heartbeat =
+        Cbor.newMap()
+            .put("host", "vm-1")
+            .put("hosttype", "t")
+            .put("yard", "z")
+            .put("loaners", false);
+    heartbeat
+        .put("tenure", 1)
+        .put("tick", sequence)
+        .put("baton", sequence == 1 ? 0 : 100)
+        .putArray("pieces");
+    return heartbeat;
   }
 
-  private static void script(
-      String method, String path, byte[] body, Consumer<Service.Answer> done) {
-    var m = Cbor.map().put("epoch", ++revision).put("hold", 7);
-    m.putArray("entries");
-    m.putArray("log");
+  private static void answerFromScript(
+      String method, String path, byte[] body, Consumer<RequestHandler.HttpAnswer> responder) {
+    var answer = Cbor.newMap().put("epoch", ++revision).put("hold", 7);
+    answer.putArray("entries");
+    answer.putArray("log");
     if (path.equals("/flavors")) {
       var type =
-          m.putArray("hosttypes")
+          answer
+              .putArray("hosttypes")
               .addObject()
               .put("sku", "t")
               .put("cores", 4)
@@ -180,13 +206,13 @@
           .putArray("yards")
           .add("z");
     } else if (path.equals("/hosts")) {
-      m.putArray("hosts").add("vm-9");
+      answer.putArray("hosts").add("vm-9");
     } else if (path.startsWith("/keys/")) {
-      done.accept(Service.Answer.of(404, m));
+      responder.accept(RequestHandler.HttpAnswer.of(404, answer));
       return;
     } else if (path.startsWith("/changes")) {
       return;
     }
-    done.accept(Service.Answer.of(200, m));
+    responder.accept(RequestHandler.HttpAnswer.of(200, answer));
   }
 }
--- a/src/main/java/io/violetrail/cli/ControllerClient.java
+++ b/src/main/java/io/violetrail/cli/ControllerClient.java
@@ -1,7 +1,7 @@
 package io.violetrail.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.violetrail.wire.kubernetes.KubeJson;
+import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.URI;
@@ -15,7 +15,7 @@
 
 /** Asks controllers for the command line. */
 final class ControllerClient {
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private final List<String> servers;
 
@@ -30,18 +30,18 @@
 
   /** A controller's answer. */
   record Reply(int status, JsonNode body) {
-    boolean ok() {
+    boolean isSuccessful() {
       return status >= 200 && status < 300;
     }
   }
 
   /** No controller has answered. */
-  static final class NoAnswer extends Exception {
+  static final class NoAnswerException extends Exception {
     private static final long serialVersionUID = 1L;
     private final boolean maybeCarriedOut;
 
-    NoAnswer(String why, boolean maybeCarriedOut) {
-      super(why);
+    NoAnswerException(String reason, boolean maybeCarriedOut) {
+      super(reason);
       this.maybeCarriedOut = maybeCarriedOut;
     }
 
@@ -51,42 +51,45 @@
     }
   }
 
-  Reply get(String path) throws NoAnswer {
+  Reply get(String path) throws NoAnswerException {
     return send("GET", path, null);
   }
 
-  Reply send(String method, String path, byte[] body) throws NoAnswer {
-    StringBuilder why = new StringBuilder();
+  Reply send(String method, String path, byte[] body) throws NoAnswerException {
+    StringBuilder failures = new StringBuilder();
     for (String server : servers) {
-      why.append(why.isEmpty() ? "" : "; ").append(server).append(" gave no answer: ");
+      failures.append(failures.isEmpty() ? "" : "; ").append(server).append(" gave no answer: ");
       try {
         return send(server, method, path, body);
-      } catch (ConnectException e) {
-        why.append("it cannot be reached");
-      } catch (IOException | KubeJson.Malformed | IllegalArgumentException e) {
-        why.append(e.getMessage());
+      } catch (ConnectException exception) {
+        failures.append("it cannot be reached");
+      } catch (IOException
+          | KubernetesJson.MalformedRequestException
+          | IllegalArgumentException exception) {
+        failures.append(exception.getMessage());
         if (!method.equals("GET")) {
-          throw new NoAnswer(why.toString(), !(e instanceof IllegalArgumentException));
+          throw new NoAnswerException(
+              failures.toString(), !(exception instanceof IllegalArgumentException));
         }
-      } catch (InterruptedException e) {
+      } catch (InterruptedException exception) {
         Thread.currentThread().interrupt();
-        throw new NoAnswer(why + "interrupted", true);
+        throw new NoAnswerException(failures + "interrupted", true);
       }
     }
-    throw new NoAnswer(why.toString(), false);
+    throw new NoAnswerException(failures.toString(), false);
   }
 
   private static Reply send(String server, String method, String path, byte[] body)
-      throws IOException, InterruptedException, KubeJson.Malformed {
+      throws IOException, InterruptedException, KubernetesJson.MalformedRequestException {
     BodyPublisher sent = body == null ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(body);
     var answer =
         HttpClient.newHttpClient()
             .send(
                 HttpRequest.newBuilder(URI.create("http://" + server + path))
-                    .timeout(PATIENCE)
+                    .timeout(TIMEOUT)
                     .method(method, sent)
                     .build(),
                 BodyHandlers.ofByteArray());
-    return new Reply(answer.statusCode(), KubeJson.parse(answer.body()));
+    return new Reply(answer.statusCode(), KubernetesJson.parse(answer.body()));
   }
 }
--- a/src/main/java/io/violetrail/cli/KubernetesCommand.java
+++ b/src/main/java/io/violetrail/cli/KubernetesCommand.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.yaml.YAMLFactory;
-import io.violetrail.kubernetes.Kind;
-import io.violetrail.kubernetes.Schema;
-import io.violetrail.kubernetes.Schema.Field;
-import io.violetrail.kubernetes.Translation;
-import io.violetrail.wire.kubernetes.KubeJson;
-import io.violetrail.wire.kubernetes.Refusal;
+import io.violetrail.kubernetes.ManifestSchema;
+import io.violetrail.kubernetes.ManifestSchema.Field;
+import io.violetrail.kubernetes.NativeJobTranslator;
+import io.violetrail.kubernetes.ObjectKind;
+import io.violetrail.wire.kubernetes.FieldError;
+import io.violetrail.wire.kubernetes.KubernetesJson;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -63,7 +63,7 @@
 
     @Spec private CommandSpec spec;
 
-    private final Translation translation = new Translation(new Schema());
+    private final NativeJobTranslator translator = new NativeJobTranslator(new ManifestSchema());
 
     @Override
     public Integer call() {
@@ -75,25 +75,30 @@
           YAMLFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
       try (JsonParser parser = yaml.createParser(Files.readAllBytes(file))) {
         while (parser.nextToken() != null) {
-          JsonNode document = KubeJson.next(parser);
-          String at = file + " document " + ++documents;
-          List<Refusal> no = judge(document, at, out);
-          for (Refusal r : no) {
-            out.println(at + ": refused: " + (r.path().isEmpty() ? "" : r.path() + ": ") + r.why());
+          JsonNode document = KubernetesJson.readNext(parser);
+          String location = file + " document " + ++documents;
+          List<FieldError> errors = checkManifest(document, location, out);
+          for (FieldError error : errors) {
+            out.println(
+                location
+                    + ": refused: "
+                    + (error.path().isEmpty() ? "" : error.path() + ": ")
+                    + error.message());
           }
-          refused += no.isEmpty() ? 0 : 1;
+          refused += errors.isEmpty() ? 0 : 1;
         }
-      } catch (KubeJson.Malformed e) {
+      } catch (KubernetesJson.MalformedRequestException exception) {
         out.println(
             file
                 + " document "
                 + (documents + 1)
                 + ": refused: "
-                + (e.path().isEmpty() ? "" : e.path() + ": ")
-                + e.getMessage());
+                + (exception.path().isEmpty() ? "" : exception.path() + ": ")
+                + exception.getMessage());
         return REFUSED;
-      } catch (IOException e) {
-        err.println("violetrail kubernetes check: " + file + " cannot be read: " + e.getMessage());
+      } catch (IOException exception) {
+        err.println(
+            "violetrail kubernetes check: " + file + " cannot be read: " + exception.getMessage());
         return BAD_USAGE;
       }
       if (documents == 0) {
@@ -103,30 +108,32 @@
       return refused > 0 ? REFUSED : 0;
     }
 
-    private List<Refusal> judge(JsonNode document, String at, PrintWriter out) {
+    private List<FieldError> checkManifest(JsonNode document, String location, PrintWriter out) {
       if (!(document instanceof ObjectNode manifest)) {
-        return List.of(new Refusal("", Refusal.Cause.TYPE, "the document is not an object"));
+        return List.of(new FieldError("", FieldError.Cause.TYPE, "the document is not an object"));
       }
-      Kind kind =
-          Kind.ofManifest(manifest.path("apiVersion").asText(), manifest.path("kind").asText());
+      ObjectKind kind =
+          ObjectKind.findForManifest(
+              manifest.path("apiVersion").asText(), manifest.path("kind").asText());
       if (kind == null) {
         return List.of(
-            new Refusal(
+            new FieldError(
                 "kind",
-                Refusal.Cause.NOT_SUPPORTED,
+                FieldError.Cause.NOT_SUPPORTED,
                 "only batch/v1 Job and apps/v1 Deployment are taken"));
       }
       String team =
           namespace != null
               ? namespace
               : manifest.path("metadata").path("namespace").asText("default");
-      List<Refusal> no = translation.check(kind, manifest, team);
-      if (no.isEmpty()) {
-        ObjectNode message = translation.nativeMessage(kind, manifest, team);
+      List<FieldError> errors = translator.validate(kind, manifest, team);
+      if (errors.isEmpty()) {
+        ObjectNode message = translator.toNativeMessage(kind, manifest, team);
         message.remove("name_id");
-        out.println(at + ": taken, as " + (kind == Kind.JOB ? "" : "replicas of ") + message);
+        out.println(
+            location + ": taken, as " + (kind == ObjectKind.JOB ? "" : "replicas of ") + message);
       }
-      return no;
+      return errors;
     }
   }
 
@@ -154,16 +161,17 @@
     @Override
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
-      Schema schema = new Schema();
+      ManifestSchema schema = new ManifestSchema();
       int found = 0;
-      for (Kind k : Kind.values()) {
-        if (!k.published().equals(kind)) {
+      for (ObjectKind candidate : ObjectKind.values()) {
+        if (!candidate.publishedName().equals(kind)) {
           continue;
         }
-        for (Field f : schema.fields(k)) {
-          if (f.path().equals(field) || f.path().startsWith(field)) {
+        for (Field known : schema.listFields(candidate)) {
+          if (known.path().equals(field) || known.path().startsWith(field)) {
             found++;
-            out.println(f.path() + (f.taken() ? ": " : ": refused: ") + f.means());
+            out.println(
+                known.path() + (known.supported() ? ": " : ": refused: ") + known.meaning());
           }
         }
       }
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -5,15 +5,15 @@
 import io.violetrail.config.Settings;
 import io.violetrail.config.Settings.HostPort;
 import io.violetrail.controller.Controller;
-import io.violetrail.kubernetes.Listener;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
-import io.violetrail.net.Service;
-import io.violetrail.net.UndertowHttp;
-import io.violetrail.net.UndertowLoop;
+import io.violetrail.kubernetes.KubernetesHttpServer;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.net.UndertowEventLoop;
+import io.violetrail.net.UndertowHttpClient;
 import io.violetrail.net.UndertowServer;
-import io.violetrail.tracing.SpanTraces;
-import io.violetrail.tracing.Traces;
+import io.violetrail.tracing.JobTracer;
+import io.violetrail.tracing.OpenTelemetryJobTracer;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -35,7 +35,7 @@
 @Command(
     name = "violetrail",
     mixinStandardHelpOptions = true,
-    versionProvider = Main.VersionOfJar.class,
+    versionProvider = Main.JarVersionProvider.class,
     description = "Runs one controller of a violetrail cluster.",
     footerHeading = "%nCommands, each with its own --help:%n",
     footer = {
@@ -53,7 +53,7 @@
   private static final int BAD_USAGE = 2;
 
   /** Some 2 KiB each. */
-  private static final int MOST_SPANS = 5_000;
+  private static final int MAX_TRACE_SPANS = 5_000;
 
   @Option(names = "--config", paramLabel = "FILE", description = "the platform's settings (TOML)")
   private Path config;
@@ -117,10 +117,10 @@
       names = "--rehearse",
       hidden = true,
       description = "loads the daemon's classes for the class-data archive, and ends")
-  private boolean rehearse;
+  private boolean warmUp;
 
   /** Reads the version from the jar's manifest. */
-  static final class VersionOfJar implements CommandLine.IVersionProvider {
+  static final class JarVersionProvider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
       String version = Main.class.getPackage().getImplementationVersion();
@@ -130,7 +130,7 @@
 
   /** Runs the command that the arguments name and exits with its status if that is not 0. */
   public static void main(String[] args) {
-    logging();
+    configureLogging();
     // Only a command line that names it loads that command's classes: a start is outage time.
     Object command =
         args.length > 0 ? commands().getOrDefault(args[0], Main::new).get() : new Main();
@@ -148,7 +148,7 @@
         "schedule", ScheduleCommand::new);
   }
 
-  private static void logging() {
+  private static void configureLogging() {
     String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
     boolean known = Set.of("error", "info", "debug").contains(level);
     Map.of(
@@ -167,27 +167,28 @@
 
   @Override
   public Integer call() throws Exception {
-    if (rehearse) {
-      return Rehearsal.run();
+    if (warmUp) {
+      return ClassArchiveWarmUp.run();
     }
     Settings settings;
     try {
       if (config == null) {
-        throw new Settings.Invalid("--config FILE is required");
+        throw new Settings.InvalidSettingsException("--config FILE is required");
       }
       if (sample < 1 || idleS < 0 || lapseS != null && !(lapseS >= 1)) {
-        throw new Settings.Invalid(
+        throw new Settings.InvalidSettingsException(
             "--sample must be at least 1, --idle-s at least 0 and --lapse-s at least 1");
       }
       if (kubernetesPort != null && (kubernetesPort < 1 || kubernetesPort > 65_535)) {
-        throw new Settings.Invalid("--kubernetes-port must be 1 to 65535");
+        throw new Settings.InvalidSettingsException("--kubernetes-port must be 1 to 65535");
       }
-      if (traceSpans != null && (traceSpans < 1 || traceSpans > MOST_SPANS)) {
-        throw new Settings.Invalid("--trace-spans must be 1 to " + MOST_SPANS);
+      if (traceSpans != null && (traceSpans < 1 || traceSpans > MAX_TRACE_SPANS)) {
+        throw new Settings.InvalidSettingsException(
+            "--trace-spans must be 1 to " + MAX_TRACE_SPANS);
       }
       settings = Settings.load(config);
-    } catch (Settings.Invalid e) {
-      System.err.println("violetrail: " + e.getMessage());
+    } catch (Settings.InvalidSettingsException exception) {
+      System.err.println("violetrail: " + exception.getMessage());
       return BAD_USAGE;
     }
     start(
@@ -198,13 +199,14 @@
   }
 
   /** The edges of a started controller. */
-  record Running(Loop loop, Http http) {}
+  record StartedController(EventLoop loop, HttpClient http) {}
 
   /**
    * Starts a controller, or a script in its place. All of it happens on the I/O thread: the main
    * thread has nothing left to do once that thread runs, and two threads never share a start.
    */
-  static Running start(Settings settings, Options options, Service script) throws IOException {
+  static StartedController start(Settings settings, Options options, RequestHandler script)
+      throws IOException {
     XnioWorker worker =
         Xnio.getInstance()
             .createWorker(
@@ -216,45 +218,48 @@
                     .set(org.xnio.Options.TCP_NODELAY, true)
                     .getMap());
     var buffers = new DefaultByteBufferPool(true, 8 * 1024, 256, 0);
-    var loop = new UndertowLoop(worker.getIoThread());
-    var http = new UndertowHttp(worker.getIoThread(), loop, buffers);
+    var loop = new UndertowEventLoop(worker.getIoThread());
+    var http = new UndertowHttpClient(worker.getIoThread(), loop, buffers);
     loop.execute(
         () -> {
           if (script != null) {
-            UndertowServer.start(settings.api(), script, loop, worker, buffers);
-            UndertowServer.start(settings.listen(), script, loop, worker, buffers);
+            UndertowServer.start(settings.apiAddress(), script, loop, worker, buffers);
+            UndertowServer.start(settings.clusterListenAddress(), script, loop, worker, buffers);
             return;
           }
           startController(settings, options, loop, http, worker, buffers);
           LoggerFactory.getLogger(Main.class)
-              .info("{} serves at {}", settings.self(), settings.api());
+              .info("{} serves at {}", settings.self(), settings.apiAddress());
         });
-    return new Running(loop, http);
+    return new StartedController(loop, http);
   }
 
   private static void startController(
       Settings settings,
       Options options,
-      UndertowLoop loop,
-      UndertowHttp http,
+      UndertowEventLoop loop,
+      UndertowHttpClient http,
       XnioWorker worker,
       DefaultByteBufferPool buffers) {
-    Traces traces =
-        options.traceSpans() == null ? Traces.NONE : new SpanTraces(loop, options.traceSpans());
+    JobTracer traces =
+        options.maxTraceSpans() == null
+            ? JobTracer.NO_OP
+            : new OpenTelemetryJobTracer(loop, options.maxTraceSpans());
     Controller controller = new Controller(settings, options, loop, http, new Random(), traces);
     // The first calls are on their way while the servers come up.
     controller.start();
-    UndertowServer.start(settings.api(), controller.api(), loop, worker, buffers);
-    UndertowServer.start(settings.listen(), controller.peerService(), loop, worker, buffers);
-    if (options.calendar()) {
+    UndertowServer.start(settings.apiAddress(), controller.api(), loop, worker, buffers);
+    UndertowServer.start(
+        settings.clusterListenAddress(), controller.peerService(), loop, worker, buffers);
+    if (options.calendarEnabled()) {
       controller.serveSchedules();
     }
-    if (options.configuration()) {
+    if (options.configurationEnabled()) {
       controller.serveConfiguration();
     }
     if (options.kubernetesPort() != null) {
-      Listener.start(
-          new HostPort(settings.api().host(), options.kubernetesPort()),
+      KubernetesHttpServer.start(
+          new HostPort(settings.apiAddress().host(), options.kubernetesPort()),
           controller.startKubernetes(options.kubernetesPort()),
           loop,
           worker,
--- a/src/main/java/io/violetrail/cli/ScheduleCommand.java
+++ b/src/main/java/io/violetrail/cli/ScheduleCommand.java
@@ -1,9 +1,9 @@
 package io.violetrail.cli;
 
-import io.violetrail.calendar.Days;
-import io.violetrail.calendar.Expression;
-import io.violetrail.calendar.Holidays;
-import io.violetrail.cli.ControllerClient.NoAnswer;
+import io.violetrail.calendar.CalendarExpression;
+import io.violetrail.calendar.DayCalendar;
+import io.violetrail.calendar.PublicHolidays;
+import io.violetrail.cli.ControllerClient.NoAnswerException;
 import io.violetrail.cli.ControllerClient.Reply;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -46,100 +46,103 @@
     return BAD_USAGE;
   }
 
-  private int ask(String server, String method, String path, byte[] body) {
+  private int sendRequest(String server, String method, String path, byte[] body) {
     try {
       Reply reply = new ControllerClient(List.of(server)).send(method, path, body);
       spec.commandLine().getOut().println(reply.body().toPrettyString());
       boolean torn = !reply.body().path("torn").isEmpty();
-      return reply.ok() && !torn ? 0 : REFUSED;
-    } catch (NoAnswer e) {
-      spec.commandLine().getErr().println("violetrail schedule: " + e.getMessage());
+      return reply.isSuccessful() && !torn ? 0 : REFUSED;
+    } catch (NoAnswerException exception) {
+      spec.commandLine().getErr().println("violetrail schedule: " + exception.getMessage());
       return NO_ANSWER;
     }
   }
 
-  private int send(String server, String method, String path, Path file) {
+  private int sendFile(String server, String method, String path, Path file) {
     try {
-      return ask(server, method, path, Files.readAllBytes(file));
-    } catch (IOException e) {
+      return sendRequest(server, method, path, Files.readAllBytes(file));
+    } catch (IOException exception) {
       spec.commandLine().getErr().println("violetrail schedule: cannot read " + file);
       return BAD_USAGE;
     }
   }
 
-  private static final String SERVER = "a controller's API address, host:port";
+  private static final String SERVER_DESCRIPTION = "a controller's API address, host:port";
 
   @Command(name = "create", description = "Creates the schedule that a JSON file describes.")
   int create(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "FILE") Path file) {
-    return send(server, "POST", "/schedules", file);
+    return sendFile(server, "POST", "/schedules", file);
   }
 
   @Command(name = "change", description = "Replaces a schedule; the file names its version.")
   int change(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name,
       @Parameters(paramLabel = "FILE") Path file) {
-    return send(server, "PUT", "/schedules/" + name, file);
+    return sendFile(server, "PUT", "/schedules/" + name, file);
   }
 
   @Command(name = "list", description = "Lists schedules by name.")
   int list(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Option(names = "--after", defaultValue = "", description = "begin after a name")
           String after) {
-    return ask(server, "GET", "/schedules" + (after.isEmpty() ? "" : "?after=" + after), null);
+    return sendRequest(
+        server, "GET", "/schedules" + (after.isEmpty() ? "" : "?after=" + after), null);
   }
 
   @Command(name = "show", description = "Shows a schedule, its runs and their reports.")
   int show(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
-    return ask(server, "GET", "/schedules/" + name, null);
+    return sendRequest(server, "GET", "/schedules/" + name, null);
   }
 
   @Command(name = "pause", description = "Nothing is due until it is resumed, or made up then.")
   int pause(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
-    return ask(server, "POST", "/schedules/" + name + "/pause", null);
+    return sendRequest(server, "POST", "/schedules/" + name + "/pause", null);
   }
 
   @Command(name = "resume", description = "Ends a pause.")
   int resume(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
-    return ask(server, "POST", "/schedules/" + name + "/resume", null);
+    return sendRequest(server, "POST", "/schedules/" + name + "/resume", null);
   }
 
   @Command(name = "delete", description = "Deletes a schedule; runs under way go on.")
   int delete(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
-    return ask(server, "DELETE", "/schedules/" + name, null);
+    return sendRequest(server, "DELETE", "/schedules/" + name, null);
   }
 
   @Command(name = "history", description = "Ended runs; a torn block is named, status 1.")
   int history(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
-    return ask(server, "GET", "/schedules/" + name + "/history", null);
+    return sendRequest(server, "GET", "/schedules/" + name + "/history", null);
   }
 
   @Command(
       name = "reports",
       description = "Deadlines that will be or were missed, at a controller.")
-  int reports(@Option(names = "--server", required = true, description = SERVER) String server) {
-    return ask(server, "GET", "/reports", null);
+  int reports(
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION)
+          String server) {
+    return sendRequest(server, "GET", "/reports", null);
   }
 
   @Command(name = "days", description = "Keeps the local days of a JSON file under a name.")
   int days(
-      @Option(names = "--server", required = true, description = SERVER) String server,
+      @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name,
       @Parameters(paramLabel = "FILE") Path file) {
-    return send(server, "PUT", "/calendars/" + name, file);
+    return sendFile(server, "PUT", "/calendars/" + name, file);
   }
 
   /** The next due times, day by day, without a controller. */
@@ -182,32 +185,36 @@
       var out = spec.commandLine().getOut();
       var err = spec.commandLine().getErr();
       try {
-        Map<String, Set<LocalDate>> all = new HashMap<>();
+        Map<String, Set<LocalDate>> namedDays = new HashMap<>();
         named.forEach(
             (name, dates) -> {
-              Set<LocalDate> set = new HashSet<>();
-              List.of(dates.split(",")).forEach(d -> set.add(LocalDate.parse(d)));
-              all.put(name, set);
+              Set<LocalDate> dateSet = new HashSet<>();
+              List.of(dates.split(",")).forEach(d -> dateSet.add(LocalDate.parse(d)));
+              namedDays.put(name, dateSet);
             });
-        Days days = Days.of(new Holidays(), all);
-        if (region != null && !days.knows(region)) {
+        DayCalendar days = DayCalendar.of(new PublicHolidays(), namedDays);
+        if (region != null && !days.isKnownRegion(region)) {
           err.println("violetrail schedule preview: nobody knows the region " + region);
           return REFUSED;
         }
-        Expression e = Expression.parse(expression);
-        ZoneId in = ZoneId.of(zone);
-        LocalDate day = from == null ? LocalDate.now(in) : from;
+        CalendarExpression calendarExpression = CalendarExpression.parse(expression);
+        ZoneId zoneId = ZoneId.of(zone);
+        LocalDate day = from == null ? LocalDate.now(zoneId) : from;
         LocalDate last = day.plusYears(8);
         int shown = 0;
         while (shown < count && day.isBefore(last)) {
-          var due = e.on(day, in, region, days);
-          for (Instant at : due) {
+          var due = calendarExpression.dueTimesOn(day, zoneId, region, days);
+          for (Instant dueTime : due) {
             if (shown++ < count) {
-              out.println(at.atZone(in) + " (" + e.why(day, region, days) + ")");
+              out.println(
+                  dueTime.atZone(zoneId)
+                      + " ("
+                      + calendarExpression.explain(day, region, days)
+                      + ")");
             }
           }
           if (why && due.isEmpty()) {
-            out.println("  " + day + " passed: " + e.why(day, region, days));
+            out.println("  " + day + " passed: " + calendarExpression.explain(day, region, days));
           }
           day = day.plusDays(1);
         }
@@ -216,8 +223,9 @@
           return REFUSED;
         }
         return 0;
-      } catch (Expression.Malformed | DateTimeException e) {
-        err.println("violetrail schedule preview: " + e.getMessage());
+      } catch (CalendarExpression.MalformedExpressionException
+          | DateTimeException calendarExpression) {
+        err.println("violetrail schedule preview: " + calendarExpression.getMessage());
         return BAD_USAGE;
       }
     }
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -4,117 +4,128 @@
 import io.violetrail.config.Settings;
 import io.violetrail.model.MachineId;
 import io.violetrail.model.MachineType;
-import io.violetrail.net.Budget;
-import io.violetrail.net.Http;
-import io.violetrail.net.Loop;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.net.RateLimiter;
 import io.violetrail.wire.Cbor;
-import io.violetrail.wire.Cbor.Malformed;
-import io.violetrail.wire.CloudWire;
+import io.violetrail.wire.Cbor.MalformedMessageException;
+import io.violetrail.wire.CloudMessages;
 import java.util.Collection;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
 /** The cloud's client, within this controller's part of the shared rate. */
 public final class CloudClient {
-  private static final double TIMEOUT_S = 5;
+  private static final double TIMEOUT_SECONDS = 5;
 
-  private final Http http;
+  private final HttpClient http;
   private final Settings settings;
-  private final Loop loop;
-  private final Budget budget;
-  private final double share;
-  private double rate;
+  private final EventLoop loop;
+  private final RateLimiter rateLimiter;
+  private final double fairRate;
+  private double currentRate;
 
   /** Creates a client that uses an equal share of 90% of the provider's request rate limit. */
-  public CloudClient(Loop loop, Http http, Settings settings) {
+  public CloudClient(EventLoop loop, HttpClient http, Settings settings) {
     this.loop = loop;
     this.http = http;
     this.settings = settings;
-    this.share = settings.cloudLimits().rps() * 0.9 / (settings.peers().size() + 1);
-    this.rate = share;
-    this.budget = new Budget(rate, Math.max(1, rate * 2), loop.seconds());
+    this.fairRate =
+        settings.cloudLimits().requestsPerSecond() * 0.9 / (settings.peers().size() + 1);
+    this.currentRate = fairRate;
+    this.rateLimiter =
+        new RateLimiter(currentRate, Math.max(1, currentRate * 2), loop.monotonicSeconds());
   }
 
   /** What a rental request came to. */
-  public enum Rental {
+  public enum RentalOutcome {
     DONE,
     NO_CAPACITY,
     UNCERTAIN
   }
 
   /** A rental request's answer. */
-  public record Hired(Rental rental, List<MachineId> machines) {}
+  public record RentalResult(RentalOutcome outcome, List<MachineId> machines) {}
 
   /** Whether a call may be made now; takes it from the budget. */
-  public boolean mayCall() {
-    return budget.take(1, loop.seconds());
+  public boolean tryAcquireCall() {
+    return rateLimiter.tryAcquire(1, loop.monotonicSeconds());
   }
 
   /** Fetches the machine types on offer; the future fails if the reply is an error or malformed. */
-  public CompletableFuture<List<MachineType>> types() {
-    return call("GET", "/flavors", null)
+  public CompletableFuture<List<MachineType>> fetchMachineTypes() {
+    return callOrFail("GET", "/flavors", null)
         .thenApply(
-            r -> {
+            response -> {
               try {
-                return CloudWire.types(Cbor.parse(r.body()));
-              } catch (Malformed e) {
-                throw new IllegalStateException(e);
+                return CloudMessages.machineTypes(Cbor.parse(response.body()));
+              } catch (MalformedMessageException exception) {
+                throw new IllegalStateException(exception);
               }
             });
   }
 
   /**
    * Requests {@code count} machines under an idempotency name. The future does not fail: a request
-   * whose outcome cannot be determined yields {@code Rental.UNCERTAIN}.
+   * whose outcome cannot be determined yields {@code RentalOutcome.UNCERTAIN}.
    */
-  public CompletableFuture<Hired> hire(
-      String name, String type, String zone, boolean spot, int count) {
-    return send("POST", "/hosts", Cbor.bytes(CloudWire.hire(name, type, zone, spot, count)))
+  public CompletableFuture<RentalResult> rentMachines(
+      String requestName, String type, String zone, boolean spot, int count) {
+    return send(
+            "POST",
+            "/hosts",
+            Cbor.encode(CloudMessages.rentalRequest(requestName, type, zone, spot, count)))
         .handle(
-            (r, failure) -> {
+            (response, failure) -> {
               try {
-                if (failure == null && r.ok()) {
-                  return new Hired(Rental.DONE, CloudWire.hired(Cbor.parse(r.body())));
+                if (failure == null && response.isOk()) {
+                  return new RentalResult(
+                      RentalOutcome.DONE,
+                      CloudMessages.parseRentedMachines(Cbor.parse(response.body())));
                 }
                 if (failure == null
-                    && (r.status() == 400
-                        || r.status() == 503 && noCapacity(Cbor.parse(r.body())))) {
-                  return new Hired(Rental.NO_CAPACITY, List.of());
+                    && (response.status() == 400
+                        || response.status() == 503 && isNoCapacity(Cbor.parse(response.body())))) {
+                  return new RentalResult(RentalOutcome.NO_CAPACITY, List.of());
                 }
-              } catch (Malformed e) {
+              } catch (MalformedMessageException exception) {
                 // Nothing certain was said.
               }
-              return new Hired(Rental.UNCERTAIN, List.of());
+              return new RentalResult(RentalOutcome.UNCERTAIN, List.of());
             });
   }
 
-  private static boolean noCapacity(ObjectNode m) {
-    return "no capacity".equals(m.path("error").asText());
+  private static boolean isNoCapacity(ObjectNode message) {
+    return "no capacity".equals(message.path("error").asText());
   }
 
-  /** A page of the machines listed; {@code last} is where the next one begins. */
-  public record Page(List<MachineId> machines, String last, boolean more) {}
+  /** A page of the machines listed; {@code lastListed} is where the next one begins. */
+  public record MachinePage(List<MachineId> machines, String lastListed, boolean hasMore) {}
 
   /** Machines listed after a name, not all of which may still or already be there. */
-  public CompletableFuture<Page> list(String after) {
-    String from = after.isEmpty() ? "" : "&after=" + after;
-    return call("GET", "/hosts?most=" + CloudWire.MAX_LIST + from, null)
+  public CompletableFuture<MachinePage> listMachines(String after) {
+    String afterParameter = after.isEmpty() ? "" : "&after=" + after;
+    return callOrFail(
+            "GET", "/hosts?most=" + CloudMessages.MAX_MACHINES_PER_LIST + afterParameter, null)
         .thenApply(
-            r -> {
+            response -> {
               try {
-                ObjectNode m = Cbor.parse(r.body());
-                List<MachineId> machines = CloudWire.listed(m);
-                String last =
+                ObjectNode message = Cbor.parse(response.body());
+                List<MachineId> machines = CloudMessages.parseListedMachines(message);
+                String lastListed =
                     machines.isEmpty() ? after : machines.get(machines.size() - 1).value();
-                return new Page(machines, last, CloudWire.more(m) && !machines.isEmpty());
-              } catch (Malformed e) {
-                throw new IllegalStateException(e);
+                return new MachinePage(
+                    machines,
+                    lastListed,
+                    CloudMessages.isTruncated(message) && !machines.isEmpty());
+              } catch (MalformedMessageException exception) {
+                throw new IllegalStateException(exception);
               }
             });
   }
 
   /** What asking for machines to be taken back came to. */
-  public enum Return {
+  public enum ReturnOutcome {
     /** They are gone for certain. */
     GONE,
     /** Nothing was done, nor will be. */
@@ -127,16 +138,18 @@
    * Returns machines to the provider. The future does not fail: a request whose outcome cannot be
    * determined yields {@code UNCERTAIN}.
    */
-  public CompletableFuture<Return> giveBack(Collection<MachineId> machines) {
-    return send("POST", "/hosts/return", Cbor.bytes(CloudWire.giveBack(machines)))
+  public CompletableFuture<ReturnOutcome> returnMachines(Collection<MachineId> machines) {
+    return send("POST", "/hosts/return", Cbor.encode(CloudMessages.returnRequest(machines)))
         .handle(
-            (r, failure) -> {
+            (response, failure) -> {
               if (failure != null) {
-                return Return.UNCERTAIN;
+                return ReturnOutcome.UNCERTAIN;
               }
-              return r.ok()
-                  ? Return.GONE
-                  : r.status() == 429 || r.status() == 503 ? Return.REFUSED : Return.UNCERTAIN;
+              return response.isOk()
+                  ? ReturnOutcome.GONE
+                  : response.status() == 429 || response.status() == 503
+                      ? ReturnOutcome.REFUSED
+                      : ReturnOutcome.UNCERTAIN;
             });
   }
 
@@ -144,27 +157,30 @@
    * One call. What the peers leave unused of the common rate is taken little by little, and given
    * up at once when the cloud says that it is too much.
    */
-  private CompletableFuture<Http.Reply> send(String method, String path, byte[] body) {
-    return http.call(settings.cloud(), method, path, body, TIMEOUT_S)
+  private CompletableFuture<HttpClient.ClientReply> send(String method, String path, byte[] body) {
+    return http.call(settings.cloudAddress(), method, path, body, TIMEOUT_SECONDS)
         .whenComplete(
-            (r, failure) -> {
-              boolean tooMuch = failure == null && r.status() == 429;
-              rate =
-                  tooMuch
-                      ? Math.max(share / 2, rate / 2)
-                      : Math.min(settings.cloudLimits().rps() * 0.8, rate + share / 10);
-              budget.rate(rate, loop.seconds());
+            (response, failure) -> {
+              boolean rateLimited = failure == null && response.status() == 429;
+              currentRate =
+                  rateLimited
+                      ? Math.max(fairRate / 2, currentRate / 2)
+                      : Math.min(
+                          settings.cloudLimits().requestsPerSecond() * 0.8,
+                          currentRate + fairRate / 10);
+              rateLimiter.setRate(currentRate, loop.monotonicSeconds());
             });
   }
 
-  private CompletableFuture<Http.Reply> call(String method, String path, byte[] body) {
+  private CompletableFuture<HttpClient.ClientReply> callOrFail(
+      String method, String path, byte[] body) {
     return send(method, path, body)
         .thenApply(
-            r -> {
-              if (!r.ok()) {
-                throw new IllegalStateException("the cloud answered " + r.status());
+            response -> {
+              if (!response.isOk()) {
+                throw new IllegalStateException("the cloud answered " + response.status());
               }
-              return r;
+              return response;
             });
   }
 }
--- a/src/main/java/io/violetrail/config/Options.java
+++ b/src/main/java/io/violetrail/config/Options.java
@@ -2,12 +2,12 @@
 
 /** Operators' own settings; null or the default unless set by a flag or variable. */
 public record Options(
-    Double lapseS,
-    double idleS,
-    int sample,
+    Double leaseTtlSeconds,
+    double maxIdleSeconds,
+    int placementSampleSize,
     Integer kubernetesPort,
-    Integer traceSpans,
-    boolean calendar,
-    boolean configuration) {
+    Integer maxTraceSpans,
+    boolean calendarEnabled,
+    boolean configurationEnabled) {
   public static final Options DEFAULTS = new Options(null, 45, 8, null, null, false, false);
 }
--- a/src/main/java/io/violetrail/config/Settings.java
+++ b/src/main/java/io/violetrail/config/Settings.java
@@ -18,18 +18,18 @@
 public record Settings(
     ControllerId self,
     String zone,
-    HostPort api,
-    HostPort listen,
+    HostPort apiAddress,
+    HostPort clusterListenAddress,
     Map<ControllerId, HostPort> peers,
-    HostPort cloud,
-    HostPort state,
-    double timeBoundS,
+    HostPort cloudAddress,
+    HostPort stateStoreAddress,
+    double clockErrorBoundSeconds,
     Map<String, Team> teams,
     List<Objective> objectives,
-    Workers workers,
-    StateLimits stateLimits,
+    WorkerTiming workerTiming,
+    StateStoreLimits stateStoreLimits,
     CloudLimits cloudLimits,
-    Limits limits) {
+    ProcessLimits processLimits) {
 
   /** An address by number. */
   public record HostPort(String host, int port) {
@@ -44,31 +44,40 @@
   }
 
   /** Guarantee and limit of a team; infinite where the file says 0. */
-  public record Team(String name, double cpus, double gpus, double cpusMax, double gpusMax) {}
+  public record Team(
+      String name, double guaranteedCpus, double guaranteedGpus, double maxCpus, double maxGpus) {}
 
   /** An aim that the users state; {@code jobClass} may be null. */
   public record Objective(
-      String kind, String jobClass, double withinS, double share, double times) {}
+      String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {}
 
   /** What the workers go by. */
-  public record Workers(
-      double reportS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {}
+  public record WorkerTiming(
+      double heartbeatIntervalSeconds,
+      double leaseSeconds,
+      double gangStartTimeoutSeconds,
+      double gangPeerTimeoutSeconds,
+      double cancelTimeoutSeconds) {}
 
   /** What the state service allows all controllers together. */
-  public record StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {}
+  public record StateStoreLimits(
+      double requestsPerSecond,
+      double writesPerSecond,
+      int maxValueBytes,
+      int maxTransactionOperations) {}
 
   /** What the cloud allows all controllers together. */
-  public record CloudLimits(double rps, double listLagS) {}
+  public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
   /** What this process may use. */
-  public record Limits(double cpuShare, double memoryMb, int sockets) {}
+  public record ProcessLimits(double cpuShare, double memoryMb, int maxSockets) {}
 
   /** A settings file that cannot be used; the message is one clear line. */
-  public static final class Invalid extends Exception {
+  public static final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public Invalid(String why) {
-      super(why);
+    public InvalidSettingsException(String reason) {
+      super(reason);
     }
   }
 
@@ -86,171 +95,179 @@
   /**
    * Loads the settings from a TOML file.
    *
-   * @throws Invalid if the file is missing, cannot be parsed or holds an invalid value
+   * @throws InvalidSettingsException if the file is missing, cannot be parsed or holds an invalid
+   *     value
    */
-  public static Settings load(Path file) throws Invalid {
+  public static Settings load(Path file) throws InvalidSettingsException {
     if (!Files.isRegularFile(file)) {
-      throw new Invalid("settings file " + file + " does not exist");
+      throw new InvalidSettingsException("settings file " + file + " does not exist");
     }
     try {
-      return read(new TomlMapper().readTree(Files.readString(file)));
-    } catch (IOException e) {
-      throw new Invalid(
+      return parse(new TomlMapper().readTree(Files.readString(file)));
+    } catch (IOException exception) {
+      throw new InvalidSettingsException(
           "settings file "
               + file
               + " is not TOML: "
-              + e.getMessage().lines().findFirst().orElse(""));
+              + exception.getMessage().lines().findFirst().orElse(""));
     }
   }
 
   /**
    * Reads the settings from a parsed document and applies the defaults of absent fields.
    *
-   * @throws Invalid if a required field is missing or a value is out of range
+   * @throws InvalidSettingsException if a required field is missing or a value is out of range
    */
-  public static Settings read(JsonNode m) throws Invalid {
+  public static Settings parse(JsonNode root) throws InvalidSettingsException {
     Map<ControllerId, HostPort> peers = new LinkedHashMap<>();
-    for (JsonNode p : m.path("known")) {
-      peers.put(new ControllerId(text(p, "label")), address(p, "address"));
+    for (JsonNode peer : root.path("known")) {
+      peers.put(new ControllerId(requireText(peer, "label")), requireAddress(peer, "address"));
     }
-    JsonNode c = section(m, "cluster");
-    JsonNode external = section(m, "external");
-    Settings s =
+    JsonNode cluster = requireSection(root, "cluster");
+    JsonNode external = requireSection(root, "external");
+    Settings settings =
         new Settings(
-            new ControllerId(text(m, "label")),
-            text(m, "zone"),
-            address(m, "api_addr"),
-            address(m, "cluster_listen"),
+            new ControllerId(requireText(root, "label")),
+            requireText(root, "zone"),
+            requireAddress(root, "api_addr"),
+            requireAddress(root, "cluster_listen"),
             peers,
-            address(external, "cloud"),
-            address(external, "state"),
-            number(c, "time_bound_ms", 0) / 1000,
-            teams(c),
-            objectives(c),
-            workers(section(c, "workers")),
-            stateLimits(section(c, "state")),
-            cloudLimits(section(c, "cloud")),
-            limits(section(c, "limits")));
-    if (peers.containsKey(s.self)) {
-      throw new Invalid("known names this controller itself, " + s.self);
+            requireAddress(external, "cloud"),
+            requireAddress(external, "state"),
+            readNumber(cluster, "time_bound_ms", 0) / 1000,
+            parseTeams(cluster),
+            parseObjectives(cluster),
+            parseWorkerTiming(requireSection(cluster, "workers")),
+            parseStateStoreLimits(requireSection(cluster, "state")),
+            parseCloudLimits(requireSection(cluster, "cloud")),
+            parseProcessLimits(requireSection(cluster, "limits")));
+    if (peers.containsKey(settings.self)) {
+      throw new InvalidSettingsException("known names this controller itself, " + settings.self);
     }
     if (peers.size() >= Version.INCREMENT) {
-      throw new Invalid(
+      throw new InvalidSettingsException(
           "known names "
               + peers.size()
               + " controllers, and versions have room for "
               + Version.INCREMENT
               + " in all");
     }
-    return s;
+    return settings;
   }
 
-  private static Map<String, Team> teams(JsonNode c) throws Invalid {
+  private static Map<String, Team> parseTeams(JsonNode cluster) throws InvalidSettingsException {
     Map<String, Team> teams = new LinkedHashMap<>();
-    for (JsonNode t : c.path("teams")) {
+    for (JsonNode team : cluster.path("teams")) {
       teams.put(
-          text(t, "name"),
+          requireText(team, "name"),
           new Team(
-              text(t, "name"),
-              number(t, "cpus", 0),
-              number(t, "gpus", 0),
-              limit(t, "cpus_max"),
-              limit(t, "gpus_max")));
+              requireText(team, "name"),
+              readNumber(team, "cpus", 0),
+              readNumber(team, "gpus", 0),
+              readLimit(team, "cpus_max"),
+              readLimit(team, "gpus_max")));
     }
     return teams;
   }
 
-  private static List<Objective> objectives(JsonNode c) throws Invalid {
+  private static List<Objective> parseObjectives(JsonNode cluster) throws InvalidSettingsException {
     List<Objective> all = new ArrayList<>();
-    for (JsonNode o : c.path("objectives")) {
+    for (JsonNode objective : cluster.path("objectives")) {
       all.add(
           new Objective(
-              text(o, "kind"),
-              o.hasNonNull("class") ? text(o, "class") : null,
-              number(o, "within_s", 0),
-              number(o, "share", 0),
-              number(o, "times", 1)));
+              requireText(objective, "kind"),
+              objective.hasNonNull("class") ? requireText(objective, "class") : null,
+              readNumber(objective, "within_s", 0),
+              readNumber(objective, "share", 0),
+              readNumber(objective, "times", 1)));
     }
     return List.copyOf(all);
   }
 
-  private static Workers workers(JsonNode w) throws Invalid {
-    Workers workers =
-        new Workers(
-            positive(w, "report_s"),
-            positive(w, "lease_s"),
-            positive(w, "gang_wait_s"),
-            positive(w, "gang_peer_s"),
-            positive(w, "cancel_s"));
-    if (workers.cancelS <= workers.leaseS) {
-      throw new Invalid("workers.cancel_s must be more than workers.lease_s");
+  private static WorkerTiming parseWorkerTiming(JsonNode section) throws InvalidSettingsException {
+    WorkerTiming workers =
+        new WorkerTiming(
+            requirePositive(section, "report_s"),
+            requirePositive(section, "lease_s"),
+            requirePositive(section, "gang_wait_s"),
+            requirePositive(section, "gang_peer_s"),
+            requirePositive(section, "cancel_s"));
+    if (workers.cancelTimeoutSeconds <= workers.leaseSeconds) {
+      throw new InvalidSettingsException("workers.cancel_s must be more than workers.lease_s");
     }
     return workers;
   }
 
-  private static StateLimits stateLimits(JsonNode s) throws Invalid {
-    return new StateLimits(
-        positive(s, "rps"),
-        positive(s, "write_rps"),
-        (int) (positive(s, "value_kb") * 1024),
-        (int) Math.max(1, positive(s, "txn_ops")));
+  private static StateStoreLimits parseStateStoreLimits(JsonNode section)
+      throws InvalidSettingsException {
+    return new StateStoreLimits(
+        requirePositive(section, "rps"),
+        requirePositive(section, "write_rps"),
+        (int) (requirePositive(section, "value_kb") * 1024),
+        (int) Math.max(1, requirePositive(section, "txn_ops")));
   }
 
-  private static CloudLimits cloudLimits(JsonNode s) throws Invalid {
-    return new CloudLimits(positive(s, "rps"), number(s, "list_lag_s", 0));
+  private static CloudLimits parseCloudLimits(JsonNode section) throws InvalidSettingsException {
+    return new CloudLimits(requirePositive(section, "rps"), readNumber(section, "list_lag_s", 0));
   }
 
-  private static Limits limits(JsonNode s) throws Invalid {
-    return new Limits(
-        positive(s, "cpu_share"),
-        positive(s, "memory_mb"),
-        (int) Math.max(1, positive(s, "sockets")));
+  private static ProcessLimits parseProcessLimits(JsonNode section)
+      throws InvalidSettingsException {
+    return new ProcessLimits(
+        requirePositive(section, "cpu_share"),
+        requirePositive(section, "memory_mb"),
+        (int) Math.max(1, requirePositive(section, "sockets")));
   }
 
-  private static JsonNode section(JsonNode m, String name) throws Invalid {
-    if (!m.path(name).isObject()) {
-      throw new Invalid("section " + name + " is missing");
+  private static JsonNode requireSection(JsonNode parent, String name)
+      throws InvalidSettingsException {
+    if (!parent.path(name).isObject()) {
+      throw new InvalidSettingsException("section " + name + " is missing");
     }
-    return m.get(name);
+    return parent.get(name);
   }
 
-  private static String text(JsonNode m, String name) throws Invalid {
-    if (!m.path(name).isTextual() || m.get(name).asText().isBlank()) {
-      throw new Invalid(name + " must be text");
+  private static String requireText(JsonNode section, String name) throws InvalidSettingsException {
+    if (!section.path(name).isTextual() || section.get(name).asText().isBlank()) {
+      throw new InvalidSettingsException(name + " must be text");
     }
-    return m.get(name).asText();
+    return section.get(name).asText();
   }
 
-  private static double number(JsonNode m, String name, double other) throws Invalid {
-    JsonNode n = m.path(name);
-    if (n.isMissingNode()) {
-      return other;
+  private static double readNumber(JsonNode section, String name, double defaultValue)
+      throws InvalidSettingsException {
+    JsonNode value = section.path(name);
+    if (value.isMissingNode()) {
+      return defaultValue;
     }
-    if (!n.isNumber() || !Double.isFinite(n.asDouble()) || n.asDouble() < 0) {
-      throw new Invalid(name + " must be a number of at least 0");
+    if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
+      throw new InvalidSettingsException(name + " must be a number of at least 0");
     }
-    return n.asDouble();
+    return value.asDouble();
   }
 
-  private static double positive(JsonNode m, String name) throws Invalid {
-    double value = number(m, name, 0);
+  private static double requirePositive(JsonNode section, String name)
+      throws InvalidSettingsException {
+    double value = readNumber(section, name, 0);
     if (value <= 0) {
-      throw new Invalid(name + " must be a number above 0");
+      throw new InvalidSettingsException(name + " must be a number above 0");
     }
     return value;
   }
 
-  private static double limit(JsonNode t, String name) throws Invalid {
-    double value = number(t, name, 0);
+  private static double readLimit(JsonNode section, String name) throws InvalidSettingsException {
+    double value = readNumber(section, name, 0);
     return value == 0 ? Double.POSITIVE_INFINITY : value;
   }
 
-  private static HostPort address(JsonNode m, String name) throws Invalid {
-    String text = text(m, name);
+  private static HostPort requireAddress(JsonNode section, String name)
+      throws InvalidSettingsException {
+    String text = requireText(section, name);
     HostPort address = HostPort.parse(text);
     if (address != null) {
       return address;
     }
-    throw new Invalid(name + " must be an address like 10.0.0.1:8080, not " + text);
+    throw new InvalidSettingsException(
+        name + " must be an address like 10.0.0.1:8080, not " + text);
   }
 }
--- a/src/main/java/io/violetrail/configuration/Configuration.java
+++ b/src/main/java/io/violetrail/configuration/Configuration.java
@@ -13,14 +13,14 @@
  */
 public interface Configuration {
   /** A team with its guarantee and limit; null if there is no such team. */
-  Team team(String name);
+  Team findTeam(String name);
 
   Collection<Team> teams();
 
   List<Objective> objectives();
 
   /** Whether new jobs of the team are taken in. A closed team only finishes what it has. */
-  boolean accepts(String team);
+  boolean acceptsJobs(String team);
 
   /** Whether limits may change while this controller runs. */
   boolean canChange();
@@ -29,24 +29,24 @@
    * Whether tasks may be started by what is known here: false once the controller cannot show that
    * this was in force a moment ago.
    */
-  boolean fresh();
+  boolean isFresh();
 
   /** Counts changes; 0 is the platform's settings file. */
   long revision();
 
   /** The stamp of the row that put this revision in force; 0 for the settings file. */
-  long stamp();
+  long modRevision();
 
   /** What else this controller can say of it to operators; null if there is nothing to say. */
-  default ConfigurationState state() {
+  default ConfigurationState findState() {
     return null;
   }
 
   /** The common rows have changed. */
-  default void rowsChanged() {}
+  default void onRowsChanged() {}
 
   /** Runs the step whenever another revision comes into force here. */
-  default void onChange(Runnable step) {}
+  default void addChangeListener(Runnable listener) {}
 
   /** Starts what is needed to follow changes. */
   default void start() {}
