--- /dev/null
+++ b/src/test/java/io/violetrail/fakes/ClusterSimulation.java
@@ -0,0 +1,518 @@
+package io.violetrail.fakes;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Options;
+import io.violetrail.config.Settings;
+import io.violetrail.config.Settings.CloudLimits;
+import io.violetrail.config.Settings.HostPort;
+import io.violetrail.config.Settings.Objective;
+import io.violetrail.config.Settings.ProcessLimits;
+import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.config.Settings.Team;
+import io.violetrail.config.Settings.WorkerTiming;
+import io.violetrail.controller.Controller;
+import io.violetrail.kubernetes.KubernetesApi;
+import io.violetrail.model.ControllerId;
+import io.violetrail.net.EventLoop;
+import io.violetrail.net.HttpClient;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.tracing.JobTracer;
+import io.violetrail.tracing.OpenTelemetryJobTracer;
+import io.violetrail.wire.Cbor;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import java.util.function.DoubleUnaryOperator;
+import java.util.function.Function;
+import java.util.function.ToDoubleBiFunction;
+
+/**
+ * A whole deployment in memory: virtual time, a network that can lose and hold back, the state
+ * service, the cloud, its workers, and controllers that can be killed and started again.
+ */
+public final class ClusterSimulation {
+  private static final double DEFAULT_DELAY_SECONDS = 0.005;
+
+  /** How long users and workers wait for an answer. */
+  private static final double USER_TIMEOUT_SECONDS = 5;
+
+  private static final double WORKER_TIMEOUT_SECONDS = 4;
+  public static final HostPort STATE_ADDRESS = new HostPort("state", 1);
+  public static final HostPort CLOUD_ADDRESS = new HostPort("cloud", 1);
+
+  public final Random random;
+  public final FakeStateService stateService = new FakeStateService(this);
+  public final FakeCloud cloud = new FakeCloud(this);
+  public final Map<String, Controller> controllers = new LinkedHashMap<>();
+  public final List<String> violations = new ArrayList<>();
+
+  /** Jobs that were submitted with a mistake: they fail on every machine. */
+  public final Set<String> alwaysFailingJobs = new HashSet<>();
+
+  /** Whether controllers serve the Kubernetes API as well. */
+  public boolean kubernetesEnabled;
+
+  /** Whether controllers fire schedules as well. */
+  public boolean schedulesEnabled;
+
+  public static final int KUBERNETES_PORT = 6443;
+  public final Map<String, KubernetesApi> kubernetesApis = new HashMap<>();
+
+  /** Whether launches are kept in {@link #launches}; not where there are very many. */
+  public boolean recordsLaunches = true;
+
+  /** Every launch as "time task machine", in order. */
+  public final List<String> launches = new ArrayList<>();
+
+  public final Map<String, Team> teams = new LinkedHashMap<>();
+  public WorkerTiming workerSettings = new WorkerTiming(1, 10, 45, 4, 40);
+  public final InvariantChecker checker = new InvariantChecker(this);
+  public StateStoreLimits stateLimits = new StateStoreLimits(500, 200, 8192, 24);
+  private final Map<HostPort, RequestHandler> services = new HashMap<>();
+  private final Map<String, Integer> incarnations = new HashMap<>();
+  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final Set<String> standInHosts = new HashSet<>();
+  private final Map<String, Double> frozenUntilSeconds = new HashMap<>();
+
+  /** What is wrong between the hosts. */
+  public final NetworkFaults networkFaults = new NetworkFaults(incarnations::containsKey);
+
+  /** What was sent so far. */
+  public final TrafficCounter traffic = new TrafficCounter();
+
+  /**
+   * Whether workers report when something changes, as the protocol has it, or by the clock only.
+   */
+  public boolean reportsOnChange;
+
+  /** The operators' settings that controllers start with. */
+  public Options options = Options.DEFAULTS;
+
+  /** What the users state for their classes. */
+  public List<Objective> objectives = List.of(new Objective("wait", "urgent", 8, 0.9, 1));
+
+  /** What workers make of an answer without a token; by default what is harder on controllers. */
+  public MissingTokenBehavior missingTokenBehavior = MissingTokenBehavior.TREAT_AS_LOWEST;
+
+  /** How long a message takes between two hosts, one way. */
+  public ToDoubleBiFunction<String, String> oneWayDelaySeconds =
+      (from, to) -> DEFAULT_DELAY_SECONDS;
+
+  /** How long a task really runs, from how long its worker's tasks run on average. */
+  public DoubleUnaryOperator taskDurationSeconds = averageSeconds -> averageSeconds;
+
+  /** The limit that a team must keep to now; it follows the settings file unless that changes. */
+  public Function<String, Team> teamLimit = teams::get;
+
+  /** Told of each worker that is made. */
+  public Consumer<FakeWorker> onWorkerCreated = worker -> {};
+
+  /** Told of each task that a worker starts. */
+  public Consumer<String> onTaskStarted = task -> {};
+
+  /** Told of each message between the hosts. */
+  public MessageObserver onMessage = MessageObserver.NONE;
+
+  private final Map<String, Long> controllerCpuNanos = new HashMap<>();
+  private final int controllerCount;
+  private double nowSeconds = 100;
+  private long nextEventSequence;
+
+  private record Event(double atSeconds, long sequence, Runnable task)
+      implements Comparable<Event> {
+    @Override
+    public int compareTo(Event other) {
+      return atSeconds != other.atSeconds
+          ? Double.compare(atSeconds, other.atSeconds)
+          : Long.compare(sequence, other.sequence);
+    }
+  }
+
+  /** Creates a cluster with an equal number of names and places; no controller is started yet. */
+  public ClusterSimulation(int controllers, long seed) {
+    random = new Random(seed);
+    controllerCount = controllers;
+    teams.put("red", new Team("red", 0, 0, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY));
+    services.put(STATE_ADDRESS, stateService);
+    services.put(CLOUD_ADDRESS, cloud);
+    checker.start();
+  }
+
+  /** Starts all controllers and lets them settle. */
+  public ClusterSimulation startAllControllers() {
+    for (int i = 0; i < controllerCount; i++) {
+      startController(controllerName(i));
+    }
+    return runFor(5);
+  }
+
+  public static String controllerName(int number) {
+    return "c" + number;
+  }
+
+  /** Which controller has the name; the inverse of {@link #controllerName}. */
+  static int controllerIndex(String name) {
+    return Integer.parseInt(name.substring(1));
+  }
+
+  /** How many controllers the deployment has. */
+  public int controllerCount() {
+    return controllerCount;
+  }
+
+  public double nowSeconds() {
+    return nowSeconds;
+  }
+
+  /** Runs all events of the next {@code seconds} of virtual time. */
+  public ClusterSimulation runFor(double seconds) {
+    double untilSeconds = nowSeconds + seconds;
+    while (!events.isEmpty() && events.peek().atSeconds <= untilSeconds) {
+      Event event = events.poll();
+      nowSeconds = Math.max(nowSeconds, event.atSeconds);
+      event.task.run();
+    }
+    nowSeconds = untilSeconds;
+    return this;
+  }
+
+  /** Runs until the condition holds; fails the story if it does not within the time. */
+  public ClusterSimulation runUntil(
+      double timeoutSeconds, java.util.function.BooleanSupplier condition) {
+    double deadlineSeconds = nowSeconds + timeoutSeconds;
+    while (!condition.getAsBoolean()) {
+      if (nowSeconds >= deadlineSeconds) {
+        throw new AssertionError("not within " + timeoutSeconds + " s");
+      }
+      runFor(0.1);
+    }
+    return this;
+  }
+
+  public void runAfter(double delaySeconds, Runnable task) {
+    events.add(new Event(nowSeconds + delaySeconds, nextEventSequence++, task));
+  }
+
+  /** Starts a new process of the named controller. */
+  public Controller startController(String name) {
+    int incarnation = incarnations.merge(name, 1, Integer::sum);
+    Settings settings = settings(name);
+    SimulatedEventLoop loop = new SimulatedEventLoop(name, incarnation);
+    HttpClient http =
+        (to, method, path, body, timeout) ->
+            sendRequest(name, incarnation, to, method, path, body, timeout);
+    Controller controller =
+        new Controller(settings, options, loop, http, new Random(random.nextLong()), traces(loop));
+    controllers.put(name, controller);
+    services.put(settings.apiAddress(), fencedByIncarnation(name, incarnation, controller.api()));
+    services.put(
+        settings.clusterListenAddress(),
+        fencedByIncarnation(name, incarnation, controller.peerService()));
+    controller.start();
+    if (schedulesEnabled) {
+      controller.serveSchedules();
+    }
+    if (options.configurationEnabled()) {
+      controller.serveConfiguration();
+    }
+    if (kubernetesEnabled) {
+      KubernetesApi kubernetesApi = controller.startKubernetes(KUBERNETES_PORT);
+      kubernetesApis.put(name, kubernetesApi);
+      services.put(
+          new HostPort(name, KUBERNETES_PORT),
+          fencedByIncarnation(name, incarnation, KubernetesTestClient.asService(kubernetesApi)));
+    }
+    return controller;
+  }
+
+  private JobTracer traces(EventLoop loop) {
+    return options.maxTraceSpans() == null
+        ? JobTracer.NO_OP
+        : new OpenTelemetryJobTracer(loop, options.maxTraceSpans());
+  }
+
+  /** Ends a controller's process at once, without any of its shutdown steps. */
+  public void killController(String name) {
+    incarnations.merge(name, 1, Integer::sum);
+    controllers.remove(name);
+    kubernetesApis.remove(name);
+  }
+
+  /** Something else answers workers and users in the place of a controller that is not running. */
+  void startStandIn(String name, RequestHandler api) {
+    standInHosts.add(name);
+    services.put(apiAddress(name), api);
+  }
+
+  void stopStandIn(String name) {
+    standInHosts.remove(name);
+  }
+
+  /** A schedule that is there already, as its row would hold it. */
+  public void storeSchedule(String name, ObjectNode definition, String entity) {
+    ObjectNode row = Cbor.newMap().put("uid", name).put("entity", entity).put("version", 1);
+    row.put("paused", false).put("cursor", 1_700_000_000_000L + (long) (nowSeconds * 1000));
+    row.put("blocks", 0).set("def", definition);
+    row.putArray("runs");
+    row.putArray("past");
+    stateService.put("cal/s/" + name, row);
+  }
+
+  /**
+   * A controller stands still while its clocks run on: timers, requests and answers that would
+   * reach it are all there when it goes on, in their order.
+   */
+  public void freezeController(String name, double seconds) {
+    frozenUntilSeconds.put(name, nowSeconds + seconds);
+  }
+
+  private void runWhenAwake(String name, int incarnation, Runnable task) {
+    double untilSeconds = frozenUntilSeconds.getOrDefault(name, 0.0);
+    if (nowSeconds < untilSeconds) {
+      runAfter(untilSeconds - nowSeconds, () -> runWhenAwake(name, incarnation, task));
+    } else if (isCurrentIncarnation(name, incarnation)) {
+      long startedAtNanos = System.nanoTime();
+      task.run();
+      controllerCpuNanos.merge(name, System.nanoTime() - startedAtNanos, Long::sum);
+    }
+  }
+
+  /** Processor time that a controller's own callbacks have taken, the fakes' share left out. */
+  public double controllerCpuSeconds(String name) {
+    return controllerCpuNanos.getOrDefault(name, 0L) / 1e9;
+  }
+
+  /** A worker has started a task. */
+  void recordTaskStart(String task, String worker) {
+    if (recordsLaunches) {
+      launches.add("%.3f %s %s".formatted(nowSeconds, task, worker));
+    }
+    onTaskStarted.accept(task);
+  }
+
+  /** A worker's own address answers from now on. */
+  void registerWorker(FakeWorker worker) {
+    services.put(worker.address(), worker.service());
+    onWorkerCreated.accept(worker);
+  }
+
+  private boolean isCurrentIncarnation(String name, int incarnation) {
+    return incarnations.get(name) == incarnation;
+  }
+
+  private RequestHandler fencedByIncarnation(String name, int incarnation, RequestHandler service) {
+    return (method, path, body, done) ->
+        runWhenAwake(name, incarnation, () -> service.handle(method, path, body, done));
+  }
+
+  /**
+   * Sends a request over the simulated network on behalf of one life of the sender.
+   *
+   * @param incarnation count of the sender's starts; a reply to an earlier process is not delivered
+   * @param timeoutSeconds seconds of virtual time until the future fails
+   */
+  public CompletableFuture<HttpClient.ClientReply> sendRequest(
+      String from,
+      int incarnation,
+      HostPort to,
+      String method,
+      String path,
+      byte[] body,
+      double timeoutSeconds) {
+    CompletableFuture<HttpClient.ClientReply> future = new CompletableFuture<>();
+    String message = from + " " + to.host() + " " + method + " " + path;
+    String kind = TrafficCounter.kindOf(method, path);
+    traffic.countRequest(kind, body);
+    var observed = new MessageObserver.Request(from, to.host(), method, path, body);
+    onMessage.sent(observed);
+    runAfter(
+        timeoutSeconds,
+        () -> {
+          if (!future.isDone() && isCallerAlive(from, incarnation)) {
+            deliverToCaller(
+                from, incarnation, () -> future.completeExceptionally(new IOException("time out")));
+          }
+        });
+    Runnable deliver =
+        () -> {
+          RequestHandler service = services.get(to);
+          if (service != null) {
+            onMessage.delivered(observed);
+            service.handle(
+                method,
+                isStateOrCloud(to) ? from + " " + path : path,
+                body,
+                answer ->
+                    runAfter(
+                        oneWayDelaySeconds.applyAsDouble(to.host(), from),
+                        () -> {
+                          traffic.countReply(kind, answer.body());
+                          onMessage.answered(observed, answer);
+                          if (!networkFaults.losesMessage(from, to.host(), message)) {
+                            deliverToCaller(
+                                from,
+                                incarnation,
+                                () ->
+                                    future.complete(
+                                        new HttpClient.ClientReply(
+                                            answer.status(), answer.body())));
+                          }
+                        }));
+          }
+        };
+    runAfter(
+        oneWayDelaySeconds.applyAsDouble(from, to.host()),
+        () -> {
+          if (networkFaults.refusesConnection(message)
+              || incarnations.containsKey(to.host())
+                  && !controllers.containsKey(to.host())
+                  && !standInHosts.contains(to.host())) {
+            // The host is up but the process is not: its connections are refused.
+            future.completeExceptionally(new IOException("refused"));
+          } else if (!networkFaults.holdIfMatching(message, deliver)
+              && !networkFaults.losesMessage(from, to.host(), message)) {
+            deliver.run();
+          }
+        });
+    return future;
+  }
+
+  /** What comes back to a caller: a controller hears of it when it is awake. */
+  private void deliverToCaller(String from, int incarnation, Runnable task) {
+    if (incarnation < 0) {
+      task.run();
+    } else {
+      runWhenAwake(from, incarnation, task);
+    }
+  }
+
+  private static boolean isStateOrCloud(HostPort to) {
+    return to.equals(STATE_ADDRESS) || to.equals(CLOUD_ADDRESS);
+  }
+
+  private boolean isCallerAlive(String from, int incarnation) {
+    return incarnation < 0 || isCurrentIncarnation(from, incarnation);
+  }
+
+  /** Where controllers are real processes: how workers reach them; otherwise null. */
+  public ExternalControllers externalControllers;
+
+  /** A way to controllers outside of this world. */
+  public interface ExternalControllers {
+    CompletableFuture<HttpClient.ClientReply> callController(
+        String from, String controller, String method, String path, byte[] body);
+  }
+
+  /** Whether there is any controller to report to. */
+  boolean hasControllers() {
+    return externalControllers != null || !controllers.isEmpty();
+  }
+
+  /** A user's or worker's call to a controller. */
+  public CompletableFuture<HttpClient.ClientReply> callController(
+      String from, String controller, String method, String path, byte[] body) {
+    boolean fromUser = from.equals("user");
+    long requestClock = fromUser ? checker.recordRequest(method, path, body) : 0;
+    var answer =
+        externalControllers != null
+            ? externalControllers.callController(from, controller, method, path, body)
+            : sendRequest(
+                from,
+                -1,
+                apiAddress(controller),
+                method,
+                path,
+                body,
+                fromUser ? USER_TIMEOUT_SECONDS : WORKER_TIMEOUT_SECONDS);
+    return fromUser
+        ? answer.whenComplete(
+            (r, failure) -> checker.recordReply(requestClock, method, path, body, r))
+        : answer;
+  }
+
+  public static HostPort apiAddress(String controller) {
+    return new HostPort(controller, 8080);
+  }
+
+  /** Returns the settings of the named controller, with all others as its peers. */
+  public Settings settings(String name) {
+    Map<ControllerId, HostPort> peers = new LinkedHashMap<>();
+    for (int i = 0; i < controllerCount; i++) {
+      if (!controllerName(i).equals(name)) {
+        peers.put(new ControllerId(controllerName(i)), new HostPort(controllerName(i), 8081));
+      }
+    }
+    return new Settings(
+        new ControllerId(name),
+        "z",
+        apiAddress(name),
+        new HostPort(name, 8081),
+        peers,
+        CLOUD_ADDRESS,
+        STATE_ADDRESS,
+        0.1,
+        teams,
+        objectives,
+        workerSettings,
+        stateLimits,
+        new CloudLimits(20, 5),
+        new ProcessLimits(1, 200, 500));
+  }
+
+  /** Time and turns of a controller that is not running, for tests of its parts. */
+  public EventLoop createEventLoop(String name) {
+    return new SimulatedEventLoop(name, incarnations.merge(name, 1, Integer::sum));
+  }
+
+  private final class SimulatedEventLoop implements EventLoop {
+    private final String name;
+    private final int incarnation;
+
+    SimulatedEventLoop(String name, int incarnation) {
+      this.name = name;
+      this.incarnation = incarnation;
+    }
+
+    @Override
+    public long monotonicNanos() {
+      return (long) (nowSeconds * 1e9);
+    }
+
+    @Override
+    public long wallMillis() {
+      return 1_700_000_000_000L + (long) (nowSeconds * 1000);
+    }
+
+    @Override
+    public void execute(Runnable task) {
+      schedule(0, task);
+    }
+
+    @Override
+    public Cancellable schedule(double seconds, Runnable task) {
+      boolean[] cancelled = new boolean[1];
+      runAfter(
+          seconds,
+          () -> {
+            runWhenAwake(
+                name,
+                incarnation,
+                () -> {
+                  if (!cancelled[0]) {
+                    task.run();
+                  }
+                });
+          });
+      return () -> cancelled[0] = true;
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/fakes/ControllerCostBenchmark.java
@@ -0,0 +1,73 @@
+package io.violetrail.fakes;
+
+import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.wire.Cbor;
+
+/**
+ * What one controller's report, placement and submission cost by the number of machines that it
+ * alone carries. The time inside the controller's callbacks is charged to the program, the rest of
+ * the run to the fakes. Not a test.
+ */
+public final class ControllerCostBenchmark {
+  private static final int MEASURED_SECONDS = 60;
+
+  private ControllerCostBenchmark() {}
+
+  /** Arguments: numbers of machines. The first one warms up and is not printed. */
+  public static void main(String[] args) {
+    for (int i = 0; i < args.length; i++) {
+      measure(Integer.parseInt(args[i]), i > 0);
+    }
+  }
+
+  private static void measure(int machineCount, boolean print) {
+    ClusterSimulation simulation = new ClusterSimulation(3, 11);
+    simulation.stateLimits = new StateStoreLimits(1000, 400, 8192, 24);
+    simulation.cloud.capacity = machineCount;
+    simulation.cloud.taskDurationSeconds = 40;
+    simulation.startAllControllers();
+    for (int i = 0; i < machineCount; i++) {
+      simulation.cloud.addRunningMachine("plain", i % 2 == 0 ? "a" : "b");
+    }
+    simulation.runFor(20);
+    simulation.killController("c0");
+    simulation.killController("c1");
+    simulation.runFor(25);
+    var controller = simulation.controllers.get("c2");
+    long examinedBefore = controller.machinesExamined();
+    int launchesBefore = simulation.launches.size();
+    int writesBefore = simulation.stateService.writeCount;
+    double controllerCpuBefore = simulation.controllerCpuSeconds("c2");
+    long startedAtNanos = System.nanoTime();
+    int jobCount = 0;
+    for (int second = 0; second < MEASURED_SECONDS; second++) {
+      // Three fifths of the room in use all the time.
+      if (second % 10 == 0) {
+        simulation.callController(
+            "user",
+            "c2",
+            "POST",
+            "/work",
+            Cbor.encode(SimulatedUser.jobRequest("job-" + jobCount++, machineCount)));
+      }
+      simulation.runFor(1);
+    }
+    double totalSeconds = (System.nanoTime() - startedAtNanos) / 1e9;
+    double controllerCpuSeconds = simulation.controllerCpuSeconds("c2") - controllerCpuBefore;
+    double reportCount =
+        MEASURED_SECONDS * machineCount / simulation.workerSettings.heartbeatIntervalSeconds();
+    int placedCount = simulation.launches.size() - launchesBefore;
+    if (print) {
+      System.out.printf(
+          "%d machines: %.0f us a report (and %.0f us of the fakes), %.1f machines looked at a"
+              + " placement (%d placed), %.1f writes a submission of %d tasks%n",
+          machineCount,
+          1e6 * controllerCpuSeconds / reportCount,
+          1e6 * (totalSeconds - controllerCpuSeconds) / reportCount,
+          (controller.machinesExamined() - examinedBefore) / (double) Math.max(1, placedCount),
+          placedCount,
+          (simulation.stateService.writeCount - writesBefore) / (double) jobCount,
+          machineCount);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/fakes/FakeStateService.java
@@ -0,0 +1,412 @@
+package io.violetrail.fakes;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.net.RateLimiter;
+import io.violetrail.net.RequestHandler;
+import io.violetrail.wire.Cbor;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/** The state service by its protocol, in memory. */
+public final class FakeStateService implements RequestHandler {
+  private record StoredEntry(JsonNode value, long revision, long leaseId) {}
+
+  /** One change as watches are told of it. */
+  private record LoggedChange(String key, long revision, ObjectNode message) {}
+
+  private static final class PendingWatch {
+    String prefix;
+    long afterRevision;
+    Consumer<HttpAnswer> done;
+  }
+
+  private static final class StoredLease {
+    double ttlSeconds;
+    double expiresAtSeconds;
+  }
+
+  private final ClusterSimulation simulation;
+  private final TreeMap<String, StoredEntry> entries = new TreeMap<>();
+  private final ArrayDeque<LoggedChange> changeLog = new ArrayDeque<>();
+  private final List<PendingWatch> watches = new ArrayList<>();
+  private final Map<Long, StoredLease> leases = new HashMap<>();
+  public final Set<String> refusedControllers = new HashSet<>();
+  public boolean unavailable;
+
+  /** Transactions of these controllers get no answer, and are carried out so much later. */
+  public final Map<String, Double> lateTransactionSeconds = new HashMap<>();
+
+  /** That share of these controllers' transactions is carried out, and only the answer is lost. */
+  public final Map<String, Double> lostReplyShare = new HashMap<>();
+
+  /** That share of these controllers' transactions is carried out 2 to 12 s later, unanswered. */
+  public final Map<String, Double> lateTransactionShare = new HashMap<>();
+
+  public int largestValueLength;
+
+  /** Puts and deletes asked for, those of refused transactions included. */
+  public int writeCount;
+
+  /** Requests by kind, and puts and deletes by what the rows are for. */
+  public final Map<String, Long> requestCountByKind = new TreeMap<>();
+
+  public final Map<String, Long> writeCountByUse = new TreeMap<>();
+
+  /** Requests that were refused for the limits, which count only if {@link #enforcesLimits}. */
+  public int overLimitCount;
+
+  /** Whether the limits of the settings are enforced, with bursts of a second's worth. */
+  public boolean enforcesLimits;
+
+  private RateLimiter requestLimiter;
+  private RateLimiter writeLimiter;
+
+  /** Keys on a page of a listing; small, so that listings have more than one. */
+  public int pageSize = 5;
+
+  private static final long NO_LEASE = -1;
+
+  /** As many changes are kept for watches. */
+  private static final int MAX_KEPT_CHANGES = 10_000;
+
+  /** The highest revision whose change is no longer kept. */
+  private long compactedRevision;
+
+  private long revision;
+
+  /** Any number may name a lease, the first one too. */
+  private long nextLeaseId;
+
+  FakeStateService(ClusterSimulation simulation) {
+    this.simulation = simulation;
+  }
+
+  public JsonNode findValue(String key) {
+    StoredEntry entry = entries.get(key);
+    return entry == null ? null : entry.value();
+  }
+
+  /** A row that is there without anybody's having written it. */
+  void put(String key, JsonNode value) {
+    entries.put(key, new StoredEntry(value, ++revision, NO_LEASE));
+  }
+
+  /** A row is gone without anybody's having dropped it. */
+  void remove(String key) {
+    revision++;
+    deleteKey(key);
+    notifyWatches();
+  }
+
+  public Set<String> keysWithPrefix(String prefix) {
+    return new HashSet<>(entries.subMap(prefix, prefix + "\uffff").keySet());
+  }
+
+  /** Starts or ends an outage; at its end every lease gets its full time to live again. */
+  public void setOutage(boolean begins) {
+    unavailable = begins;
+    if (!begins) {
+      leases
+          .values()
+          .forEach(lease -> lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds);
+    }
+  }
+
+  private void expireLeases() {
+    if (unavailable) {
+      return;
+    }
+    for (var entry : List.copyOf(leases.entrySet())) {
+      if (entry.getValue().expiresAtSeconds <= simulation.nowSeconds()) {
+        leases.remove(entry.getKey());
+        List<String> expiredKeys =
+            entries.entrySet().stream()
+                .filter(k -> k.getValue().leaseId() == entry.getKey())
+                .map(Map.Entry::getKey)
+                .toList();
+        if (!expiredKeys.isEmpty()) {
+          revision++;
+          expiredKeys.forEach(this::deleteKey);
+          notifyWatches();
+        }
+      }
+    }
+  }
+
+  private void deleteKey(String key) {
+    if (entries.remove(key) != null) {
+      logChange(key, Cbor.newMap().put("drop", key));
+    }
+  }
+
+  private void logChange(String key, ObjectNode message) {
+    changeLog.add(new LoggedChange(key, revision, message.put("stamp", revision)));
+    if (changeLog.size() > MAX_KEPT_CHANGES) {
+      compactedRevision = changeLog.poll().revision();
+    }
+  }
+
+  /** How long each answer takes; open watches are not concerned. */
+  public double replyDelaySeconds;
+
+  @Override
+  public void handle(
+      String method, String callerAndPath, byte[] requestBytes, Consumer<HttpAnswer> replyTo) {
+    double delaySeconds = callerAndPath.contains(" /changes") ? 0 : replyDelaySeconds;
+    Consumer<HttpAnswer> respond =
+        delaySeconds == 0
+            ? replyTo
+            : a -> simulation.runAfter(delaySeconds, () -> replyTo.accept(a));
+    final String caller = callerAndPath.substring(0, callerAndPath.indexOf(' '));
+    String path = callerAndPath.substring(callerAndPath.indexOf(' ') + 1);
+    expireLeases();
+    requestCountByKind.merge(TrafficCounter.kindOf(method, path), 1L, Long::sum);
+    if (path.startsWith("/changes")) {
+      openWatch(path, respond);
+      return;
+    }
+    if (unavailable || refusedControllers.contains(caller)) {
+      respond.accept(HttpAnswer.error(503, "trouble"));
+      return;
+    }
+    try {
+      ObjectNode body =
+          requestBytes == null || requestBytes.length == 0
+              ? Cbor.newMap()
+              : Cbor.parse(requestBytes);
+      if (!withinLimits(body)) {
+        respond.accept(HttpAnswer.error(429, "too many requests"));
+        return;
+      }
+      if (path.startsWith("/keys/")) {
+        readKey(path.substring(6), respond);
+      } else if (path.startsWith("/keys?")) {
+        listKeys(path, respond);
+      } else if (path.equals("/txn") && lateTransactionSeconds.containsKey(caller)) {
+        simulation.runAfter(
+            lateTransactionSeconds.get(caller), () -> executeTransaction(body, nobody -> {}));
+      } else if (path.equals("/txn") && drawFault(lateTransactionShare, caller)) {
+        simulation.runAfter(
+            2 + 10 * simulation.random.nextDouble(), () -> executeTransaction(body, nobody -> {}));
+      } else if (path.equals("/txn") && drawFault(lostReplyShare, caller)) {
+        executeTransaction(body, nobody -> {});
+      } else if (path.equals("/txn")) {
+        executeTransaction(body, respond);
+      } else if (path.equals("/leases")) {
+        StoredLease lease = new StoredLease();
+        lease.ttlSeconds = body.get("life_ms").asLong() / 1000.0;
+        lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds;
+        leases.put(nextLeaseId, lease);
+        simulation.runAfter(lease.ttlSeconds + 0.05, this::expireLeases);
+        respond.accept(HttpAnswer.of(200, Cbor.newMap().put("hold", nextLeaseId++)));
+      } else {
+        StoredLease lease = leases.get(Long.parseLong(path.split("/")[2]));
+        if (lease != null) {
+          lease.expiresAtSeconds = simulation.nowSeconds() + lease.ttlSeconds;
+          simulation.runAfter(lease.ttlSeconds + 0.05, this::expireLeases);
+        }
+        respond.accept(lease == null ? HttpAnswer.empty(404) : HttpAnswer.of(200, Cbor.newMap()));
+      }
+    } catch (Cbor.MalformedMessageException entry) {
+      respond.accept(HttpAnswer.error(400, entry.getMessage()));
+    }
+  }
+
+  private boolean drawFault(Map<String, Double> shares, String caller) {
+    Double share = shares.get(caller);
+    return share != null && simulation.random.nextDouble() < share;
+  }
+
+  private void readKey(String key, Consumer<HttpAnswer> done) {
+    StoredEntry entry = entries.get(key);
+    done.accept(
+        entry == null
+            ? HttpAnswer.of(404, Cbor.newMap().put("epoch", revision))
+            : HttpAnswer.of(200, entryMessage(key, entry)));
+  }
+
+  private static ObjectNode entryMessage(String key, StoredEntry entry) {
+    ObjectNode message = Cbor.newMap().put("key", key).put("stamp", entry.revision());
+    message.set("v", entry.value());
+    return message;
+  }
+
+  private static String queryParameter(String path, String name) {
+    for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
+      if (part.startsWith(name + "=")) {
+        return part.substring(name.length() + 1);
+      }
+    }
+    return "";
+  }
+
+  private void listKeys(String path, Consumer<HttpAnswer> done) {
+    String prefix = queryParameter(path, "under");
+    String afterKey = queryParameter(path, "after");
+    int maxEntries = Integer.parseInt(queryParameter(path, "most"));
+    ObjectNode message = Cbor.newMap().put("epoch", revision);
+    var entries = message.putArray("entries");
+    boolean more = false;
+    for (var entry : this.entries.tailMap(prefix).entrySet()) {
+      if (!entry.getKey().startsWith(prefix)) {
+        break;
+      }
+      if (entry.getKey().compareTo(afterKey) > 0) {
+        if (entries.size() == Math.min(maxEntries, pageSize)) {
+          more = true;
+          break;
+        }
+        entries.add(entryMessage(entry.getKey(), entry.getValue()));
+      }
+    }
+    done.accept(HttpAnswer.of(200, message.put("truncated", more)));
+  }
+
+  private void executeTransaction(ObjectNode body, Consumer<HttpAnswer> done) {
+    writeCount += body.path("writes").size();
+    for (JsonNode write : body.path("writes")) {
+      writeCountByUse.merge(
+          useOf(write.path(write.has("set") ? "set" : "drop").asText()), 1L, Long::sum);
+    }
+    if (body.path("writes").size() > simulation.stateLimits.maxTransactionOperations()
+        || body.path("if").size() > 4 * simulation.stateLimits.maxTransactionOperations()) {
+      done.accept(HttpAnswer.error(400, "the transaction is too large"));
+      return;
+    }
+    ObjectNode message = Cbor.newMap();
+    var failed = message.putArray("failed");
+    for (JsonNode condition : body.path("if")) {
+      StoredEntry entry = entries.get(condition.get("key").asText());
+      if ((entry == null ? 0 : entry.revision()) != condition.get("stamp").asLong()) {
+        failed.add(condition.get("key").asText());
+      }
+    }
+    for (JsonNode write : body.path("writes")) {
+      if (write.has("hold") && !leases.containsKey(write.get("hold").asLong())) {
+        done.accept(HttpAnswer.error(400, "no such lease"));
+        return;
+      }
+    }
+    if (!failed.isEmpty()) {
+      done.accept(HttpAnswer.of(409, message.put("epoch", revision)));
+      return;
+    }
+    if (!body.path("writes").isEmpty()) {
+      revision++;
+    }
+    for (JsonNode write : body.path("writes")) {
+      if (write.has("drop")) {
+        deleteKey(write.get("drop").asText());
+      } else {
+        String key = write.get("set").asText();
+        largestValueLength = Math.max(largestValueLength, write.get("v").toString().length());
+        entries.put(
+            key, new StoredEntry(write.get("v"), revision, write.path("hold").asLong(NO_LEASE)));
+        ObjectNode change = Cbor.newMap().put("set", key);
+        change.set("v", write.get("v"));
+        logChange(key, change);
+      }
+    }
+    done.accept(HttpAnswer.of(200, Cbor.newMap().put("epoch", revision)));
+    notifyWatches();
+  }
+
+  private void openWatch(String path, Consumer<HttpAnswer> done) {
+    if (Long.parseLong(queryParameter(path, "after")) < compactedRevision) {
+      done.accept(HttpAnswer.error(410, "no longer kept"));
+      return;
+    }
+    PendingWatch watch = new PendingWatch();
+    watch.prefix = queryParameter(path, "under");
+    watch.afterRevision = Long.parseLong(queryParameter(path, "after"));
+    watch.done = done;
+    watches.add(watch);
+    simulation.runAfter(
+        Double.parseDouble(queryParameter(path, "block_ms")) / 1000,
+        () -> {
+          if (watches.remove(watch)) {
+            done.accept(watchReply(changesFor(watch), revision));
+          }
+        });
+    notifyWatches();
+  }
+
+  private static HttpAnswer watchReply(List<ObjectNode> changes, long revision) {
+    ObjectNode message = Cbor.newMap().put("epoch", revision);
+    message.putArray("log").addAll(changes);
+    return HttpAnswer.of(200, message);
+  }
+
+  /** What a watch has not been told yet, in the order of the revisions. */
+  private List<ObjectNode> changesFor(PendingWatch watch) {
+    ArrayDeque<ObjectNode> fresh = new ArrayDeque<>();
+    for (var newestFirst = changeLog.descendingIterator(); newestFirst.hasNext(); ) {
+      LoggedChange change = newestFirst.next();
+      if (change.revision() <= watch.afterRevision) {
+        break;
+      }
+      if (change.key().startsWith(watch.prefix)) {
+        fresh.addFirst(change.message());
+      }
+    }
+    return List.copyOf(fresh);
+  }
+
+  private void notifyWatches() {
+    if (unavailable) {
+      return;
+    }
+    for (PendingWatch watch : List.copyOf(watches)) {
+      List<ObjectNode> fresh = changesFor(watch);
+      if (!fresh.isEmpty()) {
+        watches.remove(watch);
+        watch.done.accept(watchReply(fresh, revision));
+      }
+    }
+  }
+
+  private boolean withinLimits(ObjectNode body) {
+    if (!enforcesLimits) {
+      return true;
+    }
+    if (requestLimiter == null) {
+      requestLimiter =
+          new RateLimiter(
+              simulation.stateLimits.requestsPerSecond(),
+              simulation.stateLimits.requestsPerSecond(),
+              simulation.nowSeconds());
+      writeLimiter =
+          new RateLimiter(
+              simulation.stateLimits.writesPerSecond(),
+              simulation.stateLimits.writesPerSecond(),
+              simulation.nowSeconds());
+    }
+    boolean within =
+        requestLimiter.tryAcquire(1, simulation.nowSeconds())
+            && writeLimiter.tryAcquire(body.path("writes").size(), simulation.nowSeconds());
+    overLimitCount += within ? 0 : 1;
+    return within;
+  }
+
+  /** What a row is for, by its key. */
+  private static String useOf(String key) {
+    String[] parts = key.split("/");
+    String name = parts[0].equals("c") && parts.length > 1 ? parts[1] : parts[0];
+    return switch (name) {
+      case "job", "open", "end" -> "job " + name;
+      case "progress" -> "task progress";
+      case "block", "machine", "intake", "types", "hire" -> "machine " + name;
+      case "slice" -> "team slice";
+      case "entity", "alive" -> "move " + name;
+      default -> name;
+    };
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/fakes/InvariantCheckerTest.java
@@ -0,0 +1,278 @@
+package io.violetrail.fakes;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Settings.Team;
+import io.violetrail.net.HttpClient;
+import io.violetrail.wire.Cbor;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Each rule that the stories rest on can be broken, and is seen to be. */
+class InvariantCheckerTest {
+  private final ClusterSimulation simulation = new ClusterSimulation(1, 1);
+  private final FakeWorker firstWorker = simulation.cloud.addRunningMachine("plain", "a");
+  private final FakeWorker secondWorker = simulation.cloud.addRunningMachine("plain", "b");
+
+  private void recordExchange(
+      String method, String path, ObjectNode body, int status, String jobStatus) {
+    ObjectNode answer = Cbor.newMap().put("name_id", "job-1").put("status", jobStatus);
+    byte[] requestBody = body == null ? null : Cbor.encode(body);
+    long requestClock = simulation.checker.recordRequest(method, path, requestBody);
+    simulation.checker.recordReply(
+        requestClock,
+        method,
+        path,
+        requestBody,
+        new HttpClient.ClientReply(status, Cbor.encode(answer)));
+  }
+
+  private void acceptJob(ObjectNode job) {
+    recordExchange("POST", "/work", job, 201, "queued");
+    assertEquals(List.of(), simulation.violations);
+  }
+
+  private void launch(FakeWorker worker, String task) {
+    worker.executeCommand(Cbor.newMap().put("verb", "launch").put("piece", task).put("try", 1));
+  }
+
+  private void assertViolated(String rule) {
+    assertTrue(simulation.violations.stream().anyMatch(b -> b.startsWith(rule + ":")), rule);
+  }
+
+  @Test
+  void taskStartedOnTwoWorkersIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    launch(firstWorker, "job-1/0");
+    assertEquals(List.of(), simulation.violations);
+    launch(secondWorker, "job-1/0");
+    assertViolated("ran_twice");
+  }
+
+  @Test
+  void teamAboveItsQuotaIsAViolation() {
+    simulation.teams.put("red", new Team("red", 0, 0, 1.5, 0));
+    acceptJob(SimulatedUser.jobRequest("job-1", 2));
+    launch(firstWorker, "job-1/0");
+    assertEquals(List.of(), simulation.violations);
+    launch(firstWorker, "job-1/1");
+    assertViolated("quota");
+  }
+
+  @Test
+  void teamUsageIsSummedOverAllWorkersAsTasksStartAndEnd() {
+    simulation.teams.put("red", new Team("red", 0, 0, 2, 0));
+    acceptJob(SimulatedUser.jobRequest("job-1", 4));
+    launch(firstWorker, "job-1/0");
+    launch(secondWorker, "job-1/1");
+    firstWorker.executeCommand(
+        Cbor.newMap().put("verb", "halt").put("piece", "job-1/0").put("try", 1));
+    launch(firstWorker, "job-1/2");
+    assertEquals(List.of(), simulation.violations);
+    launch(secondWorker, "job-1/3");
+    assertViolated("quota");
+  }
+
+  @Test
+  void tasksOfAnExpiredLeaseDoNotCount() {
+    simulation.teams.put("red", new Team("red", 0, 0, 1, 0));
+    acceptJob(SimulatedUser.jobRequest("job-1", 2).put("one_zone", true));
+    launch(firstWorker, "job-1/0");
+    // Between two steps of the worker: it has not noticed yet, but its lease is over.
+    firstWorker.renewLeaseForTest(
+        simulation.nowSeconds() - simulation.workerSettings.leaseSeconds() - 0.1);
+    launch(secondWorker, "job-1/1");
+    launch(secondWorker, "job-1/0");
+    assertViolated("quota");
+    assertEquals(1, simulation.violations.size(), simulation.violations.toString());
+  }
+
+  @Test
+  void resubmissionWithOtherResourcesChangesTeamUsage() {
+    simulation.teams.put("red", new Team("red", 0, 0, 3, 0));
+    simulation.checker.recordRequest(
+        "POST", "/work", Cbor.encode(SimulatedUser.jobRequest("job-1", 2)));
+    launch(firstWorker, "job-1/0");
+    recordExchange(
+        "POST", "/work", SimulatedUser.jobRequest("job-1", 2).put("cores", 2.0), 201, "queued");
+    assertEquals(List.of(), simulation.violations);
+    launch(firstWorker, "job-1/1");
+    assertViolated("quota");
+  }
+
+  @Test
+  void spreadTasksInOneZoneAreAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 2).put("apart", true));
+    launch(firstWorker, "job-1/0");
+    assertEquals(List.of(), simulation.violations);
+    launch(firstWorker, "job-1/1");
+    assertViolated("wrong_place");
+  }
+
+  @Test
+  void tasksOfAOneZoneJobInTwoZonesAreAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 2).put("one_zone", true));
+    launch(firstWorker, "job-1/0");
+    assertEquals(List.of(), simulation.violations);
+    launch(secondWorker, "job-1/1");
+    assertViolated("wrong_place");
+  }
+
+  @Test
+  void taskRunningLongAfterCancellationIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    firstWorker.taskDurationSeconds = 100;
+    launch(firstWorker, "job-1/0");
+    recordExchange("POST", "/work/job-1/abort", Cbor.newMap(), 200, "cancelled");
+    simulation.runAfter(30, () -> firstWorker.renewLeaseForTest(simulation.nowSeconds()));
+    simulation.runFor(39);
+    assertEquals(List.of(), simulation.violations);
+    // Its lease is over by then unless somebody renews it.
+    firstWorker.renewLeaseForTest(simulation.nowSeconds());
+    firstWorker.addTask("job-1/0");
+    simulation.runFor(2);
+    assertViolated("ran_cancelled");
+  }
+
+  @Test
+  void notFoundForAnAcceptedJobIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    recordExchange("GET", "/work/job-1", null, 404, "");
+    assertViolated("forgotten");
+  }
+
+  @Test
+  void statusOfAJobNeverSubmittedIsAViolation() {
+    recordExchange("GET", "/work/job-1", null, 200, "queued");
+    assertViolated("invented");
+  }
+
+  @Test
+  void doneBeforeAllTasksEndedIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 2));
+    simulation.checker.recordTaskDone("job-1/0");
+    recordExchange("GET", "/work/job-1", null, 200, "done");
+    assertViolated("not_done");
+  }
+
+  @Test
+  void statusGoingBackwardsIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    simulation.checker.recordTaskDone("job-1/0");
+    recordExchange("GET", "/work/job-1", null, 200, "done");
+    assertEquals(List.of(), simulation.violations);
+    recordExchange("GET", "/work/job-1", null, 200, "running");
+    assertViolated("went_back");
+  }
+
+  @Test
+  void onlyConcurrentRepliesMayContradictEachOther() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    simulation.checker.recordTaskDone("job-1/0");
+    long earlierRequestClock = simulation.checker.recordRequest("GET", "/work/job-1", null);
+    recordExchange("GET", "/work/job-1", null, 200, "done");
+    recordStatus(earlierRequestClock, "running");
+    assertEquals(List.of(), simulation.violations);
+    recordStatus(simulation.checker.recordRequest("GET", "/work/job-1", null), "running");
+    assertViolated("went_back");
+  }
+
+  private void recordStatus(long askedAt, String status) {
+    byte[] body = Cbor.encode(Cbor.newMap().put("name_id", "job-1").put("status", status));
+    simulation.checker.recordReply(
+        askedAt, "GET", "/work/job-1", null, new HttpClient.ClientReply(200, body));
+  }
+
+  @Test
+  void twoDifferentOutcomesAreAViolationEvenIfConcurrent() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    simulation.checker.recordTaskDone("job-1/0");
+    long earlierRequestClock = simulation.checker.recordRequest("GET", "/work/job-1", null);
+    recordExchange("POST", "/work/job-1/abort", Cbor.newMap(), 200, "cancelled");
+    recordStatus(earlierRequestClock, "done");
+    assertViolated("went_back");
+  }
+
+  @Test
+  void rejectionOfAnAcceptedJobIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    recordExchange("POST", "/work", SimulatedUser.jobRequest("job-1", 1), 422, "");
+    assertViolated("forgotten");
+  }
+
+  @Test
+  void startsAfterAConfirmedCancellationAreCounted() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    recordExchange("POST", "/work/job-1/abort", Cbor.newMap(), 200, "cancelled");
+    launch(firstWorker, "job-1/0");
+    assertEquals(1, simulation.checker.startsAfterCancellation);
+    assertEquals(List.of(), simulation.violations);
+  }
+
+  @Test
+  void acceptingAnIncompleteOrUnplaceableJobIsAViolation() {
+    ObjectNode incompleteJob = SimulatedUser.jobRequest("job-1", 1);
+    incompleteJob.remove("bundle");
+    recordExchange("POST", "/work", incompleteJob, 201, "queued");
+    assertViolated("senseless");
+    simulation.violations.clear();
+    recordExchange(
+        "POST", "/work", SimulatedUser.jobRequest("job-2", 1).put("cores", 9.0), 201, "queued");
+    assertViolated("senseless");
+  }
+
+  @Test
+  void jobUnansweredAfterFaultsEndedIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1).put("yard", "a"));
+    simulation.checker.faultsEnded();
+    firstWorker.preemptionNoticeSeconds = 1.0;
+    recordExchange("GET", "/work/job-1", null, 503, "");
+    simulation.runFor(74);
+    assertEquals(List.of(), simulation.violations);
+    simulation.runFor(2);
+    assertViolated("forgotten");
+  }
+
+  @Test
+  void jobWaitingDespiteFreeCapacityIsAViolation() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 1));
+    simulation.checker.faultsEnded();
+    simulation.runFor(89);
+    assertEquals(List.of(), simulation.violations);
+    simulation.runFor(3);
+    assertViolated("left_waiting");
+  }
+
+  @Test
+  void jobMayWaitWithoutCapacityOrAboveItsQuota() {
+    simulation.teams.put("red", new Team("red", 0, 0, 8, 0));
+    firstWorker.taskDurationSeconds = 500;
+    acceptJob(SimulatedUser.jobRequest("job-1", 1).put("cores", 8.0));
+    launch(firstWorker, "job-1/0");
+    acceptJob(SimulatedUser.jobRequest("job-2", 1));
+    simulation.checker.faultsEnded();
+    for (int i = 0; i < 15; i++) {
+      simulation.runAfter(8 * i, () -> firstWorker.renewLeaseForTest(simulation.nowSeconds()));
+    }
+    simulation.runFor(100);
+    assertEquals(List.of(), simulation.violations);
+  }
+
+  @Test
+  void classServedLessThanHalfIsReported() {
+    acceptJob(SimulatedUser.jobRequest("job-1", 2));
+    acceptJob(SimulatedUser.jobRequest("job-2", 1));
+    acceptJob(SimulatedUser.jobRequest("job-3", 1));
+    launch(firstWorker, "job-2/0");
+    simulation.checker.recordTaskDone("job-2/0");
+    assertEquals(
+        3,
+        simulation.checker.findUnderservedGroups().size(),
+        "class, team, and the class's largest");
+    launch(firstWorker, "job-1/0");
+    simulation.checker.recordTaskDone("job-3/0");
+    assertEquals(List.of(), simulation.checker.findUnderservedGroups());
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/fakes/LivenessChecker.java
@@ -0,0 +1,225 @@
+package io.violetrail.fakes;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.config.Settings.Team;
+import io.violetrail.model.MachineType;
+import io.violetrail.model.Resources;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+
+/** What must happen in the end: questions are answered, and nothing is left waiting. */
+final class LivenessChecker {
+  /** After the troubles no question about an accepted job stays unanswered for longer. */
+  private static final double MAX_UNANSWERED_SECONDS = 75;
+
+  /** After the troubles nothing that could run waits for longer. */
+  private static final double MAX_WAIT_SECONDS = 90;
+
+  /** Within which the largest jobs of a class are to begin. */
+  private static final double MAX_START_DELAY_SECONDS = 240;
+
+  private static final List<String> REQUIRED_FIELDS =
+      List.of(
+          "jobclass",
+          "crew",
+          "shape",
+          "urgency",
+          "pieces",
+          "cores",
+          "gpus",
+          "mem_gb",
+          "bundle",
+          "pull_gb",
+          "one_zone",
+          "apart",
+          "loaners",
+          "guess_s",
+          "snapshot_s",
+          "flush_s");
+
+  private final ClusterSimulation simulation;
+  private final InvariantChecker checker;
+  private final Map<String, Double> unansweredSinceSeconds = new HashMap<>();
+  private final Map<String, Double> runnableSinceSeconds = new HashMap<>();
+  private final Map<String, Double> acceptedAtSeconds = new HashMap<>();
+  private final Map<String, Double> startedAtSeconds = new HashMap<>();
+  private double faultsEndedAtSeconds = Double.POSITIVE_INFINITY;
+
+  LivenessChecker(ClusterSimulation simulation, InvariantChecker checker) {
+    this.simulation = simulation;
+    this.checker = checker;
+  }
+
+  void faultsEnded() {
+    faultsEndedAtSeconds = simulation.nowSeconds();
+    unansweredSinceSeconds.replaceAll((id, since) -> simulation.nowSeconds());
+  }
+
+  void recordQuestion(String id, boolean answered) {
+    if (answered) {
+      unansweredSinceSeconds.remove(id);
+    } else {
+      unansweredSinceSeconds.putIfAbsent(id, simulation.nowSeconds());
+    }
+  }
+
+  void recordTaskStart(String task) {
+    startedAtSeconds.putIfAbsent(InvariantChecker.jobOf(task), simulation.nowSeconds());
+    runnableSinceSeconds.remove(InvariantChecker.jobOf(task));
+  }
+
+  void check() {
+    for (ObjectNode job : checker.uncancelledJobs()) {
+      acceptedAtSeconds.putIfAbsent(job.get("name_id").asText(), simulation.nowSeconds());
+    }
+    if (simulation.nowSeconds() < faultsEndedAtSeconds) {
+      return;
+    }
+    for (ObjectNode job : checker.unfinishedJobs()) {
+      String id = job.get("name_id").asText();
+      Double sinceSeconds = unansweredSinceSeconds.get(id);
+      if (sinceSeconds != null && simulation.nowSeconds() - sinceSeconds > MAX_UNANSWERED_SECONDS) {
+        checker.reportViolation("forgotten", "no question about " + id + " is answered");
+      }
+      if (!isRunnable(job)) {
+        runnableSinceSeconds.remove(id);
+      } else if (simulation.nowSeconds()
+              - runnableSinceSeconds.computeIfAbsent(id, x -> simulation.nowSeconds())
+          > MAX_WAIT_SECONDS) {
+        checker.reportViolation("left_waiting", id + " waits though there is room");
+      }
+    }
+  }
+
+  /** Whether a task of the job waits while machines that fit have room and its team may. */
+  private boolean isRunnable(ObjectNode job) {
+    String id = job.get("name_id").asText();
+    int waiting = 0;
+    for (int i = 0; i < job.get("pieces").asInt(); i++) {
+      String task = id + "/" + i;
+      waiting += checker.isRunning(task) || checker.isTaskDone(task) ? 0 : 1;
+    }
+    if (waiting == 0) {
+      return false;
+    }
+    int startTogetherCount = job.path("shape").asText().equals("ensemble") ? waiting : 1;
+    Resources task = InvariantChecker.resourcesOfOneTask(job);
+    Team team = simulation.teamLimit.apply(job.path("crew").asText());
+    Resources remainingQuota =
+        new Resources(team.maxCpus(), team.maxGpus(), Double.POSITIVE_INFINITY)
+            .minus(checker.usedBy(team.name()));
+    if (remainingQuota.countFitting(task) < startTogetherCount) {
+      return false;
+    }
+    if (job.path("one_zone").asBoolean()) {
+      return simulation.cloud.workers.values().stream()
+          .map(w -> w.zone)
+          .distinct()
+          .anyMatch(
+              zone -> countFreeSlots(job, task, w -> w.zone.equals(zone)) >= startTogetherCount);
+    }
+    return countFreeSlots(job, task, w -> true) >= startTogetherCount;
+  }
+
+  private int countFreeSlots(ObjectNode job, Resources task, Predicate<FakeWorker> machineFilter) {
+    int slots = 0;
+    for (FakeWorker worker : simulation.cloud.workers.values()) {
+      if (worker.canRunTasks()
+          && machineFilter.test(worker)
+          && allowsMachine(job, worker.type, worker.zone, worker.spot)) {
+        slots += worker.freeResources(checker::resourcesOfTask).countFitting(task);
+      }
+    }
+    return slots;
+  }
+
+  private static boolean allowsMachine(ObjectNode job, String type, String zone, boolean spot) {
+    JsonNode types = job.path("hosttypes");
+    boolean typeAllowed = !types.isArray() || types.isEmpty();
+    for (JsonNode allowedType : types) {
+      typeAllowed |= allowedType.asText().equals(type);
+    }
+    String requiredZone = job.path("yard").asText("");
+    boolean anyZone = requiredZone.isEmpty() || requiredZone.equals("null");
+    return typeAllowed
+        && (anyZone || requiredZone.equals(zone))
+        && (!spot || job.path("loaners").asBoolean());
+  }
+
+  /** Why the job should not have been taken in; null if it should. */
+  static String findRejectionReason(ClusterSimulation simulation, ObjectNode job) {
+    for (String field : REQUIRED_FIELDS) {
+      if (!job.hasNonNull(field)) {
+        return "it lacks " + field;
+      }
+    }
+    Team team = simulation.teamLimit.apply(job.get("crew").asText());
+    if (team == null) {
+      return "no such team";
+    }
+    Resources task = InvariantChecker.resourcesOfOneTask(job);
+    boolean fits = false;
+    for (MachineType type : simulation.cloud.machineTypes) {
+      for (String zone : type.zones()) {
+        fits |= task.fitsIn(type.capacity()) && allowsMachine(job, type.name(), zone, false);
+      }
+    }
+    if (!fits) {
+      return "it fits no machine";
+    }
+    boolean startsTogether = !job.get("shape").asText().equals("batch");
+    double tasksAtOnce = startsTogether ? job.get("pieces").asInt() : 1;
+    boolean overLimit =
+        task.cpus() * tasksAtOnce > team.maxCpus() || task.gpus() * tasksAtOnce > team.maxGpus();
+    return overLimit ? "it needs more than its team's limit" : null;
+  }
+
+  /** Classes and teams of which less than half is served, and their largest jobs. */
+  List<String> findUnderservedGroups() {
+    List<String> underserved = new ArrayList<>();
+    Map<String, List<ObjectNode>> groups = new HashMap<>();
+    for (ObjectNode job : checker.uncancelledJobs()) {
+      for (String field : List.of("jobclass", "crew")) {
+        String name = field + " " + job.path(field).asText();
+        groups.computeIfAbsent(name, n -> new ArrayList<>()).add(job);
+      }
+    }
+    groups.forEach(
+        (name, jobsOfGroup) -> {
+          if (2 * jobsOfGroup.stream().filter(this::isDone).count() < jobsOfGroup.size()) {
+            underserved.add("less than half of " + name + " is done");
+          }
+          if (name.startsWith("jobclass")) {
+            int maxTasks =
+                jobsOfGroup.stream().mapToInt(j -> j.get("pieces").asInt()).max().orElse(0);
+            List<ObjectNode> largest =
+                jobsOfGroup.stream().filter(j -> j.get("pieces").asInt() == maxTasks).toList();
+            if (2 * largest.stream().filter(this::startedInTime).count() < largest.size()) {
+              underserved.add("less than half of the largest of " + name + " begin in time");
+            }
+          }
+        });
+    return underserved;
+  }
+
+  private boolean isDone(ObjectNode job) {
+    String id = job.get("name_id").asText();
+    for (int i = 0; i < job.get("pieces").asInt(); i++) {
+      if (!checker.isTaskDone(id + "/" + i)) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private boolean startedInTime(ObjectNode job) {
+    String id = job.get("name_id").asText();
+    Double startedAt = startedAtSeconds.get(id);
+    return startedAt != null
+        && startedAt - acceptedAtSeconds.getOrDefault(id, startedAt) <= MAX_START_DELAY_SECONDS;
+  }
+}
