--- /dev/null
+++ b/src/test/java/io/violetrail/scale/StateServiceProcess.java
@@ -0,0 +1,67 @@
+package io.violetrail.scale;
+
+import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.fakes.ClusterSimulation;
+import io.violetrail.fakes.RealTimeSimulation;
+import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.wire.Cbor;
+import java.io.IOException;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** The state service's stand-in as a process of its own; {@code GET /stats} tells its counts. */
+@Command(name = "state", mixinStandardHelpOptions = true)
+public final class StateServiceProcess implements Callable<Integer> {
+  static final String STATS_PATH = "/stats";
+
+  @Option(names = "--port", required = true)
+  private int port;
+
+  @Option(names = "--requests", required = true, description = "requests a second")
+  private double requestsPerSecond;
+
+  @Option(names = "--changes", required = true, description = "changes a second")
+  private double changesPerSecond;
+
+  /** Serves a state service until the process is ended. */
+  public static void main(String[] args) {
+    QuietLogging.showErrorsOnly();
+    int status = new CommandLine(new StateServiceProcess()).execute(args);
+    if (status != 0) {
+      System.exit(status);
+    }
+  }
+
+  @Override
+  public Integer call() throws IOException {
+    ClusterSimulation simulation = new ClusterSimulation(1, 1);
+    simulation.stateLimits = new StateStoreLimits(requestsPerSecond, changesPerSecond, 8192, 24);
+    simulation.stateService.enforcesLimits = true;
+    RealTimeSimulation live = new RealTimeSimulation(simulation);
+    live.start();
+    live.serve(
+        port,
+        (method, path, body, done) -> {
+          if (path.equals(STATS_PATH)) {
+            done.accept(HttpAnswer.of(200, statsMessage(simulation)));
+          } else {
+            simulation.stateService.handle(method, "process " + path, body, done);
+          }
+        });
+    return 0;
+  }
+
+  private static com.fasterxml.jackson.databind.node.ObjectNode statsMessage(
+      ClusterSimulation simulation) {
+    var message = Cbor.newMap();
+    var requests = message.putObject("requests");
+    simulation.stateService.requestCountByKind.forEach(requests::put);
+    var changes = message.putObject("changes");
+    simulation.stateService.writeCountByUse.forEach(changes::put);
+    return message
+        .put("writes", simulation.stateService.writeCount)
+        .put("over_limit", simulation.stateService.overLimitCount);
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/scheduling/DeadlineSelectionTest.java
@@ -0,0 +1,69 @@
+package io.violetrail.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.violetrail.model.JobId;
+import io.violetrail.model.JobShape;
+import io.violetrail.model.JobSpec;
+import io.violetrail.model.Priority;
+import io.violetrail.model.Resources;
+import io.violetrail.scheduling.DeadlineSelection.PendingJob;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class DeadlineSelectionTest {
+  private static PendingJob dueJob(int id, double dueS, double workS) {
+    JobSpec spec =
+        new JobSpec(
+            new JobId("job-" + id),
+            "plain",
+            "red",
+            JobShape.ARRAY,
+            Priority.values()[2],
+            10,
+            new Resources(1, 0, 1),
+            "img",
+            0.1,
+            null,
+            null,
+            false,
+            false,
+            false,
+            10,
+            0,
+            0,
+            dueS);
+    return new PendingJob(new Job(spec, 0, id, false), dueS, workS, 1);
+  }
+
+  private static List<String> jobIdsInOrder(PendingJob... jobs) {
+    return DeadlineSelection.orderByDeadline(List.of(jobs), 0).stream()
+        .map(d -> d.job().spec().id().value())
+        .toList();
+  }
+
+  @Test
+  void jobsThatAllFitAreOrderedByDeadline() {
+    assertEquals(
+        List.of("job-2", "job-3", "job-1"),
+        jobIdsInOrder(dueJob(1, 60, 20), dueJob(2, 20, 10), dueJob(3, 40, 20)));
+  }
+
+  @Test
+  void largestJobIsDeferredWhenNotAllFit() {
+    // By due times alone, job-1 takes until 50 and all three are late.
+    assertEquals(
+        List.of("job-2", "job-3", "job-1"),
+        jobIdsInOrder(dueJob(1, 30, 29), dueJob(2, 35, 10), dueJob(3, 40, 10)));
+  }
+
+  @Test
+  void jobsWithoutReachableDeadlineComeLastSmallestFirst() {
+    assertEquals(
+        List.of("job-3", "job-2", "job-1"),
+        jobIdsInOrder(
+            dueJob(1, Double.POSITIVE_INFINITY, 9),
+            dueJob(2, Double.POSITIVE_INFINITY, 5),
+            dueJob(3, 40, 10)));
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/simulation/InjectedFault.java
@@ -0,0 +1,266 @@
+package io.violetrail.simulation;
+
+import io.violetrail.fakes.ClusterSimulation;
+import io.violetrail.fakes.FakeWorker;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.stream.Collectors;
+
+/** A fault that a simulated day injects, and heals some seconds later. */
+enum InjectedFault {
+  CONTROLLER_KILLED(Scope.CONTROLLERS, (simulation, random) -> kill(simulation, random, 1)),
+  TWO_CONTROLLERS_KILLED(Scope.CONTROLLERS, (simulation, random) -> kill(simulation, random, 2)),
+  ALL_CONTROLLERS_KILLED(
+      Scope.CONTROLLERS,
+      (simulation, random) -> kill(simulation, random, simulation.controllerCount())),
+  CONTROLLER_FROZEN(Scope.CONTROLLERS, InjectedFault::freeze),
+  PARTITION_FROM_STATE_AND_PEERS(Scope.LOST_MESSAGES, InjectedFault::isolate),
+  PARTITION_FROM_PEERS(Scope.REFUSED_CONNECTIONS, InjectedFault::partitionFromPeers),
+  PARTITION_FROM_WORKERS(Scope.HELD_MESSAGES, InjectedFault::partitionFromWorkers),
+  PARTITION_FROM_HALF_THE_WORKERS(Scope.LOST_MESSAGES, InjectedFault::partitionFromHalfTheWorkers),
+  ZONE_PARTITIONED(Scope.HELD_MESSAGES, InjectedFault::partitionZone),
+  STATE_OUTAGE(Scope.STATE, InjectedFault::stateOutage),
+  STATE_REFUSES_ONE_CONTROLLER(Scope.STATE, InjectedFault::stateRefusesOne),
+  STATE_SLOW(Scope.STATE, InjectedFault::stateSlow),
+  STATE_WRITES_LATE(Scope.STATE, InjectedFault::stateWritesLate),
+  STATE_ACKNOWLEDGEMENTS_LOST(Scope.STATE, InjectedFault::stateAcknowledgementsLost),
+  CLOUD_OUTAGE(Scope.CLOUD, InjectedFault::cloudOutage),
+  SPOT_RECLAIM(Scope.WORKERS, InjectedFault::reclaimSpot),
+  MACHINE_LOST(Scope.WORKERS, InjectedFault::loseMachine),
+  WORKERS_PARTITIONED(Scope.WORKERS, InjectedFault::partitionWorkers),
+  WORKER_HEARS_NOTHING(Scope.WORKERS, InjectedFault::partitionTowardsWorker),
+  WORKER_HANGS(Scope.WORKERS, InjectedFault::hang),
+  WORKER_FAULTY(Scope.WORKERS, InjectedFault::makeFaulty),
+  HEARTBEATS_REPEATED(Scope.WORKERS, InjectedFault::repeatHeartbeats),
+  HEARTBEATS_LATE(Scope.HELD_MESSAGES, InjectedFault::delayHeartbeats),
+  COMMANDS_LATE(Scope.HELD_MESSAGES, InjectedFault::delayCommands);
+
+  /** What a fault concerns. Of two faults at a time each has a scope of its own. */
+  enum Scope {
+    CONTROLLERS,
+    LOST_MESSAGES,
+    REFUSED_CONNECTIONS,
+    HELD_MESSAGES,
+    STATE,
+    CLOUD,
+    WORKERS
+  }
+
+  private interface Injection {
+    Runnable inject(ClusterSimulation simulation, Random random);
+  }
+
+  private static final Runnable HEALS_BY_ITSELF = () -> {};
+  private static final double RECLAIM_NOTICE_SECONDS = 10;
+  private static final String HEARTBEAT = " POST /agent/beat";
+
+  private final Scope scope;
+  private final Injection injection;
+
+  InjectedFault(Scope scope, Injection injection) {
+    this.scope = scope;
+    this.injection = injection;
+  }
+
+  Scope scope() {
+    return scope;
+  }
+
+  /** Injects the fault; what is returned heals it. */
+  Runnable inject(ClusterSimulation simulation, Random random) {
+    return injection.inject(simulation, random);
+  }
+
+  private static String anyController(ClusterSimulation simulation, Random random) {
+    return ClusterSimulation.controllerName(random.nextInt(simulation.controllerCount()));
+  }
+
+  private static List<FakeWorker> workers(ClusterSimulation simulation) {
+    return List.copyOf(simulation.cloud.workers.values());
+  }
+
+  /** Up to so many different workers. */
+  private static List<FakeWorker> someWorkers(
+      ClusterSimulation simulation, Random random, int most) {
+    List<FakeWorker> left = new ArrayList<>(workers(simulation));
+    List<FakeWorker> chosen = new ArrayList<>();
+    while (!left.isEmpty() && chosen.size() < most) {
+      chosen.add(left.remove(random.nextInt(left.size())));
+    }
+    return chosen;
+  }
+
+  private static Runnable kill(ClusterSimulation simulation, Random random, int count) {
+    int first = random.nextInt(simulation.controllerCount());
+    List<String> killed = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      String controller =
+          ClusterSimulation.controllerName((first + i) % simulation.controllerCount());
+      if (simulation.controllers.containsKey(controller)) {
+        simulation.killController(controller);
+        killed.add(controller);
+      }
+    }
+    return () -> killed.forEach(simulation::startController);
+  }
+
+  private static Runnable freeze(ClusterSimulation simulation, Random random) {
+    simulation.freezeController(anyController(simulation, random), 3 + 15 * random.nextDouble());
+    return HEALS_BY_ITSELF;
+  }
+
+  private static Runnable isolate(ClusterSimulation simulation, Random random) {
+    simulation.networkFaults.isolateFromStateAndPeers(anyController(simulation, random));
+    return simulation.networkFaults::healLinks;
+  }
+
+  private static Runnable partitionFromPeers(ClusterSimulation simulation, Random random) {
+    String controller = anyController(simulation, random);
+    Predicate<String> toPeer = message -> message.endsWith(" POST /peer");
+    simulation.networkFaults.refuseConnections(
+        message -> {
+          String[] part = message.split(" ");
+          return toPeer.test(message) && (part[0].equals(controller) || part[1].equals(controller));
+        });
+    return () -> simulation.networkFaults.refuseConnections(message -> false);
+  }
+
+  private static Runnable partitionFromWorkers(ClusterSimulation simulation, Random random) {
+    String controller = anyController(simulation, random);
+    simulation.networkFaults.holdMessages(
+        message ->
+            message.startsWith("vm-") && message.contains(" " + controller + HEARTBEAT)
+                || message.startsWith(controller + " vm-"));
+    return simulation.networkFaults::releaseHeldMessages;
+  }
+
+  private static Runnable partitionFromHalfTheWorkers(ClusterSimulation simulation, Random random) {
+    List<FakeWorker> half = someWorkers(simulation, random, workers(simulation).size() / 2);
+    simulation.networkFaults.cutLinks(half, anyController(simulation, random));
+    return simulation.networkFaults::healLinks;
+  }
+
+  private static Runnable partitionZone(ClusterSimulation simulation, Random random) {
+    Set<String> inside =
+        workers(simulation).stream()
+            .filter(worker -> worker.zone().equals("a"))
+            .map(worker -> worker.id)
+            .collect(Collectors.toSet());
+    inside.add(anyController(simulation, random));
+    simulation.networkFaults.holdMessages(
+        message -> {
+          String[] part = message.split(" ");
+          return inside.contains(part[0]) != inside.contains(part[1]) && !part[0].equals("user");
+        });
+    return simulation.networkFaults::releaseHeldMessages;
+  }
+
+  private static Runnable stateOutage(ClusterSimulation simulation, Random random) {
+    simulation.stateService.setOutage(true);
+    return () -> simulation.stateService.setOutage(false);
+  }
+
+  private static Runnable stateRefusesOne(ClusterSimulation simulation, Random random) {
+    simulation.stateService.refusedControllers.add(anyController(simulation, random));
+    return simulation.stateService.refusedControllers::clear;
+  }
+
+  private static Runnable stateSlow(ClusterSimulation simulation, Random random) {
+    simulation.stateService.replyDelaySeconds = 0.1 + 0.3 * random.nextDouble();
+    return () -> simulation.stateService.replyDelaySeconds = 0;
+  }
+
+  private static Runnable stateWritesLate(ClusterSimulation simulation, Random random) {
+    simulation.stateService.lateTransactionShare.put(anyController(simulation, random), 0.4);
+    return simulation.stateService.lateTransactionShare::clear;
+  }
+
+  private static Runnable stateAcknowledgementsLost(ClusterSimulation simulation, Random random) {
+    simulation.stateService.lostReplyShare.put(anyController(simulation, random), 0.4);
+    return simulation.stateService.lostReplyShare::clear;
+  }
+
+  private static Runnable cloudOutage(ClusterSimulation simulation, Random random) {
+    simulation.cloud.unavailable = true;
+    return () -> simulation.cloud.unavailable = false;
+  }
+
+  private static Runnable reclaimSpot(ClusterSimulation simulation, Random random) {
+    for (FakeWorker worker : workers(simulation)) {
+      if (worker.isSpot() && random.nextBoolean()) {
+        worker.preemptionNoticeSeconds = RECLAIM_NOTICE_SECONDS;
+        simulation.runAfter(RECLAIM_NOTICE_SECONDS, () -> destroy(simulation, worker));
+      }
+    }
+    return HEALS_BY_ITSELF;
+  }
+
+  private static Runnable loseMachine(ClusterSimulation simulation, Random random) {
+    someWorkers(simulation, random, 1).forEach(worker -> destroy(simulation, worker));
+    return HEALS_BY_ITSELF;
+  }
+
+  private static void destroy(ClusterSimulation simulation, FakeWorker worker) {
+    simulation.cloud.workers.remove(worker.id);
+    worker.destroy();
+  }
+
+  private static Runnable partitionWorkers(ClusterSimulation simulation, Random random) {
+    List<FakeWorker> partitioned = someWorkers(simulation, random, 1 + random.nextInt(3));
+    partitioned.forEach(worker -> simulation.networkFaults.partitionHost(worker.id));
+    return () -> partitioned.forEach(worker -> simulation.networkFaults.healHost(worker.id));
+  }
+
+  private static Runnable partitionTowardsWorker(ClusterSimulation simulation, Random random) {
+    List<FakeWorker> partitioned = someWorkers(simulation, random, 1);
+    partitioned.forEach(worker -> worker.inboundCut = true);
+    return () -> partitioned.forEach(worker -> worker.inboundCut = false);
+  }
+
+  private static Runnable hang(ClusterSimulation simulation, Random random) {
+    someWorkers(simulation, random, 2)
+        .forEach(worker -> worker.hangFor(3 + 12 * random.nextDouble()));
+    return HEALS_BY_ITSELF;
+  }
+
+  private static Runnable makeFaulty(ClusterSimulation simulation, Random random) {
+    List<FakeWorker> faulty = someWorkers(simulation, random, 1);
+    faulty.forEach(worker -> worker.failsEveryTask = true);
+    return () -> faulty.forEach(worker -> worker.failsEveryTask = false);
+  }
+
+  private static Runnable repeatHeartbeats(ClusterSimulation simulation, Random random) {
+    for (FakeWorker worker : someWorkers(simulation, random, 4)) {
+      for (int i = 0; i < 10; i++) {
+        simulation.runAfter(i, () -> repeatAnyHeartbeat(simulation, random, worker));
+      }
+    }
+    return HEALS_BY_ITSELF;
+  }
+
+  private static void repeatAnyHeartbeat(
+      ClusterSimulation simulation, Random random, FakeWorker worker) {
+    if (worker.sentReportCount() > 0) {
+      worker.resendReport(
+          random.nextInt(worker.sentReportCount()), anyController(simulation, random));
+    }
+  }
+
+  private static Runnable delayHeartbeats(ClusterSimulation simulation, Random random) {
+    Set<String> delayed =
+        someWorkers(simulation, random, 3).stream()
+            .map(worker -> worker.id)
+            .collect(Collectors.toSet());
+    simulation.networkFaults.holdMessages(
+        message -> message.contains(HEARTBEAT) && delayed.contains(message.split(" ")[0]));
+    return simulation.networkFaults::releaseHeldMessages;
+  }
+
+  private static Runnable delayCommands(ClusterSimulation simulation, Random random) {
+    simulation.networkFaults.holdMessages(message -> message.contains(" POST /orders"));
+    return simulation.networkFaults::releaseHeldMessages;
+  }
+}
--- /dev/null
+++ b/src/test/java/io/violetrail/stories/FleetFailoverTest.java
@@ -0,0 +1,152 @@
+package io.violetrail.stories;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.violetrail.config.Settings.StateStoreLimits;
+import io.violetrail.controller.Controller;
+import io.violetrail.fakes.ClusterSimulation;
+import io.violetrail.fakes.FakeWorker;
+import io.violetrail.fakes.SimulatedUser;
+import io.violetrail.wire.Cbor;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** A thousand machines, and one controller that is left to carry them. */
+class FleetFailoverTest {
+  private static final int MACHINE_COUNT = 1_000;
+  private final ClusterSimulation simulation = new ClusterSimulation(3, 11);
+  private final SimulatedUser user = new SimulatedUser(simulation);
+
+  @AfterEach
+  void assertNoViolations() {
+    assertEquals(List.of(), simulation.violations);
+  }
+
+  private List<String> submitBatches(int jobCount, int taskCount) {
+    List<String> ids = new ArrayList<>();
+    for (int i = 0; i < jobCount; i++) {
+      String id = "job-" + taskCount + i;
+      ids.add(id);
+      String controller =
+          simulation.controllers.containsKey(ClusterSimulation.controllerName(i % 3))
+              ? ClusterSimulation.controllerName(i % 3)
+              : "c2";
+      simulation.callController(
+          "user",
+          controller,
+          "POST",
+          "/work",
+          Cbor.encode(SimulatedUser.jobRequest(id, taskCount)));
+    }
+    return ids;
+  }
+
+  private long machinesExamined() {
+    return simulation.controllers.values().stream().mapToLong(n -> n.machinesExamined()).sum();
+  }
+
+  @Test
+  void lastControllerServesAThousandMachinesAfterFailover() {
+    simulation.stateLimits = new StateStoreLimits(500, 60, 8192, 24);
+    simulation.cloud.capacity = MACHINE_COUNT;
+    simulation.startAllControllers();
+    for (int i = 0; i < MACHINE_COUNT; i++) {
+      simulation.cloud.addRunningMachine("plain", i % 2 == 0 ? "a" : "b");
+    }
+    simulation.runFor(30);
+    final List<String> firstJobs = submitBatches(6, 1_500);
+    simulation.runFor(4);
+    final int writesBefore = simulation.stateService.writeCount;
+    simulation.killController("c0");
+    simulation.killController("c1");
+    // Every worker hears a valid term within its lease, before all jobs and machines are settled.
+    simulation.runUntil(
+        30, () -> simulation.controllers.get("c2").membership().ownedEntities().size() == 3);
+    simulation.runFor(20);
+    long expiredLeases =
+        simulation.cloud.workers.values().stream().mapToLong(FakeWorker::expiredLeaseCount).sum();
+    assertEquals(0, expiredLeases, "leases lost");
+    Controller lastController = simulation.controllers.get("c2");
+    assertTrue(
+        lastController.membership().ownedEntities().stream().allMatch(h -> h.isActive()),
+        "all entities are served");
+    // A takeover is a move for each entity, and nothing for each machine.
+    int writesOfFailover = simulation.stateService.writeCount - writesBefore;
+    assertTrue(
+        writesOfFailover < MACHINE_COUNT / 4,
+        "writes of the takeover and its progress: " + writesOfFailover);
+    long examinedBefore = machinesExamined();
+    List<String> secondJobs = submitBatches(4, 1_500);
+    for (String id : secondJobs) {
+      simulation.runUntil(200, () -> user.pollStatus("c2", id).equals("done"));
+    }
+    for (String id : firstJobs) {
+      simulation.runUntil(200, () -> user.pollStatus("c2", id).equals("done"));
+    }
+    long examinedPerTask = (machinesExamined() - examinedBefore) / (4 * 1_500);
+    assertTrue(examinedPerTask < 25, "machines looked at for each task: " + examinedPerTask);
+  }
+
+  /**
+   * It stands still for longer than its lease, at moments drawn across its renewals, launches and
+   * writes, and goes on in mid-step with all that waited for it.
+   */
+  @Test
+  void controllerFrozenPastItsLeaseActsOnNoStaleDecision() {
+    for (int step = 0; step < 25; step++) {
+      ClusterSimulation frozenSimulation = new ClusterSimulation(3, 31 + step);
+      frozenSimulation.cloud.capacity = 12;
+      frozenSimulation.startAllControllers();
+      SimulatedUser frozenUser = new SimulatedUser(frozenSimulation);
+      for (int i = 0; i < 6; i++) {
+        frozenUser.submit(
+            ClusterSimulation.controllerName(i % 3), SimulatedUser.jobRequest("job-" + i, 20));
+      }
+      frozenSimulation.runFor(4 + 0.13 * step);
+      var frozen = frozenSimulation.controllers.get("c0");
+      var versionBefore = frozen.membership().findHomeEntity().row().version();
+      // What it had written but not sent leaves only when it goes on, and then comes too late.
+      frozenSimulation.networkFaults.holdMessages(
+          m -> m.startsWith("c0 state POST /txn") || m.startsWith("c0 vm-"));
+      frozenSimulation.runFor(0.02);
+      frozenSimulation.freezeController("c0", 25);
+      frozenSimulation.runFor(25 - 0.05);
+      frozenSimulation.networkFaults.releaseHeldMessages();
+      frozenSimulation.runFor(0.3);
+      // It knows at once that its time was over, before anything that waited is acted upon.
+      assertTrue(
+          frozen.membership().findHomeEntity() == null
+              || frozen.membership().findHomeEntity().row().version().compareTo(versionBefore) > 0,
+          "it still believes in its old version");
+      for (int i = 0; i < 6; i++) {
+        String id = "job-" + i;
+        frozenSimulation.runUntil(300, () -> frozenUser.pollStatus("c1", id).equals("done"));
+      }
+      assertEquals(List.of(), frozenSimulation.violations, "step " + step);
+    }
+  }
+
+  @Test
+  void unreachablePeersCauseNoFailoverWhileTheirLeasesHold() {
+    simulation.startAllControllers();
+    simulation.cloud.capacity = 20;
+    user.submit("c0", SimulatedUser.jobRequest("job-1", 40));
+    var rows =
+        simulation.controllers.get("c1").membership().ownedEntities().stream()
+            .map(h -> h.row())
+            .toList();
+    simulation.networkFaults.holdMessages(m -> m.matches("c[0-2] c[0-2] .*"));
+    simulation.runFor(60);
+    simulation.networkFaults.releaseHeldMessages();
+    assertEquals(
+        rows,
+        simulation.controllers.get("c1").membership().ownedEntities().stream()
+            .map(h -> h.row())
+            .toList(),
+        "nothing moves to and fro");
+    simulation.runUntil(120, () -> user.pollStatus("c2", "job-1").equals("done"));
+  }
+}
