--- a/src/main/java/io/violetrail/api/JobAdmission.java
+++ b/src/main/java/io/violetrail/api/JobAdmission.java
@@ -25,8 +25,8 @@
   private final Membership membership;
   private final Configuration configuration;
   private final MachineTypes machineTypes;
-  private final JobLifecycle jobs;
-  private final JobTracer traces;
+  private final JobLifecycle jobLifecycle;
+  private final JobTracer jobTracer;
 
   /** Stores what it accepts as jobs of this controller's own entity. */
   public JobAdmission(
@@ -34,14 +34,14 @@
       Membership membership,
       Configuration configuration,
       MachineTypes machineTypes,
-      JobLifecycle jobs,
-      JobTracer traces) {
+      JobLifecycle jobLifecycle,
+      JobTracer jobTracer) {
     this.store = store;
     this.membership = membership;
     this.configuration = configuration;
     this.machineTypes = machineTypes;
-    this.jobs = jobs;
-    this.traces = traces;
+    this.jobLifecycle = jobLifecycle;
+    this.jobTracer = jobTracer;
   }
 
   /** What became of a job. */
@@ -67,9 +67,9 @@
 
   /** Takes the job in, with a row of its own if one is given. */
   public CompletableFuture<Decision> admit(JobSpec spec, CoWrittenRow coWrittenRow) {
-    traces.submissionStarted(spec.id());
+    jobTracer.submissionStarted(spec.id());
     return decideAdmission(spec, coWrittenRow)
-        .whenComplete((d, failure) -> traces.submissionDecided(spec.id(), d.verdict().name()));
+        .whenComplete((d, failure) -> jobTracer.submissionDecided(spec.id(), d.verdict().name()));
   }
 
   private CompletableFuture<Decision> decideAdmission(JobSpec spec, CoWrittenRow coWrittenRow) {
@@ -83,11 +83,12 @@
       return rejectUnlessStored(spec, impossibleReason);
     }
     if (ownedEntity.jobs().size() >= MAX_OPEN_JOBS
-        || store.isOverloaded(jobs.pendingSubmissionCount(ownedEntity))) {
+        || store.isOverloaded(jobLifecycle.pendingSubmissionCount(ownedEntity))) {
       // Said at once: who waits in vain for a place in the queue comes back later than who is told.
       return retryLater("too many jobs at once");
     }
-    return jobs.store(ownedEntity, spec, coWrittenRow)
+    return jobLifecycle
+        .store(ownedEntity, spec, coWrittenRow)
         .handle(
             (stored, failure) -> {
               if (failure != null) {
@@ -121,7 +122,8 @@
 
   /** A job that was accepted once is never refused, even if a check would now fail. */
   private CompletableFuture<Decision> rejectUnlessStored(JobSpec spec, String reason) {
-    return jobs.lookUp(spec.id())
+    return jobLifecycle
+        .lookUp(spec.id())
         .handle(
             (found, failure) -> {
               if (failure != null) {
--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -50,10 +50,10 @@
   private final StateStoreLimits limits;
   private final Membership membership;
   private final PendingQueues pendingQueues;
-  private final ServiceLevelObjectives aims;
-  private final WarmCapacity spares;
+  private final ServiceLevelObjectives serviceLevelObjectives;
+  private final WarmCapacity warmCapacity;
   private final TaskStopper taskStopper;
-  private final JobTracer traces;
+  private final JobTracer jobTracer;
   private final Map<OwnedEntity, JobProgressStore> progressStores = new HashMap<>();
   private final Map<OwnedEntity, JobStore> jobStores = new HashMap<>();
   private final Cache<JobId, KnownJob> finishedJobs =
@@ -80,18 +80,18 @@
       Membership membership,
       PendingQueues pendingQueues,
       ServiceLevelObjectives objectives,
-      WarmCapacity spares,
+      WarmCapacity warmCapacity,
       TaskStopper taskStopper,
-      JobTracer traces) {
+      JobTracer jobTracer) {
     this.loop = loop;
     this.store = store;
     this.limits = limits;
     this.membership = membership;
     this.pendingQueues = pendingQueues;
-    this.aims = objectives;
-    this.spares = spares;
+    this.serviceLevelObjectives = objectives;
+    this.warmCapacity = warmCapacity;
     this.taskStopper = taskStopper;
-    this.traces = traces;
+    this.jobTracer = jobTracer;
     this.lookupCoalescer =
         new RequestCoalescer<>(id -> readJobRows(id, key -> store.getForUser(key, 2)));
   }
@@ -237,7 +237,11 @@
   private Job createJob(
       JobSpec spec, long arrivedAtMillis, double arrivedAtSeconds, boolean loadedFromStore) {
     return new Job(
-        spec, arrivedAtMillis, arrivedAtSeconds, loadedFromStore, aims.isBestEffort(spec));
+        spec,
+        arrivedAtMillis,
+        arrivedAtSeconds,
+        loadedFromStore,
+        serviceLevelObjectives.isBestEffort(spec));
   }
 
   /**
@@ -267,7 +271,7 @@
                 // and a job that was not taken up would never run.
                 if (entity.phase() != OwnedEntity.Phase.LOST) {
                   entity.addJobIfAbsent(createJob(spec, nowMillis, nowSeconds, false));
-                  spares.recordArrival(spec, nowSeconds);
+                  warmCapacity.recordArrival(spec, nowSeconds);
                   pendingQueues.jobsChanged(entity);
                 }
                 LOG.info(
@@ -391,7 +395,7 @@
         entity.id(),
         job.spec().taskResources());
     LOG.info("job {} of entity {} is {}", job.spec().id(), entity.id(), status);
-    traces.jobEnded(job.spec().id(), status);
+    jobTracer.jobEnded(job.spec().id(), status);
     stopTasks(entity, job);
     if (job.hasNoPlacements()) {
       entity.removeJob(job);
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -9,12 +9,12 @@
 /** What this controller can say of a job's state from its own memory, for users and peers. */
 public final class JobStateLookup {
   private final Membership membership;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
 
   /** Looks in the entities owned here, and among the ended jobs that are remembered. */
-  public JobStateLookup(Membership membership, JobLifecycle jobs) {
+  public JobStateLookup(Membership membership, JobLifecycle jobLifecycle) {
     this.membership = membership;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
   }
 
   /**
@@ -26,7 +26,7 @@
    * told the same user "cancelled"; now whoever asks gets what the rows say.
    */
   public JobView knownView(JobId id) {
-    JobView ended = jobs.findTerminalView(id);
+    JobView ended = jobLifecycle.findTerminalView(id);
     if (ended != null || !membership.isLeaseValid()) {
       return ended;
     }
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -38,14 +38,14 @@
   /** Reads what it shows from the given parts whenever it is asked for. */
   public Metrics(
       EventLoop loop,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       Configuration configuration,
       EvidenceLog evidence) {
     this.loop = loop;
     registerGauge("lease.valid", membership, m -> m.isLeaseValid() ? 1 : 0);
     registerGauge("lease.remaining.s", membership, Membership::remainingLeaseSeconds);
-    registerGauge("rows.revision", directory, ClusterView::revision);
+    registerGauge("rows.revision", clusterView, ClusterView::revision);
     configurationGauges(configuration);
     evidenceGauges(evidence);
     entityGauges(membership);
--- a/src/main/java/io/violetrail/api/Readiness.java
+++ b/src/main/java/io/violetrail/api/Readiness.java
@@ -25,9 +25,9 @@
    * Whether requests of users can be taken: the own entity is here, and its lease at most lapsing.
    */
   public boolean isReady() {
-    OwnedEntity own = membership.findHomeEntity();
-    return own != null
-        && own.isActive()
+    OwnedEntity ownEntity = membership.findHomeEntity();
+    return ownEntity != null
+        && ownEntity.isActive()
         && membership.mayKeepWorkersAlive()
         && !machineTypes.isEmpty();
   }
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -41,16 +41,16 @@
 
   private final EventLoop loop;
   private final Settings settings;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final PeerJobViews peerJobViews;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
-  private final JobAdmission intake;
-  private final HeartbeatHandler heartbeats;
+  private final JobAdmission jobAdmission;
+  private final HeartbeatHandler heartbeatHandler;
   private final Readiness readinessBody;
-  private final JobTracer traces;
+  private final JobTracer jobTracer;
   private final Metrics metrics;
 
   /** Serves the paths of what is off unless it is switched on; answers 404 if nothing is. */
@@ -60,29 +60,29 @@
   public UserApi(
       EventLoop loop,
       Settings settings,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
-      PeerClient peers,
+      PeerClient peerClient,
       PeerJobViews peerJobViews,
-      JobLifecycle jobs,
+      JobLifecycle jobLifecycle,
       JobStateLookup jobStates,
-      JobAdmission intake,
-      HeartbeatHandler heartbeats,
+      JobAdmission jobAdmission,
+      HeartbeatHandler heartbeatHandler,
       Readiness readiness,
-      JobTracer traces,
+      JobTracer jobTracer,
       Metrics metrics) {
     this.loop = loop;
     this.settings = settings;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.peerJobViews = peerJobViews;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.jobStates = jobStates;
-    this.intake = intake;
-    this.heartbeats = heartbeats;
+    this.jobAdmission = jobAdmission;
+    this.heartbeatHandler = heartbeatHandler;
     this.readinessBody = readiness;
-    this.traces = traces;
+    this.jobTracer = jobTracer;
     this.metrics = metrics;
   }
 
@@ -108,7 +108,9 @@
     boolean isGet = "GET".equals(method);
     if (path.equals("/agent/beat")) {
       requireMethod(
-          isPost, respond, () -> heartbeats.handle(body, metrics.recordLatency("beat", respond)));
+          isPost,
+          respond,
+          () -> heartbeatHandler.handle(body, metrics.recordLatency("beat", respond)));
     } else if (path.equals("/ready")) {
       requireMethod(
           isGet,
@@ -148,9 +150,11 @@
                   metrics.recordLatency("poll", answerWithin(QUERY_TIMEOUT_SECONDS, respond))));
     } else if (path.equals("/metrics")) {
       requireMethod(isGet, respond, () -> respond.accept(HttpAnswer.text(metrics.render())));
-    } else if (path.equals("/traces") && traces != JobTracer.NO_OP) {
+    } else if (path.equals("/traces") && jobTracer != JobTracer.NO_OP) {
       requireMethod(
-          isGet, respond, () -> respond.accept(HttpAnswer.text(traces.finishedSpansAsJsonLines())));
+          isGet,
+          respond,
+          () -> respond.accept(HttpAnswer.text(jobTracer.finishedSpansAsJsonLines())));
     } else {
       optionalService.handle(method, target, body, respond);
     }
@@ -196,7 +200,8 @@
           JobId.isWellFormed(map.path("name_id").asText(null))
               ? new JobId(map.get("name_id").asText())
               : null;
-      if (id != null && (jobs.findTerminalView(id) != null || jobs.findEntityOf(id) != null)) {
+      if (id != null
+          && (jobLifecycle.findTerminalView(id) != null || jobLifecycle.findEntityOf(id) != null)) {
         answerKnown(id, respond);
         return;
       }
@@ -209,7 +214,7 @@
       answerMalformed(id, exception.getMessage(), respond);
       return;
     }
-    intake
+    jobAdmission
         .admit(spec, null)
         .thenAccept(
             decision -> {
@@ -237,7 +242,8 @@
       respond.accept(HttpAnswer.error(400, reason));
       return;
     }
-    jobs.lookUp(id)
+    jobLifecycle
+        .lookUp(id)
         .whenComplete(
             (found, failure) -> {
               if (failure != null) {
@@ -285,7 +291,7 @@
     if (localView != null) {
       return CompletableFuture.completedFuture(localView);
     }
-    ControllerId entity = jobs.findEntityOf(id);
+    ControllerId entity = jobLifecycle.findEntityOf(id);
     if (entity == null) {
       // After a start nothing is known of all the jobs that users ask about. With a read for each
       // in the state service's budget, some were not answered for minutes.
@@ -304,7 +310,8 @@
   }
 
   private CompletableFuture<JobView> viewFromStore(JobId id) {
-    return jobs.lookUp(id)
+    return jobLifecycle
+        .lookUp(id)
         .thenCompose(
             found -> {
               if (found.openAtEntity() == null) {
@@ -319,7 +326,7 @@
     CompletableFuture<JobView> first = new CompletableFuture<>();
     List<CompletableFuture<JobView>> peerViews =
         settings.peers().keySet().stream()
-            .filter(directory::isAlive)
+            .filter(clusterView::isAlive)
             .map(p -> peerJobViews.view(p, id))
             .toList();
     peerViews.forEach(f -> f.thenAccept(first::complete));
@@ -331,7 +338,8 @@
   }
 
   private CompletableFuture<JobView> storedView(JobId id) {
-    return jobs.lookUp(id)
+    return jobLifecycle
+        .lookUp(id)
         .thenApply(found -> found.view() != null ? found.view() : found.storedView());
   }
 
@@ -345,8 +353,8 @@
 
   /** The peer that owns the entity and is alive; null if there is none. */
   private ControllerId findPeerOwning(ControllerId entity) {
-    ControllerId owner = directory.findLatestOwner(entity);
-    boolean peer = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
+    ControllerId owner = clusterView.findLatestOwner(entity);
+    boolean peer = owner != null && !owner.equals(settings.self()) && clusterView.isAlive(owner);
     return peer ? owner : null;
   }
 
@@ -356,23 +364,23 @@
       return;
     }
     JobId id = new JobId(idText);
-    JobView finalView = jobs.findTerminalView(id);
+    JobView finalView = jobLifecycle.findTerminalView(id);
     if (finalView != null) {
       respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(finalView)));
       return;
     }
     OwnedEntity entity = jobStates.entityOfOpenJob(id);
     if (entity != null && membership.isLeaseValid()) {
-      answerCancellation(jobs.cancel(entity, entity.jobs().get(id)), respond);
+      answerCancellation(jobLifecycle.cancel(entity, entity.jobs().get(id)), respond);
       return;
     }
-    ControllerId entityId = jobs.findEntityOf(id);
+    ControllerId entityId = jobLifecycle.findEntityOf(id);
     ControllerId owner = entityId == null ? null : findPeerOwning(entityId);
     if (owner == null) {
       cancelByStoredRows(id, respond);
       return;
     }
-    peers
+    peerClient
         .cancel(owner, id)
         .whenComplete(
             (view, failure) -> {
@@ -386,7 +394,8 @@
   }
 
   private void cancelByStoredRows(JobId id, Consumer<HttpAnswer> respond) {
-    jobs.lookUp(id)
+    jobLifecycle
+        .lookUp(id)
         .whenComplete(
             (found, failure) -> {
               if (failure != null) {
@@ -396,11 +405,11 @@
               } else if (found.view() != null) {
                 respond.accept(HttpAnswer.of(200, JobMessages.viewMessage(found.view())));
               } else {
-                ControllerId owner = directory.findLatestOwner(found.openAtEntity());
+                ControllerId owner = clusterView.findLatestOwner(found.openAtEntity());
                 if (owner == null || owner.equals(settings.self())) {
                   respond.accept(HttpAnswer.unavailable("the job's owner is not ready"));
                 } else {
-                  answerCancellation(peers.cancel(owner, id), respond);
+                  answerCancellation(peerClient.cancel(owner, id), respond);
                 }
               }
             });
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -58,8 +58,8 @@
   private final StateStore store;
   private final Membership membership;
   private final MachineTypes machineTypes;
-  private final JobAdmission intake;
-  private final ScheduleRegistry schedules;
+  private final JobAdmission jobAdmission;
+  private final ScheduleRegistry scheduleRegistry;
 
   /** Serves what is stored, and what the schedules here know. */
   public ScheduleApi(
@@ -69,16 +69,16 @@
       StateStore store,
       Membership membership,
       MachineTypes machineTypes,
-      JobAdmission intake,
-      ScheduleRegistry schedules) {
+      JobAdmission jobAdmission,
+      ScheduleRegistry scheduleRegistry) {
     this.loop = loop;
     this.random = random;
     this.settings = settings;
     this.store = store;
     this.membership = membership;
     this.machineTypes = machineTypes;
-    this.intake = intake;
-    this.schedules = schedules;
+    this.jobAdmission = jobAdmission;
+    this.scheduleRegistry = scheduleRegistry;
   }
 
   /** Whether a path is served here. */
@@ -161,9 +161,11 @@
   }
 
   private void validateDefinition(ObjectNode json) throws InvalidDefinitionException {
-    ScheduleDefinition definition = ScheduleDefinition.parse(json);
-    definition.validate(Instant.ofEpochMilli(loop.wallMillis()), schedules.dayCalendar());
-    String reasonNeverRuns = intake.findImpossibleReason(definition.toJobSpec(new JobId("job-0")));
+    ScheduleDefinition scheduleDefinition = ScheduleDefinition.parse(json);
+    scheduleDefinition.validate(
+        Instant.ofEpochMilli(loop.wallMillis()), scheduleRegistry.dayCalendar());
+    String reasonNeverRuns =
+        jobAdmission.findImpossibleReason(scheduleDefinition.toJobSpec(new JobId("job-0")));
     if (reasonNeverRuns != null) {
       throw new InvalidDefinitionException(422, "job", "it can never run: " + reasonNeverRuns);
     }
@@ -185,14 +187,14 @@
       throw new InvalidDefinitionException(
           400, "name", "must be lower case letters, digits and hyphens, at most 63");
     }
-    String closedReason = intake.findClosedReason();
-    if (!schedules.isReady() || closedReason != null) {
+    String closedReason = jobAdmission.findClosedReason();
+    if (!scheduleRegistry.isReady() || closedReason != null) {
       responder.accept(
           errorAnswer(503, closedReason == null ? "the schedules are not read yet" : closedReason));
       return;
     }
     OwnedEntity ownEntity = membership.findHomeEntity();
-    if (schedules.scheduleCount() >= MAX_SCHEDULES) {
+    if (scheduleRegistry.scheduleCount() >= MAX_SCHEDULES) {
       responder.accept(errorAnswer(429, "there are " + MAX_SCHEDULES + " schedules already"));
       return;
     }
@@ -481,7 +483,7 @@
   private void listReports(Consumer<HttpAnswer> responder) {
     ObjectNode json = Cbor.newMap();
     ArrayNode reports = json.putArray("reports");
-    for (ScheduleRow row : schedules.findSchedulesWithOpenReports()) {
+    for (ScheduleRow row : scheduleRegistry.findSchedulesWithOpenReports()) {
       for (Run run : row.openRuns()) {
         if (run.hasOpenReport()) {
           reports.add(runToJson(row, run).put("schedule", row.name()));
@@ -501,7 +503,8 @@
           row.isPaused()
               ? null
               : ScheduleDefinition.parse(row.definition())
-                  .findNextDue(Instant.ofEpochMilli(row.cursorMillis()), schedules.dayCalendar());
+                  .findNextDue(
+                      Instant.ofEpochMilli(row.cursorMillis()), scheduleRegistry.dayCalendar());
       json.put("next", next == null ? null : next.toString());
     } catch (InvalidDefinitionException exception) {
       json.put("error", exception.getMessage());
@@ -537,7 +540,7 @@
     Transaction transaction = new Transaction();
     switch (method) {
       case "GET" -> {
-        var dates = schedules.dayCalendar().findNamedDays(name);
+        var dates = scheduleRegistry.dayCalendar().findNamedDays(name);
         if (dates == null) {
           responder.accept(errorAnswer(404, "no days are kept under this name"));
         } else {
--- a/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
@@ -113,7 +113,7 @@
     if (!(json.get("job") instanceof ObjectNode job)) {
       throw new InvalidDefinitionException(400, "job", "must be an object");
     }
-    ScheduleDefinition definition =
+    ScheduleDefinition scheduleDefinition =
         new ScheduleDefinition(
             due,
             zone,
@@ -123,8 +123,8 @@
             reportBy,
             OverlapPolicy.valueOf(overlap.toUpperCase(Locale.ROOT)),
             readSeconds(json, "catch_up_s", DEFAULT_CATCH_UP_SECONDS));
-    definition.toJobSpec(new JobId("job-0"));
-    return definition;
+    scheduleDefinition.toJobSpec(new JobId("job-0"));
+    return scheduleDefinition;
   }
 
   private static String readText(JsonNode json, String field, String defaultValue)
--- a/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
@@ -59,8 +59,8 @@
   private final StateStore store;
   private final Membership membership;
   private final MachineTypes machineTypes;
-  private final JobLifecycle jobs;
-  private final RuntimeEstimates estimates;
+  private final JobLifecycle jobLifecycle;
+  private final RuntimeEstimates runtimeEstimates;
   private final PrefixWatcher rowFeed;
   private final Map<String, Set<LocalDate>> namedDays = new HashMap<>();
   private final PublicHolidays holidays = new PublicHolidays();
@@ -84,15 +84,15 @@
       StateStore store,
       Membership membership,
       MachineTypes machineTypes,
-      JobLifecycle jobs,
-      RuntimeEstimates estimates) {
+      JobLifecycle jobLifecycle,
+      RuntimeEstimates runtimeEstimates) {
     this.loop = loop;
     this.settings = settings;
     this.store = store;
     this.membership = membership;
     this.machineTypes = machineTypes;
-    this.jobs = jobs;
-    this.estimates = estimates;
+    this.jobLifecycle = jobLifecycle;
+    this.runtimeEstimates = runtimeEstimates;
     this.rowFeed = new PrefixWatcher(store, loop, KEY_PREFIX, this);
   }
 
@@ -224,7 +224,7 @@
     @Override
     public int availableRunSlots() {
       return entity.isActive() && membership.isLeaseValid()
-          ? MAX_PENDING_RUNS - jobs.pendingSubmissionCount(entity)
+          ? MAX_PENDING_RUNS - jobLifecycle.pendingSubmissionCount(entity)
           : 0;
     }
 
@@ -234,7 +234,8 @@
       int bytes = Cbor.encode(next.value()).length;
       CoWrittenRow companionRow =
           new CoWrittenRow(before.key(), before.modRevision(), next.value(), bytes);
-      return jobs.store(entity, spec, companionRow)
+      return jobLifecycle
+          .store(entity, spec, companionRow)
           .thenCompose(
               stored -> {
                 if (stored.newlyStored() && stored.revision() > 0) {
@@ -282,9 +283,9 @@
       if (job != null && job.phase() != Job.Phase.FINISHED) {
         return job.toView();
       }
-      JobView terminal = jobs.findTerminalView(id);
+      JobView terminal = jobLifecycle.findTerminalView(id);
       if (terminal == null && lookupsInFlight.add(id)) {
-        jobs.lookUp(id).whenComplete((found, failure) -> lookupsInFlight.remove(id));
+        jobLifecycle.lookUp(id).whenComplete((found, failure) -> lookupsInFlight.remove(id));
       }
       return terminal;
     }
@@ -309,7 +310,7 @@
           job.doneCount(),
           running,
           running == 0 ? 0 : totalAgeSeconds / running,
-          estimates.expectedRuntimeSeconds(job.spec()),
+          runtimeEstimates.expectedRuntimeSeconds(job.spec()),
           startDelaySeconds(job.spec()));
     }
 
--- a/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
@@ -100,7 +100,7 @@
 
   private static final class ScheduleState {
     ScheduleRow row;
-    ScheduleDefinition definition;
+    ScheduleDefinition scheduleDefinition;
     long nextDueMillis = Long.MAX_VALUE;
     boolean writeInFlight;
   }
@@ -137,11 +137,13 @@
         schedule.row != null && schedule.row.definition().equals(row.definition());
     schedule.row = row;
     try {
-      schedule.definition =
-          definitionUnchanged ? schedule.definition : ScheduleDefinition.parse(row.definition());
+      schedule.scheduleDefinition =
+          definitionUnchanged
+              ? schedule.scheduleDefinition
+              : ScheduleDefinition.parse(row.definition());
     } catch (ScheduleDefinition.InvalidDefinitionException exception) {
       LOG.error("schedule {} cannot be read: {}", row.name(), exception.getMessage());
-      schedule.definition = null;
+      schedule.scheduleDefinition = null;
     }
     planNextDue(schedule);
     if (!row.openRuns().isEmpty()) {
@@ -158,11 +160,11 @@
 
   private void planNextDue(ScheduleState schedule) {
     schedule.nextDueMillis = Long.MAX_VALUE;
-    if (schedule.definition == null || schedule.row.isPaused()) {
+    if (schedule.scheduleDefinition == null || schedule.row.isPaused()) {
       return;
     }
     Instant next =
-        schedule.definition.findNextDue(
+        schedule.scheduleDefinition.findNextDue(
             Instant.ofEpochMilli(schedule.row.cursorMillis()), dayCalendar.get());
     if (next != null) {
       schedule.nextDueMillis = next.toEpochMilli();
@@ -174,7 +176,7 @@
     dueTimers.add(
         new ScheduleTimer(
             atMillis,
-            schedule.nextDueMillis + (long) (1000 * schedule.definition.deadlineSeconds()),
+            schedule.nextDueMillis + (long) (1000 * schedule.scheduleDefinition.deadlineSeconds()),
             schedule.row.name()));
   }
 
@@ -244,17 +246,17 @@
   /** Settles the next due time: it gets its run, or a reason why not. */
   private void settleNextDue(ScheduleState schedule, long nowMillis) {
     ScheduleRow row = schedule.row;
-    ScheduleDefinition definition = schedule.definition;
-    long oldestDueMillis = nowMillis - (long) (1000 * definition.catchUpSeconds());
+    ScheduleDefinition scheduleDefinition = schedule.scheduleDefinition;
+    long oldestDueMillis = nowMillis - (long) (1000 * scheduleDefinition.catchUpSeconds());
     boolean unfinished = !row.openRuns().isEmpty();
     if (schedule.nextDueMillis < oldestDueMillis) {
       long firstMillis = schedule.nextDueMillis;
       long lastMillis = firstMillis;
       int count = 1;
       for (Instant dueTime =
-              definition.findNextDue(Instant.ofEpochMilli(lastMillis), dayCalendar.get());
+              scheduleDefinition.findNextDue(Instant.ofEpochMilli(lastMillis), dayCalendar.get());
           dueTime != null && dueTime.toEpochMilli() < oldestDueMillis;
-          dueTime = definition.findNextDue(dueTime, dayCalendar.get())) {
+          dueTime = scheduleDefinition.findNextDue(dueTime, dayCalendar.get())) {
         lastMillis = dueTime.toEpochMilli();
         count++;
       }
@@ -267,7 +269,7 @@
                   ScheduleRow.recordSkipped(
                       v, firstMillis, lastSkippedMillis, skippedCount, "too far back")),
           true);
-    } else if (unfinished && definition.overlap() == OverlapPolicy.SKIP) {
+    } else if (unfinished && scheduleDefinition.overlap() == OverlapPolicy.SKIP) {
       long dueMillis = schedule.nextDueMillis;
       writeRow(
           schedule,
@@ -276,7 +278,7 @@
                   ScheduleRow.recordSkipped(
                       v, dueMillis, dueMillis, 1, "the run before is not over")),
           true);
-    } else if (unfinished && definition.overlap() == OverlapPolicy.WAIT
+    } else if (unfinished && scheduleDefinition.overlap() == OverlapPolicy.WAIT
         || row.openRuns().size() >= MAX_OPEN_RUNS) {
       enqueueDue(schedule, nowMillis + RUN_CHECK_INTERVAL_MILLIS);
     } else if (environment.availableRunSlots() <= 0) {
@@ -291,7 +293,7 @@
     long dueMillis = schedule.nextDueMillis;
     JobSpec spec;
     try {
-      spec = schedule.definition.toJobSpec(ScheduleRow.runJobId(before.uid(), dueMillis));
+      spec = schedule.scheduleDefinition.toJobSpec(ScheduleRow.runJobId(before.uid(), dueMillis));
     } catch (ScheduleDefinition.InvalidDefinitionException exception) {
       throw new IllegalStateException(exception);
     }
@@ -333,7 +335,7 @@
       if (stored.modRevision() > schedule.row.modRevision()) {
         applyRow(schedule, next.withModRevision(stored.modRevision()));
       }
-    } else if (schedule.definition != null && schedule.nextDueMillis < Long.MAX_VALUE) {
+    } else if (schedule.scheduleDefinition != null && schedule.nextDueMillis < Long.MAX_VALUE) {
       // If the row was changed, the feed tells how; until then a new try would fail as well.
       enqueueDue(
           schedule,
@@ -351,7 +353,8 @@
     for (Run run : schedule.row.openRuns()) {
       JobId id = ScheduleRow.runJobId(schedule.row.uid(), run.dueMillis());
       JobView view = environment.findJobView(id);
-      long deadlineMillis = run.dueMillis() + (long) (1000 * schedule.definition.deadlineSeconds());
+      long deadlineMillis =
+          run.dueMillis() + (long) (1000 * schedule.scheduleDefinition.deadlineSeconds());
       if (view != null && view.status().isTerminal()) {
         String outcome = view.status().name();
         boolean late = nowMillis > deadlineMillis || !outcome.equals("DONE");
@@ -381,7 +384,7 @@
       ScheduleState schedule, Run run, long nowMillis, long forecastMillis, long deadlineMillis) {
     boolean late = forecastMillis > deadlineMillis;
     long marginMillis =
-        (long) (RECOVERY_MARGIN_FRACTION * 1000 * schedule.definition.deadlineSeconds());
+        (long) (RECOVERY_MARGIN_FRACTION * 1000 * schedule.scheduleDefinition.deadlineSeconds());
     long reportedForecastMillis = run.report() == null ? 0 : run.report().path("done").asLong();
     boolean first = late && !run.hasOpenReport();
     boolean worse =
--- a/src/main/java/io/violetrail/cli/KubernetesCommand.java
+++ b/src/main/java/io/violetrail/cli/KubernetesCommand.java
@@ -161,13 +161,13 @@
     @Override
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
-      ManifestSchema schema = new ManifestSchema();
+      ManifestSchema manifestSchema = new ManifestSchema();
       int found = 0;
       for (ObjectKind candidate : ObjectKind.values()) {
         if (!candidate.publishedName().equals(kind)) {
           continue;
         }
-        for (Field known : schema.listFields(candidate)) {
+        for (Field known : manifestSchema.listFields(candidate)) {
           if (known.path().equals(field) || known.path().startsWith(field)) {
             found++;
             out.println(
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -241,11 +241,11 @@
       UndertowHttpClient http,
       XnioWorker worker,
       DefaultByteBufferPool buffers) {
-    JobTracer traces =
+    JobTracer jobTracer =
         options.maxTraceSpans() == null
             ? JobTracer.NO_OP
             : new OpenTelemetryJobTracer(loop, options.maxTraceSpans());
-    Controller controller = new Controller(settings, options, loop, http, new Random(), traces);
+    Controller controller = new Controller(settings, options, loop, http, new Random(), jobTracer);
     // The first calls are on their way while the servers come up.
     controller.start();
     UndertowServer.start(settings.apiAddress(), controller.api(), loop, worker, buffers);
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -80,12 +80,12 @@
       EventLoop loop,
       StateStore store,
       ClusterView clusterView,
-      LeaseTiming timing) {
+      LeaseTiming leaseTiming) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
     this.clusterView = clusterView;
-    this.pollSeconds = Math.min(MAX_POLL_SECONDS, timing.renewIntervalSeconds());
+    this.pollSeconds = Math.min(MAX_POLL_SECONDS, leaseTiming.renewIntervalSeconds());
     this.content = ClusterConfiguration.fromSettings(settings);
     this.inForceSinceMillis = loop.wallMillis();
   }
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -93,25 +93,25 @@
   private final EventLoop loop;
   private final Random random;
   private final HttpClient http;
-  private final LeaseTiming timing;
+  private final LeaseTiming leaseTiming;
   private final StateStore store;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final Configuration configuration;
   private final MachineTypes machineTypes;
   private final SchedulingLoop schedulingLoop;
-  private final RuntimeEstimates estimates = new RuntimeEstimates();
-  private final PeerClient peers;
-  private final QuotaTransfer quotas;
+  private final RuntimeEstimates runtimeEstimates = new RuntimeEstimates();
+  private final PeerClient peerClient;
+  private final QuotaTransfer quotaTransfer;
   private final TaskStopper taskStopper;
-  private final JobLifecycle jobs;
-  private final JobAdmission intake;
+  private final JobLifecycle jobLifecycle;
+  private final JobAdmission jobAdmission;
   private final EntityMachines entityMachines;
-  private final TaskScheduler dispatcher;
+  private final TaskScheduler taskScheduler;
   private final EntityMaintenance entityMaintenance;
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
   private final EntityRecovery entityRecovery;
-  private final WorkerReachability reachability;
+  private final WorkerReachability workerReachability;
   private final WriteBudgetLending budgetLending;
   private final UserApi api;
   private final PeerService peerService;
@@ -122,7 +122,7 @@
    * @param loop the controller's only thread, and its clocks
    * @param http sends requests to the other programs
    * @param random decides wherever choices are equal
-   * @param traces notes the ways of jobs
+   * @param jobTracer notes the ways of jobs
    */
   public Controller(
       Settings settings,
@@ -130,38 +130,41 @@
       EventLoop loop,
       HttpClient http,
       Random random,
-      JobTracer traces) {
+      JobTracer jobTracer) {
     this.settings = settings;
     this.loop = loop;
     this.http = http;
     this.random = random;
 
     // The state service, and what is known of the common rows.
-    timing = LeaseTiming.from(settings, options.leaseTtlSeconds());
+    leaseTiming = LeaseTiming.from(settings, options.leaseTtlSeconds());
     store = new StateStore(loop, http, settings);
-    directory = new ClusterView(settings);
-    membership = new Membership(settings, loop, store, directory, timing, new MembershipListener());
+    clusterView = new ClusterView(settings);
+    membership =
+        new Membership(settings, loop, store, clusterView, leaseTiming, new MembershipListener());
     configuration =
         options.configurationEnabled()
-            ? new ConfigurationFollower(settings, loop, store, directory, timing)
-            : new FixedConfiguration(settings, directory);
+            ? new ConfigurationFollower(settings, loop, store, clusterView, leaseTiming)
+            : new FixedConfiguration(settings, clusterView);
     EvidenceLog evidence = new EvidenceLog(loop, EVIDENCE::info);
     PeerCodec peerCodec = new PeerCodec();
-    peers = new PeerClient(settings, directory, http, peerCodec);
-    budgetLending = new WriteBudgetLending(settings, loop, store, directory, peers);
+    peerClient = new PeerClient(settings, clusterView, http, peerCodec);
+    budgetLending = new WriteBudgetLending(settings, loop, store, clusterView, peerClient);
 
     // Machines and jobs.
-    machineTypes = new MachineTypes(directory);
+    machineTypes = new MachineTypes(clusterView);
     schedulingLoop = new SchedulingLoop(loop);
     BootTimes bootTimes = new BootTimes();
-    WarmCapacity spares = new WarmCapacity(configuration);
+    WarmCapacity warmCapacity = new WarmCapacity(configuration);
     ServiceLevelObjectives objectives = new ServiceLevelObjectives(configuration);
-    PendingQueues pendingQueues = new PendingQueues(loop, objectives, estimates, schedulingLoop);
+    PendingQueues pendingQueues =
+        new PendingQueues(loop, objectives, runtimeEstimates, schedulingLoop);
     taskStopper = new TaskStopper(loop, membership, http);
-    quotas = new QuotaTransfer(loop, store, directory, membership, settings, configuration);
+    quotaTransfer =
+        new QuotaTransfer(loop, store, clusterView, membership, settings, configuration);
     entityMachines =
-        new EntityMachines(loop, directory, membership, machineTypes, bootTimes, schedulingLoop);
-    jobs =
+        new EntityMachines(loop, clusterView, membership, machineTypes, bootTimes, schedulingLoop);
+    jobLifecycle =
         new JobLifecycle(
             loop,
             store,
@@ -169,47 +172,49 @@
             membership,
             pendingQueues,
             objectives,
-            spares,
+            warmCapacity,
             taskStopper,
-            traces);
-    intake = new JobAdmission(store, membership, configuration, machineTypes, jobs, traces);
+            jobTracer);
+    jobAdmission =
+        new JobAdmission(store, membership, configuration, machineTypes, jobLifecycle, jobTracer);
 
     // Scheduling.
     double heartbeatSeconds = settings.workerTiming().heartbeatIntervalSeconds();
     LongPolls longPolls = new LongPolls(loop, heartbeatSeconds);
     Preemption preemption = new Preemption(taskStopper::enqueueStop);
     MachineDrainer drainer = new MachineDrainer(loop, preemption);
-    BinPacker placer = new BinPacker(objectives, estimates, random, options.placementSampleSize());
+    BinPacker binPacker =
+        new BinPacker(objectives, runtimeEstimates, random, options.placementSampleSize());
     MachineTransfer machineTransfer =
         new MachineTransfer(
-            loop, membership, machineTypes, entityMachines, drainer, quotas, longPolls);
-    TransferRequests transfers =
+            loop, membership, machineTypes, entityMachines, drainer, quotaTransfer, longPolls);
+    TransferRequests transferRequests =
         new TransferRequests(
             loop,
             random,
-            directory,
+            clusterView,
             membership,
             machineTypes,
             pendingQueues,
             objectives,
-            estimates,
-            quotas,
+            runtimeEstimates,
+            quotaTransfer,
             machineTransfer,
-            peers);
-    dispatcher =
+            peerClient);
+    taskScheduler =
         new TaskScheduler(
             loop,
             membership,
             configuration,
             machineTypes,
             pendingQueues,
-            placer,
+            binPacker,
             preemption,
             drainer,
-            quotas,
-            transfers,
+            quotaTransfer,
+            transferRequests,
             longPolls);
-    schedulingLoop.setPass(dispatcher::runPass);
+    schedulingLoop.setPass(taskScheduler::runPass);
     entityMaintenance =
         new EntityMaintenance(
             loop,
@@ -217,74 +222,82 @@
             pendingQueues,
             schedulingLoop,
             new MachineLivenessMonitor(
-                directory, timing, heartbeatSeconds, EntityMaintenance.PERIOD_SECONDS),
+                clusterView, leaseTiming, heartbeatSeconds, EntityMaintenance.PERIOD_SECONDS),
             new GangRepair(taskStopper),
-            jobs);
+            jobLifecycle);
 
     // The fleet.
     CloudClient cloud = new CloudClient(loop, http, settings);
-    ScaleOutRequests hires = new ScaleOutRequests(loop, store, directory, membership, peers, cloud);
-    fleet =
+    ScaleOutRequests scaleOutRequests =
+        new ScaleOutRequests(loop, store, clusterView, membership, peerClient, cloud);
+    autoscaler =
         new Autoscaler(
             loop,
             membership,
-            new MachineTypeRefresh(loop, store, directory, machineTypes, schedulingLoop, cloud),
+            new MachineTypeRefresh(loop, store, clusterView, machineTypes, schedulingLoop, cloud),
             new ScaleIn(
                 settings,
                 options.maxIdleSeconds(),
                 loop,
-                timing,
-                directory,
+                leaseTiming,
+                clusterView,
                 membership,
                 machineTypes,
                 entityMachines,
                 bootTimes,
-                spares,
+                warmCapacity,
                 cloud),
             new ScaleOut(
                 settings,
                 random,
-                directory,
+                clusterView,
                 machineTypes,
                 pendingQueues,
-                placer,
+                binPacker,
                 objectives,
-                estimates,
-                quotas,
+                runtimeEstimates,
+                quotaTransfer,
                 bootTimes,
-                spares,
-                hires),
-            hires,
+                warmCapacity,
+                scaleOutRequests),
+            scaleOutRequests,
             new OrphanedMachines(
-                settings, loop, directory, membership, machineTypes, entityMachines, cloud));
+                settings, loop, clusterView, membership, machineTypes, entityMachines, cloud));
     entityRecovery =
         new EntityRecovery(
-            loop, timing, store, directory, entityMachines, jobs, hires, schedulingLoop);
+            loop,
+            leaseTiming,
+            store,
+            clusterView,
+            entityMachines,
+            jobLifecycle,
+            scaleOutRequests,
+            schedulingLoop);
 
     // Workers' heartbeats.
-    reachability =
-        new WorkerReachability(settings, loop, random, directory, membership, peers, http);
-    LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobs, evidence);
-    CommandWriter commandWriter = new CommandWriter(configuration, traces, evidence);
+    workerReachability =
+        new WorkerReachability(settings, loop, random, clusterView, membership, peerClient, http);
+    LeaseRenewal leaseRenewal = new LeaseRenewal(membership, jobLifecycle, evidence);
+    CommandWriter commandWriter = new CommandWriter(configuration, jobTracer, evidence);
     ReportReconciler reconciler =
-        new ReportReconciler(jobs, estimates, new TaskFailureHandler(loop));
-    HeartbeatHandler heartbeats =
+        new ReportReconciler(jobLifecycle, runtimeEstimates, new TaskFailureHandler(loop));
+    HeartbeatHandler heartbeatHandler =
         new HeartbeatHandler(
             loop,
-            directory,
+            clusterView,
             membership,
             entityMachines,
-            reachability,
+            workerReachability,
             longPolls,
             new LastHeartbeats(loop, evidence, heartbeatSeconds),
-            new WorkerRouter(settings, loop, timing, directory, membership),
-            new MachineAdoption(loop, directory, membership, machineTypes),
+            new WorkerRouter(settings, loop, leaseTiming, clusterView, membership),
+            new MachineAdoption(loop, clusterView, membership, machineTypes),
             new OwnedMachineHeartbeat(
                 loop,
-                timing,
+                leaseTiming,
                 membership,
                 entityMachines,
-                dispatcher,
+                taskScheduler,
                 drainer,
                 schedulingLoop,
                 reconciler,
@@ -294,31 +307,31 @@
             commandWriter);
 
     // What is served.
-    JobStateLookup jobStates = new JobStateLookup(membership, jobs);
+    JobStateLookup jobStates = new JobStateLookup(membership, jobLifecycle);
     api =
         new UserApi(
             loop,
             settings,
-            directory,
+            clusterView,
             membership,
-            peers,
-            new PeerJobViews(peers, jobs),
-            jobs,
+            peerClient,
+            new PeerJobViews(peerClient, jobLifecycle),
+            jobLifecycle,
             jobStates,
-            intake,
-            heartbeats,
+            jobAdmission,
+            heartbeatHandler,
             new Readiness(membership, machineTypes, configuration),
-            traces,
-            new Metrics(loop, directory, membership, configuration, evidence));
+            jobTracer,
+            new Metrics(loop, clusterView, membership, configuration, evidence));
     peerService =
         new PeerService(
             membership,
             configuration,
-            jobs,
+            jobLifecycle,
             jobStates,
-            reachability,
-            transfers,
-            hires,
+            workerReachability,
+            transferRequests,
+            scaleOutRequests,
             budgetLending,
             peerCodec);
   }
@@ -330,12 +343,13 @@
     configuration.addChangeListener(this::configurationChanged);
     if (configuration.canChange()) {
       loop.scheduleWithFixedDelay(
-          RETURN_EXCESS_PERIOD_SECONDS, () -> quotas.returnExcess(membership.ownedEntities()));
+          RETURN_EXCESS_PERIOD_SECONDS,
+          () -> quotaTransfer.returnExcess(membership.ownedEntities()));
     }
     budgetLending.start();
     entityMaintenance.start();
-    fleet.start();
-    reachability.start();
+    autoscaler.start();
+    workerReachability.start();
     taskStopper.start();
     loop.scheduleWithFixedDelay(ANNOUNCE_PERIOD_SECONDS, this::announceSeizedEntities);
   }
@@ -352,11 +366,20 @@
 
   /** Serves and fires schedules. */
   public void serveSchedules() {
-    ScheduleRegistry schedules =
-        new ScheduleRegistry(loop, settings, store, membership, machineTypes, jobs, estimates);
-    schedules.start();
+    ScheduleRegistry scheduleRegistry =
+        new ScheduleRegistry(
+            loop, settings, store, membership, machineTypes, jobLifecycle, runtimeEstimates);
+    scheduleRegistry.start();
     ScheduleApi scheduleApi =
-        new ScheduleApi(loop, random, settings, store, membership, machineTypes, intake, schedules);
+        new ScheduleApi(
+            loop,
+            random,
+            settings,
+            store,
+            membership,
+            machineTypes,
+            jobAdmission,
+            scheduleRegistry);
     api.addOptionalService(others -> scheduleApi);
   }
 
@@ -381,12 +404,12 @@
             random,
             settings,
             store,
-            directory,
+            clusterView,
             membership,
             configuration,
             machineTypes,
-            jobs,
-            intake,
+            jobLifecycle,
+            jobAdmission,
             http,
             port);
     kubernetes.start();
@@ -400,7 +423,7 @@
 
   /** What is known here of the common rows, for tests. */
   public ClusterView directory() {
-    return directory;
+    return clusterView;
   }
 
   /** The teams and objectives that this controller goes by, for tests. */
@@ -410,7 +433,7 @@
 
   /** Whether workers are heard here, for tests. */
   public WorkerReachability reachability() {
-    return reachability;
+    return workerReachability;
   }
 
   /** What the controller was started with, for tests. */
@@ -420,12 +443,12 @@
 
   /** Machines examined for placement so far, a measure of what that costs. */
   public long machinesExamined() {
-    return dispatcher.machinesExamined();
+    return taskScheduler.machinesExamined();
   }
 
   private void configurationChanged() {
-    quotas.revokeUnsentPlacements(membership.ownedEntities());
-    quotas.returnExcess(membership.ownedEntities());
+    quotaTransfer.revokeUnsentPlacements(membership.ownedEntities());
+    quotaTransfer.returnExcess(membership.ownedEntities());
     schedulingLoop.requestPass();
   }
 
@@ -433,7 +456,7 @@
   private CompletableFuture<List<ConfigurationState>> configurationStates() {
     List<CompletableFuture<ConfigurationState>> all = new ArrayList<>();
     all.add(CompletableFuture.completedFuture(configuration.findState()));
-    all.addAll(peers.configurationStates());
+    all.addAll(peerClient.configurationStates());
     return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
         .thenApply(nothing -> all.stream().map(CompletableFuture::join).toList());
   }
@@ -446,8 +469,8 @@
     for (OwnedEntity entity : membership.ownedEntities()) {
       double ownedSeconds = loop.monotonicSeconds() - entity.acquiredAtSeconds();
       if (!entity.acquiredGracefully()
-          && ownedSeconds < timing.ttlSeconds() + timing.keepAliveGraceSeconds()) {
-        peers.announce(entity);
+          && ownedSeconds < leaseTiming.ttlSeconds() + leaseTiming.keepAliveGraceSeconds()) {
+        peerClient.announce(entity);
       }
     }
   }
@@ -455,13 +478,13 @@
   private final class MembershipListener implements Membership.Listener {
     @Override
     public void onEntityAcquired(OwnedEntity entity) {
-      peers.announce(membership.ownedEntities());
+      peerClient.announce(membership.ownedEntities());
       entityRecovery.recover(entity);
     }
 
     @Override
     public void onEntityLost(OwnedEntity entity) {
-      peers.announce(membership.ownedEntities());
+      peerClient.announce(membership.ownedEntities());
     }
 
     /** Machines may have been passed over to an entity owned here. */
@@ -473,12 +496,12 @@
 
     @Override
     public boolean isCutOffFromWorkers() {
-      return reachability.isPartitionedFromWorkers();
+      return workerReachability.isPartitionedFromWorkers();
     }
 
     @Override
     public void requestHandback(ControllerId owner) {
-      peers.askBack(owner);
+      peerClient.askBack(owner);
     }
   }
 }
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -27,30 +27,30 @@
   private static final double RETRY_MACHINE_TYPES_SECONDS = 0.3;
 
   private final EventLoop loop;
-  private final LeaseTiming timing;
+  private final LeaseTiming leaseTiming;
   private final StateStore store;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final EntityMachines machines;
-  private final JobLifecycle jobs;
-  private final ScaleOutRequests hires;
+  private final JobLifecycle jobLifecycle;
+  private final ScaleOutRequests scaleOutRequests;
   private final SchedulingLoop schedulingLoop;
 
   EntityRecovery(
       EventLoop loop,
-      LeaseTiming timing,
+      LeaseTiming leaseTiming,
       StateStore store,
-      ClusterView directory,
+      ClusterView clusterView,
       EntityMachines machines,
-      JobLifecycle jobs,
-      ScaleOutRequests hires,
+      JobLifecycle jobLifecycle,
+      ScaleOutRequests scaleOutRequests,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
-    this.timing = timing;
+    this.leaseTiming = leaseTiming;
     this.store = store;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.machines = machines;
-    this.jobs = jobs;
-    this.hires = hires;
+    this.jobLifecycle = jobLifecycle;
+    this.scaleOutRequests = scaleOutRequests;
     this.schedulingLoop = schedulingLoop;
   }
 
@@ -66,7 +66,7 @@
     var openJobs =
         store
             .list(StateSchema.openJobPrefix(entity.id()))
-            .thenCompose(listing -> jobs.loadOpenJobs(entity, listing.entries()));
+            .thenCompose(listing -> jobLifecycle.loadOpenJobs(entity, listing.entries()));
     var requests = store.list(StateSchema.scaleOutRequestPrefix(entity.id()));
     var progress = store.list(StateSchema.progressPrefix(entity.id()));
     // Rows of machines as of after the move: from here on only this owner changes them.
@@ -78,7 +78,7 @@
                 loop.schedule(RETRY_READ_SECONDS, () -> recover(entity));
                 return;
               }
-              directory.replaceWithListing(common.join().entries(), common.join().revision());
+              clusterView.replaceWithListing(common.join().entries(), common.join().revision());
               activate(
                   entity,
                   new EntityRows(
@@ -96,8 +96,8 @@
       return;
     }
     entity.activate();
-    jobs.restore(entity, rows.openJobs(), rows.progress());
-    hires.resumeRequests(entity, rows.requests());
+    jobLifecycle.restore(entity, rows.openJobs(), rows.progress());
+    scaleOutRequests.resumeRequests(entity, rows.requests());
     LOG.info(
         "entity {} version {} active: {} jobs, {} machines",
         entity.id(),
@@ -116,11 +116,11 @@
     double afterMove =
         entity.acquiredAtSeconds()
             + (entity.acquiredGracefully()
-                ? timing.tasksGoneAfterReplySeconds()
-                : timing.tasksGoneAfterFailoverSeconds());
-    double gone = Math.max(afterMove, now + timing.tasksGoneAfterReplySeconds());
+                ? leaseTiming.tasksGoneAfterReplySeconds()
+                : leaseTiming.tasksGoneAfterFailoverSeconds());
+    double gone = Math.max(afterMove, now + leaseTiming.tasksGoneAfterReplySeconds());
     // Handed on soon after a seizure: the owner that it was seized from may still be in its grace.
     return Math.max(
-        gone, now + timing.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
+        gone, now + leaseTiming.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/fleet/Autoscaler.java
+++ b/src/main/java/io/violetrail/fleet/Autoscaler.java
@@ -23,15 +23,15 @@
       MachineTypeRefresh machineTypeRefresh,
       ScaleIn scaleIn,
       ScaleOut scaleOut,
-      ScaleOutRequests hires,
-      OrphanedMachines inventory) {
+      ScaleOutRequests scaleOutRequests,
+      OrphanedMachines orphanedMachines) {
     this.loop = loop;
     this.membership = membership;
     this.machineTypeRefresh = machineTypeRefresh;
     this.scaleIn = scaleIn;
     this.scaleOut = scaleOut;
-    this.scaleOutRequests = hires;
-    this.orphanedMachines = inventory;
+    this.scaleOutRequests = scaleOutRequests;
+    this.orphanedMachines = orphanedMachines;
   }
 
   /** Begins the periodic work, and asks for the machine types at once. */
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -25,7 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(EntityMachines.class);
 
   private final EventLoop loop;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final BootTimes bootTimes;
@@ -37,13 +37,13 @@
   /** Learns boot times, and asks for a scheduling pass when machines become usable. */
   public EntityMachines(
       EventLoop loop,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       MachineTypes machineTypes,
       BootTimes bootTimes,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.bootTimes = bootTimes;
@@ -81,7 +81,7 @@
    * @return false, with no machine added, while some machine's type is not known
    */
   public boolean addAllRecorded(OwnedEntity entity, double unheardGoneS) {
-    for (MachineRow row : directory.machineRowsOf(entity.id())) {
+    for (MachineRow row : clusterView.machineRowsOf(entity.id())) {
       if (add(entity, row, unheardGoneS) == null) {
         entity.removeAllMachines();
         return false;
@@ -94,7 +94,7 @@
   public void addTransferred() {
     for (OwnedEntity entity : membership.ownedEntities()) {
       if (entity.isActive()) {
-        directory.machineRowsOf(entity.id()).forEach(row -> addTransferred(entity, row));
+        clusterView.machineRowsOf(entity.id()).forEach(row -> addTransferred(entity, row));
       }
     }
   }
@@ -187,7 +187,7 @@
   public void verifyOwner(OwnedEntity entity, Machine machine) {
     membership.relistThen(
         () -> {
-          MachineRow row = directory.findMachineRow(machine.id());
+          MachineRow row = clusterView.findMachineRow(machine.id());
           if (row == null || !row.entity().equals(entity.id())) {
             entity.removeMachine(machine);
           } else {
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -37,7 +37,7 @@
   private final MachineTypes machineTypes;
   private final EntityMachines entityMachines;
   private final MachineDrainer drainer;
-  private final QuotaTransfer quotas;
+  private final QuotaTransfer quotaTransfer;
   private final LongPolls longPolls;
 
   /** Passes machines by conditional writes, once the drainer has emptied them. */
@@ -47,14 +47,14 @@
       MachineTypes machineTypes,
       EntityMachines entityMachines,
       MachineDrainer drainer,
-      QuotaTransfer quotas,
+      QuotaTransfer quotaTransfer,
       LongPolls longPolls) {
     this.loop = loop;
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.entityMachines = entityMachines;
     this.drainer = drainer;
-    this.quotas = quotas;
+    this.quotaTransfer = quotaTransfer;
     this.longPolls = longPolls;
   }
 
@@ -204,7 +204,8 @@
           && job.mayHoldReservations(nowSeconds)
           && freeQuotas
                   .computeIfAbsent(
-                      job.spec().team(), team -> quotas.availableQuota(entity, team, nowSeconds))
+                      job.spec().team(),
+                      team -> quotaTransfer.availableQuota(entity, team, nowSeconds))
                   .countFitting(job.spec().taskResources())
               > 0) {
         jobsAhead.add(job);
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -23,7 +23,7 @@
 
   private final EventLoop loop;
   private final StateStore stateStore;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final MachineTypes machineTypes;
   private final SchedulingLoop schedulingLoop;
   private final CloudClient cloud;
@@ -38,13 +38,13 @@
   public MachineTypeRefresh(
       EventLoop loop,
       StateStore stateStore,
-      ClusterView directory,
+      ClusterView clusterView,
       MachineTypes machineTypes,
       SchedulingLoop schedulingLoop,
       CloudClient cloud) {
     this.loop = loop;
     this.stateStore = stateStore;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.machineTypes = machineTypes;
     this.schedulingLoop = schedulingLoop;
     this.cloud = cloud;
@@ -80,7 +80,7 @@
    * back.
    */
   void store() {
-    if (fromCloud == null || storing || directory.machineTypes() != null) {
+    if (fromCloud == null || storing || clusterView.machineTypes() != null) {
       return;
     }
     storing = true;
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -19,15 +19,15 @@
 public final class MachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypes.class);
 
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Map<String, MachineType> byName = new HashMap<>();
 
   /** The stored row that {@link #byName} was last filled from. */
   private JsonNode loadedFrom;
 
   /** Reads the stored types from the rows that the directory follows. */
-  public MachineTypes(ClusterView directory) {
-    this.directory = directory;
+  public MachineTypes(ClusterView clusterView) {
+    this.clusterView = clusterView;
   }
 
   /** The type of that name; null while it is not known. */
@@ -59,7 +59,7 @@
   }
 
   private void loadStoredTypes() {
-    JsonNode stored = directory.machineTypes();
+    JsonNode stored = clusterView.machineTypes();
     if (stored == null || stored == loadedFrom) {
       return;
     }
--- a/src/main/java/io/violetrail/fleet/OrphanedMachines.java
+++ b/src/main/java/io/violetrail/fleet/OrphanedMachines.java
@@ -28,7 +28,7 @@
 
   private final Settings settings;
   private final EventLoop loop;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final EntityMachines entityMachines;
@@ -44,14 +44,14 @@
   public OrphanedMachines(
       Settings settings,
       EventLoop loop,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       MachineTypes machineTypes,
       EntityMachines entityMachines,
       CloudClient cloud) {
     this.settings = settings;
     this.loop = loop;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.entityMachines = entityMachines;
@@ -61,7 +61,7 @@
   /** One controller reads for all: the list is long, and calls are few. */
   private boolean isScanner() {
     for (ControllerId candidate : settings.controllers()) {
-      if (directory.isAlive(candidate)) {
+      if (clusterView.isAlive(candidate)) {
         return candidate.equals(settings.self());
       }
     }
@@ -102,7 +102,7 @@
     unrecordedSinceSeconds.keySet().retainAll(listed);
     List<MachineId> orphaned = new ArrayList<>();
     for (MachineId machineId : listed) {
-      if (directory.findMachineRow(machineId) != null || entityMachines.wasReturned(machineId)) {
+      if (clusterView.findMachineRow(machineId) != null || entityMachines.wasReturned(machineId)) {
         unrecordedSinceSeconds.remove(machineId);
       } else if (nowSeconds - unrecordedSinceSeconds.computeIfAbsent(machineId, x -> nowSeconds)
           > orphanedAfterSeconds()) {
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -27,13 +27,13 @@
   private final Settings settings;
   private final double idleSeconds;
   private final EventLoop loop;
-  private final LeaseTiming timing;
-  private final ClusterView directory;
+  private final LeaseTiming leaseTiming;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final EntityMachines entityMachines;
   private final BootTimes bootTimes;
-  private final WarmCapacity spares;
+  private final WarmCapacity warmCapacity;
   private final CloudClient cloud;
   private boolean returning;
 
@@ -47,24 +47,24 @@
       Settings settings,
       double idleSeconds,
       EventLoop loop,
-      LeaseTiming timing,
-      ClusterView directory,
+      LeaseTiming leaseTiming,
+      ClusterView clusterView,
       Membership membership,
       MachineTypes machineTypes,
       EntityMachines entityMachines,
       BootTimes bootTimes,
-      WarmCapacity spares,
+      WarmCapacity warmCapacity,
       CloudClient cloud) {
     this.settings = settings;
     this.idleSeconds = idleSeconds;
     this.loop = loop;
-    this.timing = timing;
-    this.directory = directory;
+    this.leaseTiming = leaseTiming;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.entityMachines = entityMachines;
     this.bootTimes = bootTimes;
-    this.spares = spares;
+    this.warmCapacity = warmCapacity;
     this.cloud = cloud;
   }
 
@@ -127,7 +127,7 @@
   /** How much more room there is than is kept ahead of need, for each class that it is kept for. */
   private Map<JobSpec, Integer> surplus(OwnedEntity entity, double now) {
     Map<JobSpec, Integer> surplus = new HashMap<>();
-    spares
+    warmCapacity
         .wantedTaskCounts(machineTypes.all(), now)
         .forEach(
             (spec, tasks) ->
@@ -156,7 +156,7 @@
 
   /** How long a worker may need to find a new owner, trying dead controllers on its way. */
   private double findsUsS() {
-    long dead = settings.peers().keySet().stream().filter(p -> !directory.isAlive(p)).count();
+    long dead = settings.peers().keySet().stream().filter(p -> !clusterView.isAlive(p)).count();
     return UNHEARD_S * Math.max(1, dead) + 2 * settings.workerTiming().heartbeatIntervalSeconds();
   }
 
@@ -174,7 +174,7 @@
     }
     if (machine.unresponsive()) {
       return machine.isEmpty()
-          && now - machine.lastHeartbeatAtSeconds() > timing.tasksGoneAfterReplySeconds() + 5;
+          && now - machine.lastHeartbeatAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds() + 5;
     }
     if (machine.draining()) {
       return machine.isEmpty();
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -28,44 +28,44 @@
 
   private final Settings settings;
   private final Random random;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final MachineTypes machineTypes;
   private final PendingQueues pendingQueues;
-  private final BinPacker placer;
-  private final ServiceLevelObjectives aims;
-  private final RuntimeEstimates estimates;
-  private final QuotaTransfer quotas;
+  private final BinPacker binPacker;
+  private final ServiceLevelObjectives serviceLevelObjectives;
+  private final RuntimeEstimates runtimeEstimates;
+  private final QuotaTransfer quotaTransfer;
   private final BootTimes bootTimes;
-  private final WarmCapacity spares;
-  private final ScaleOutRequests hires;
+  private final WarmCapacity warmCapacity;
+  private final ScaleOutRequests scaleOutRequests;
   private int tasteSeed;
 
   /** Rents through the given requests what {@link PendingQueues} calls for. */
   public ScaleOut(
       Settings settings,
       Random random,
-      ClusterView directory,
+      ClusterView clusterView,
       MachineTypes machineTypes,
       PendingQueues pendingQueues,
-      BinPacker placer,
+      BinPacker binPacker,
       ServiceLevelObjectives objectives,
-      RuntimeEstimates estimates,
-      QuotaTransfer quotas,
+      RuntimeEstimates runtimeEstimates,
+      QuotaTransfer quotaTransfer,
       BootTimes bootTimes,
-      WarmCapacity spares,
-      ScaleOutRequests hires) {
+      WarmCapacity warmCapacity,
+      ScaleOutRequests scaleOutRequests) {
     this.settings = settings;
     this.random = random;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.machineTypes = machineTypes;
     this.pendingQueues = pendingQueues;
-    this.placer = placer;
-    this.aims = objectives;
-    this.estimates = estimates;
-    this.quotas = quotas;
+    this.binPacker = binPacker;
+    this.serviceLevelObjectives = objectives;
+    this.runtimeEstimates = runtimeEstimates;
+    this.quotaTransfer = quotaTransfer;
     this.bootTimes = bootTimes;
-    this.spares = spares;
-    this.hires = hires;
+    this.warmCapacity = warmCapacity;
+    this.scaleOutRequests = scaleOutRequests;
   }
 
   /** Draws anew which of equally good offers are preferred until the next draw. */
@@ -78,10 +78,12 @@
     ScaleOutPlan plan =
         new ScaleOutPlan(
             machineTypes.all(),
-            placer.hasRecentAcceleratorDemand(now),
+            binPacker.hasRecentAcceleratorDemand(now),
             machineTypes.prices(),
-            hires::isSoldOut,
-            job -> aims.maxPriceRatio(job, now, estimates.expectedRuntimeSeconds(job.spec())),
+            scaleOutRequests::isSoldOut,
+            job ->
+                serviceLevelObjectives.maxPriceRatio(
+                    job, now, runtimeEstimates.expectedRuntimeSeconds(job.spec())),
             mayBoot(),
             tasteSeed);
     int replaced = maxReplaced(entity);
@@ -96,7 +98,7 @@
         plan.addRunning(offer(machine), roomSoon(machine, now), later(machine, now));
       }
     }
-    Map<MachineOffering, Integer> pending = hires.pendingMachineCounts(entity);
+    Map<MachineOffering, Integer> pending = scaleOutRequests.pendingMachineCounts(entity);
     pending.forEach(
         (offer, count) -> {
           MachineType type = machineTypes.find(offer.type());
@@ -112,11 +114,11 @@
         spareWork.add(job);
         continue;
       }
-      boolean urgent = spares.isUrgent(job.spec(), machineTypes.all());
+      boolean urgent = warmCapacity.isUrgent(job.spec(), machineTypes.all());
       boolean peersFirst =
           !urgent
               && now - job.arrivedAtSeconds() < TransferRequests.SCALE_OUT_DELAY_SECONDS
-              && directory.aliveControllerCount() > 1;
+              && clusterView.aliveControllerCount() > 1;
       boolean probe = job.failureHistory().isSuspect() && placeable(entity, job);
       if (job.startableCount(now) == 0
           || job.loadedFromStore() && uncertain
@@ -125,7 +127,8 @@
         continue;
       }
       Resources quota =
-          left.computeIfAbsent(job.spec().team(), t -> quotas.availableQuota(entity, t, now));
+          left.computeIfAbsent(
+              job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, now));
       int tasks = Math.min(wanted(job, now), quota.countFitting(job.spec().taskResources()));
       left.put(job.spec().team(), quota.minus(job.spec().taskResources().times(tasks)));
       plan.addDemand(job, tasks, urgent);
@@ -139,7 +142,7 @@
       }
     }
     plan.machineCountsByUrgency()
-        .forEach(e -> hires.requestMachines(entity, e.getKey(), e.getValue()));
+        .forEach(e -> scaleOutRequests.requestMachines(entity, e.getKey(), e.getValue()));
   }
 
   /**
@@ -177,7 +180,7 @@
   }
 
   private void keepSpares(OwnedEntity entity, ScaleOutPlan plan, double now) {
-    spares
+    warmCapacity
         .wantedTaskCounts(machineTypes.all(), now)
         .forEach(
             (spec, tasks) -> {
@@ -218,7 +221,7 @@
     Resources room = Resources.NONE;
     for (TaskPlacement placement : machine.placements().values()) {
       double left = machine.type().bootSeconds() - endsInS(placement, now);
-      int turns = (int) (left / estimates.expectedRuntimeSeconds(placement.job().spec()));
+      int turns = (int) (left / runtimeEstimates.expectedRuntimeSeconds(placement.job().spec()));
       if (left > 0 && turns > 0 && placement.job().spec().shape() == JobShape.ARRAY) {
         room =
             room.plus(
@@ -234,7 +237,8 @@
             ? placement.runningSinceSeconds()
             : now
                 + placement.job().spec().imageGb() / placement.machine().type().fetchGbPerSecond();
-    return Math.max(0, began + estimates.expectedRuntimeSeconds(placement.job().spec()) - now);
+    return Math.max(
+        0, began + runtimeEstimates.expectedRuntimeSeconds(placement.job().spec()) - now);
   }
 
   /** How many of a job's waiting tasks are worth machines of their own, the rest taking turns. */
@@ -243,12 +247,12 @@
     if (job.spec().shape() != JobShape.ARRAY) {
       return waiting;
     }
-    double run = estimates.expectedRuntimeSeconds(job.spec());
-    double due = aims.nextReachableDeadlineSeconds(job, now, run);
+    double run = runtimeEstimates.expectedRuntimeSeconds(job.spec());
+    double due = serviceLevelObjectives.nextReachableDeadlineSeconds(job, now, run);
     if (Double.isInfinite(due)) {
       return waiting;
     }
-    double left = due - now - spares.secondsUntilStart(job.spec(), machineTypes.all());
+    double left = due - now - warmCapacity.secondsUntilStart(job.spec(), machineTypes.all());
     double turns = Math.max(1, Math.min(MAX_TURNS, Math.floor(left / run)));
     return (int) Math.ceil(waiting / turns);
   }
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
@@ -32,9 +32,9 @@
 
   private final EventLoop loop;
   private final StateStore store;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final CloudClient cloud;
 
   /** Rental requests whose outcome is not known yet, by name. */
@@ -68,15 +68,15 @@
   public ScaleOutRequests(
       EventLoop loop,
       StateStore store,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
-      PeerClient peers,
+      PeerClient peerClient,
       CloudClient cloud) {
     this.loop = loop;
     this.store = store;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.cloud = cloud;
   }
 
@@ -173,7 +173,7 @@
                   result.machines());
               if (result.machines().size() < request.count) {
                 markSoldOut(offering);
-                peers.soldOut(offering.type(), offering.zone(), offering.spot());
+                peerClient.soldOut(offering.type(), offering.zone(), offering.spot());
               }
               request.callInFlight = true;
               recordMachines(request, result.machines());
@@ -194,7 +194,7 @@
     for (MachineId machineId : machines) {
       // A request's row may come back by a late write after it was dropped; the cloud's answer to
       // its repeat then names machines that are long gone.
-      if (directory.findMachineRow(machineId) == null && !directory.wasTerminated(machineId)) {
+      if (clusterView.findMachineRow(machineId) == null && !clusterView.wasTerminated(machineId)) {
         MachineOffering offering = request.offering;
         rows.add(
             new MachineRow(
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -39,15 +39,15 @@
 
   private final EventLoop loop;
   private final Random random;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final PendingQueues pendingQueues;
-  private final ServiceLevelObjectives aims;
-  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives serviceLevelObjectives;
+  private final RuntimeEstimates runtimeEstimates;
   private final QuotaTransfer quotaTransfer;
   private final MachineTransfer machineTransfer;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private double lastRequestAtSeconds = Double.NEGATIVE_INFINITY;
 
   /** Jobs that have asked chosen entities for parts of a limit; next they ask all of them. */
@@ -57,26 +57,26 @@
   public TransferRequests(
       EventLoop loop,
       Random random,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       MachineTypes machineTypes,
       PendingQueues pendingQueues,
       ServiceLevelObjectives objectives,
-      RuntimeEstimates estimates,
+      RuntimeEstimates runtimeEstimates,
       QuotaTransfer quotaTransfer,
       MachineTransfer machines,
-      PeerClient peers) {
+      PeerClient peerClient) {
     this.loop = loop;
     this.random = random;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.pendingQueues = pendingQueues;
-    this.aims = objectives;
-    this.estimates = estimates;
+    this.serviceLevelObjectives = objectives;
+    this.runtimeEstimates = runtimeEstimates;
     this.quotaTransfer = quotaTransfer;
     this.machineTransfer = machines;
-    this.peers = peers;
+    this.peerClient = peerClient;
   }
 
   /** Asks the peers for what waiting jobs lack. */
@@ -103,7 +103,7 @@
     askedSelectedDonors.removeIf(id -> !entity.jobs().containsKey(id));
     if (!requests.isEmpty()) {
       lastRequestAtSeconds = nowSeconds;
-      peers.askFor(entity.id(), requests);
+      peerClient.askFor(entity.id(), requests);
       handleRequests(entity.id(), requests);
     }
   }
@@ -186,14 +186,15 @@
         job.spec(),
         taskCount,
         job.arrivedAtMillis(),
-        aims.maxPriceRatio(job, nowSeconds, estimates.expectedRuntimeSeconds(job.spec())),
+        serviceLevelObjectives.maxPriceRatio(
+            job, nowSeconds, runtimeEstimates.expectedRuntimeSeconds(job.spec())),
         job.isStarving(nowSeconds),
         mayEvict);
   }
 
   /** Another entity, a peer's or one held here too, lacks something: what is idle goes there. */
   public void handleRequests(ControllerId recipient, List<ResourceRequest> requests) {
-    EntityRow target = directory.findEntityRow(recipient);
+    EntityRow target = clusterView.findEntityRow(recipient);
     if (target == null || !membership.isLeaseValid()) {
       return;
     }
--- a/src/main/java/io/violetrail/kubernetes/ClientWatch.java
+++ b/src/main/java/io/violetrail/kubernetes/ClientWatch.java
@@ -36,12 +36,12 @@
 
   /** Begins after a version; false if changes since then are not kept any more. */
   boolean start(
-      HttpExchange exchange,
+      HttpExchange httpExchange,
       List<KubernetesObject> initialObjects,
       long resourceVersion,
       double timeoutSeconds) {
     lastRevision = resourceVersion;
-    stream = exchange.startStream(this::close);
+    stream = httpExchange.startStream(this::close);
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     initialObjects.stream().filter(filter).forEach(o -> appendEvent(lines, "ADDED", o.toJson()));
     send(lines);
--- a/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
@@ -24,17 +24,17 @@
   private static final int MAX_NEW_REPLICAS_PER_WRITE = 20;
 
   private final EventLoop loop;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
   private final ObjectReconciler reconciler;
   private final NativeJobTranslator translator;
 
   DeploymentReconciler(
       EventLoop loop,
-      JobLifecycle jobs,
+      JobLifecycle jobLifecycle,
       ObjectReconciler reconciler,
       NativeJobTranslator translator) {
     this.loop = loop;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.reconciler = reconciler;
     this.translator = translator;
   }
@@ -58,7 +58,7 @@
         boolean stopping = job.phase() != Job.Phase.OPEN;
         boolean ready = !stopping && job.toView().runningCount() > 0;
         replicas.add(new Replica(nativeJob.number(), upToDate, ready, stopping));
-      } else if (jobs.findTerminalView(nativeJob.id()) != null
+      } else if (jobLifecycle.findTerminalView(nativeJob.id()) != null
           || reconciler.isNeverSubmitted(entity, nativeJob.id())) {
         finishedNumbers.add(nativeJob.number());
       } else if (reconciler.hasOperationInFlight(entity, nativeJob.id())) {
--- a/src/main/java/io/violetrail/kubernetes/JobReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/JobReconciler.java
@@ -16,17 +16,17 @@
   private static final long COUNT_WRITE_INTERVAL_MILLIS = 10_000;
 
   private final EventLoop loop;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
   private final ObjectReconciler reconciler;
   private final NativeJobTranslator translator;
 
   JobReconciler(
       EventLoop loop,
-      JobLifecycle jobs,
+      JobLifecycle jobLifecycle,
       ObjectReconciler reconciler,
       NativeJobTranslator translator) {
     this.loop = loop;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.reconciler = reconciler;
     this.translator = translator;
   }
@@ -44,7 +44,9 @@
     JobId id = object.nativeJobs().get(0).id();
     Job job = entity.jobs().get(id);
     JobView view =
-        job != null && job.phase() != Job.Phase.FINISHED ? job.toView() : jobs.findTerminalView(id);
+        job != null && job.phase() != Job.Phase.FINISHED
+            ? job.toView()
+            : jobLifecycle.findTerminalView(id);
     if (view == null) {
       if (!object.isDeleting()) {
         reconciler.ensureSubmitted(entity, object, translator.toJobSpec(object, id.value()));
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -53,11 +53,11 @@
   /**
    * Handles one request; a malformed one is answered with a Kubernetes {@code JobStatus} object.
    */
-  public void handle(Request request, HttpExchange exchange) {
+  public void handle(Request request, HttpExchange httpExchange) {
     try {
-      route(request, withAuditLog(request, exchange));
+      route(request, withAuditLog(request, httpExchange));
     } catch (MalformedRequestException exception) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.invalid(
               "the request",
               List.of(
@@ -67,11 +67,11 @@
   }
 
   /** Changes leave a line in the log with what became of them. */
-  private static HttpExchange withAuditLog(Request request, HttpExchange exchange) {
+  private static HttpExchange withAuditLog(Request request, HttpExchange httpExchange) {
     if (request.method().equals("GET")) {
-      return exchange;
+      return httpExchange;
     }
-    return exchange.withAnswerFilter(
+    return httpExchange.withAnswerFilter(
         (code, body, retryAfterSeconds) -> {
           LOG.info(
               "kubernetes {} {}: {} {}",
@@ -81,30 +81,30 @@
               code < 300
                   ? body.path("metadata").path("name").asText()
                   : body.path("message").asText());
-          exchange.answer(code, body, retryAfterSeconds);
+          httpExchange.answer(code, body, retryAfterSeconds);
         });
   }
 
-  private void route(Request request, HttpExchange exchange) throws MalformedRequestException {
+  private void route(Request request, HttpExchange httpExchange) throws MalformedRequestException {
     if (request.body().length > MAX_BODY_BYTES) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.tooLarge("the body is longer than " + MAX_BODY_BYTES + " bytes"));
       return;
     }
     ObjectNode document =
         request.method().equals("GET") ? Discovery.findDocument(request.path()) : null;
     if (document != null) {
-      exchange.answer(200, document, 0);
+      httpExchange.answer(200, document, 0);
     } else if (request.path().equals("/violetrail/pods")) {
-      handlePeerRequest(request, exchange);
+      handlePeerRequest(request, httpExchange);
     } else {
       ResourcePath path = findResourcePath(request.path());
       if (path == null) {
-        exchange.answer(KubernetesStatus.notFound("the path"));
+        httpExchange.answer(KubernetesStatus.notFound("the path"));
       } else if (path.group().isEmpty()) {
-        handleCoreGroup(request, path, exchange);
+        handleCoreGroup(request, path, httpExchange);
       } else {
-        handleStoredKind(request, path, exchange);
+        handleStoredKind(request, path, httpExchange);
       }
     }
   }
@@ -145,148 +145,156 @@
   }
 
   /** Namespaces and pods: they are shown, not kept. */
-  private void handleCoreGroup(Request request, ResourcePath path, HttpExchange exchange)
+  private void handleCoreGroup(Request request, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
     boolean listed =
         Set.of("namespaces", "pods").contains(path.plural()) && path.subresource() == null;
     if (!listed) {
-      exchange.answer(KubernetesStatus.notFound("the path"));
+      httpExchange.answer(KubernetesStatus.notFound("the path"));
     } else if (!request.method().equals("GET")) {
-      exchange.answer(KubernetesStatus.methodNotAllowed(path.plural() + " are shown only"));
+      httpExchange.answer(KubernetesStatus.methodNotAllowed(path.plural() + " are shown only"));
     } else if (path.plural().equals("namespaces")) {
       if (path.name() == null) {
-        exchange.answer(200, Discovery.namespaceListDocument(configuration.teams()), 0);
+        httpExchange.answer(200, Discovery.namespaceListDocument(configuration.teams()), 0);
       } else if (configuration.findTeam(path.name()) != null) {
-        exchange.answer(200, Discovery.namespaceDocument(path.name()), 0);
+        httpExchange.answer(200, Discovery.namespaceDocument(path.name()), 0);
       } else {
-        exchange.answer(KubernetesStatus.notFound("namespaces \"" + path.name() + "\""));
+        httpExchange.answer(KubernetesStatus.notFound("namespaces \"" + path.name() + "\""));
       }
     } else if (path.name() != null) {
-      podLister.get(path.namespace(), path.name(), exchange);
+      podLister.get(path.namespace(), path.name(), httpExchange);
     } else {
       ListOptions options = ListOptions.parse(request.query());
       if (options.watch()) {
-        exchange.answer(
+        httpExchange.answer(
             KubernetesStatus.methodNotAllowed(
                 "pods cannot be watched; watch their Job or Deployment"));
       } else {
-        podLister.list(path.namespace(), options, exchange);
+        podLister.list(path.namespace(), options, httpExchange);
       }
     }
   }
 
-  private void handleStoredKind(Request request, ResourcePath path, HttpExchange exchange)
+  private void handleStoredKind(Request request, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
     ObjectKind kind = ObjectKind.find(path.group(), path.plural());
     if (kind == null) {
-      exchange.answer(KubernetesStatus.notFound("the path"));
+      httpExchange.answer(KubernetesStatus.notFound("the path"));
     } else if (path.namespace() != null && configuration.findTeam(path.namespace()) == null) {
-      exchange.answer(KubernetesStatus.notFound("namespaces \"" + path.namespace() + "\""));
+      httpExchange.answer(KubernetesStatus.notFound("namespaces \"" + path.namespace() + "\""));
     } else if (path.name() == null) {
-      handleCollection(request, kind, path, exchange);
+      handleCollection(request, kind, path, httpExchange);
     } else if (path.namespace() == null) {
-      exchange.answer(KubernetesStatus.notFound("the path"));
+      httpExchange.answer(KubernetesStatus.notFound("the path"));
     } else if (path.subresource() == null) {
-      handleObject(request, kind, path, exchange);
+      handleObject(request, kind, path, httpExchange);
     } else {
-      handleSubresource(request, kind, path, exchange);
+      handleSubresource(request, kind, path, httpExchange);
     }
   }
 
   private void handleCollection(
-      Request request, ObjectKind kind, ResourcePath path, HttpExchange exchange)
+      Request request, ObjectKind kind, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
     switch (request.method()) {
       case "GET" -> {
         ListOptions options = ListOptions.parse(request.query());
         if (options.watch()) {
-          startWatch(kind, path.namespace(), options, exchange);
+          startWatch(kind, path.namespace(), options, httpExchange);
         } else {
-          objectStore.list(kind, path.namespace(), options, exchange);
+          objectStore.list(kind, path.namespace(), options, httpExchange);
         }
       }
       case "POST" -> {
         ListOptions.requireSupported(request.query(), Set.of());
         if (path.namespace() == null) {
-          exchange.answer(KubernetesStatus.methodNotAllowed("objects are created in a namespace"));
+          httpExchange.answer(
+              KubernetesStatus.methodNotAllowed("objects are created in a namespace"));
           return;
         }
-        ObjectNode manifest = readBody(request, exchange);
+        ObjectNode manifest = readBody(request, httpExchange);
         if (manifest != null) {
-          objectStore.create(kind, path.namespace(), manifest, exchange);
+          objectStore.create(kind, path.namespace(), manifest, httpExchange);
         }
       }
       default ->
-          exchange.answer(
+          httpExchange.answer(
               KubernetesStatus.methodNotAllowed(
                   request.method() + " of a collection is not served"));
     }
   }
 
   private void handleObject(
-      Request request, ObjectKind kind, ResourcePath path, HttpExchange exchange)
+      Request request, ObjectKind kind, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
     switch (request.method()) {
       case "GET" -> {
         ListOptions.requireSupported(request.query(), Set.of("resourceVersion"));
-        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), exchange);
+        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       }
       case "PUT" -> {
         ListOptions.requireSupported(request.query(), Set.of());
-        ObjectNode manifest = readBody(request, exchange);
+        ObjectNode manifest = readBody(request, httpExchange);
         if (manifest != null) {
           objectStore.replace(
-              new ObjectReference(kind, path.namespace(), path.name()), manifest, exchange);
+              new ObjectReference(kind, path.namespace(), path.name()), manifest, httpExchange);
         }
       }
       case "DELETE" -> {
         ListOptions.requireSupported(request.query(), Set.of("propagationPolicy"));
         String policy = request.query().getOrDefault("propagationPolicy", "Background");
         ObjectNode options =
-            request.body().length == 0 ? KubernetesJson.newObject() : readBody(request, exchange);
+            request.body().length == 0
+                ? KubernetesJson.newObject()
+                : readBody(request, httpExchange);
         if (options != null) {
           objectStore.delete(
-              new ObjectReference(kind, path.namespace(), path.name()), options, policy, exchange);
+              new ObjectReference(kind, path.namespace(), path.name()),
+              options,
+              policy,
+              httpExchange);
         }
       }
       default ->
-          exchange.answer(
+          httpExchange.answer(
               KubernetesStatus.methodNotAllowed(
                   request.method() + " is not served; read the object, change it and PUT it"));
     }
   }
 
   private void handleSubresource(
-      Request request, ObjectKind kind, ResourcePath path, HttpExchange exchange)
+      Request request, ObjectKind kind, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
     boolean scale = kind == ObjectKind.DEPLOYMENT && path.subresource().equals("scale");
     if (!scale && !path.subresource().equals("status")) {
-      exchange.answer(KubernetesStatus.notFound("the path"));
+      httpExchange.answer(KubernetesStatus.notFound("the path"));
     } else if (request.method().equals("GET")) {
       ListOptions.requireSupported(request.query(), Set.of());
       if (scale) {
-        objectStore.getScale(new ObjectReference(kind, path.namespace(), path.name()), exchange);
+        objectStore.getScale(
+            new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       } else {
-        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), exchange);
+        objectStore.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       }
     } else if (scale && request.method().equals("PUT")) {
       ListOptions.requireSupported(request.query(), Set.of());
-      ObjectNode body = readBody(request, exchange);
+      ObjectNode body = readBody(request, httpExchange);
       if (body != null) {
-        objectStore.scale(new ObjectReference(kind, path.namespace(), path.name()), body, exchange);
+        objectStore.scale(
+            new ObjectReference(kind, path.namespace(), path.name()), body, httpExchange);
       }
     } else {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.methodNotAllowed("a status is written by its object's owner alone"));
     }
   }
 
   /** The body as JSON; null if the answer has been given. */
-  private static ObjectNode readBody(Request request, HttpExchange exchange)
+  private static ObjectNode readBody(Request request, HttpExchange httpExchange)
       throws MalformedRequestException {
     String mediaType = request.mediaType() == null ? "" : request.mediaType().split(";")[0].strip();
     if (!JSON_MEDIA_TYPES.contains(mediaType)) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.unsupportedMediaType("only application/json is read, not " + mediaType));
       return null;
     }
@@ -294,13 +302,14 @@
   }
 
   private void startWatch(
-      ObjectKind kind, String namespace, ListOptions options, HttpExchange exchange) {
+      ObjectKind kind, String namespace, ListOptions options, HttpExchange httpExchange) {
     if (!watchCache.isReady()) {
-      exchange.answer(KubernetesStatus.unavailable("this controller has not read the objects yet"));
+      httpExchange.answer(
+          KubernetesStatus.unavailable("this controller has not read the objects yet"));
       return;
     }
     if (watchCache.watcherCount() >= MAX_WATCHES) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.tooManyRequests(
               "this controller has " + MAX_WATCHES + " watches already"));
       return;
@@ -310,18 +319,21 @@
             kind, options.filterFor(namespace), loop, watchCache, options.allowWatchBookmarks());
     if (!options.resourceVersion().isEmpty()) {
       watch.start(
-          exchange, List.of(), Long.parseLong(options.resourceVersion()), options.timeoutSeconds());
+          httpExchange,
+          List.of(),
+          Long.parseLong(options.resourceVersion()),
+          options.timeoutSeconds());
       return;
     }
     objectStore.listAll(
         kind,
         namespace,
-        exchange,
-        (first, revision) -> watch.start(exchange, first, revision, options.timeoutSeconds()));
+        httpExchange,
+        (first, revision) -> watch.start(httpExchange, first, revision, options.timeoutSeconds()));
   }
 
   /** Another controller asks for the pods of an entity that it takes to be owned here. */
-  private void handlePeerRequest(Request request, HttpExchange exchange)
+  private void handlePeerRequest(Request request, HttpExchange httpExchange)
       throws MalformedRequestException {
     var parameters = new java.util.HashMap<>(request.query());
     String entity = parameters.remove("entity");
@@ -343,9 +355,9 @@
     ObjectNode page =
         entity == null ? null : podLister.listForPeer(new ControllerId(entity), namespace, options);
     if (page == null) {
-      exchange.answer(KubernetesStatus.unavailable("the entity is not owned here"));
+      httpExchange.answer(KubernetesStatus.unavailable("the entity is not owned here"));
     } else {
-      exchange.answer(200, page, 0);
+      httpExchange.answer(200, page, 0);
     }
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesSubsystem.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesSubsystem.java
@@ -29,18 +29,18 @@
       Random random,
       Settings settings,
       StateStore store,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       Configuration configuration,
       MachineTypes machineTypes,
-      JobLifecycle jobs,
-      JobAdmission intake,
+      JobLifecycle jobLifecycle,
+      JobAdmission jobAdmission,
       HttpClient http,
       int port) {
     NativeJobTranslator translator = new NativeJobTranslator(new ManifestSchema());
-    this.reconciler = new ObjectReconciler(loop, store, membership, jobs, translator);
+    this.reconciler = new ObjectReconciler(loop, store, membership, jobLifecycle, translator);
     this.watchCache = new WatchCache(store, loop, reconciler);
-    ObjectStore objects =
+    ObjectStore objectStore =
         new ObjectStore(
             loop,
             random,
@@ -48,11 +48,11 @@
             store,
             membership,
             machineTypes,
-            intake,
+            jobAdmission,
             translator,
             watchCache);
-    PodLister pods = new PodLister(settings, directory, membership, reconciler, http, port);
-    this.api = new KubernetesApi(loop, configuration, objects, pods, watchCache);
+    PodLister podLister = new PodLister(settings, clusterView, membership, reconciler, http, port);
+    this.api = new KubernetesApi(loop, configuration, objectStore, podLister, watchCache);
   }
 
   /** Begins to follow the kept objects and to reconcile jobs with them. */
--- a/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
+++ b/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
@@ -35,15 +35,15 @@
   /** Any well-formed id: what a manifest means does not depend on it. */
   private static final String PLACEHOLDER_JOB_ID = "job-0";
 
-  private final ManifestSchema schema;
+  private final ManifestSchema manifestSchema;
 
-  public NativeJobTranslator(ManifestSchema schema) {
-    this.schema = schema;
+  public NativeJobTranslator(ManifestSchema manifestSchema) {
+    this.manifestSchema = manifestSchema;
   }
 
   /** Fields of a manifest that are not taken, for a namespace; empty if it can be kept. */
   public List<FieldError> validate(ObjectKind kind, ObjectNode manifest, String namespace) {
-    List<FieldError> errors = new ArrayList<>(schema.validate(kind, manifest));
+    List<FieldError> errors = new ArrayList<>(manifestSchema.validate(kind, manifest));
     if (!errors.isEmpty()) {
       return errors;
     }
@@ -429,7 +429,7 @@
     }
 
     void refuseUnknown() {
-      Map<String, ManifestSchema.Annotation> known = schema.annotations();
+      Map<String, ManifestSchema.Annotation> known = manifestSchema.annotations();
       annotations
           .fieldNames()
           .forEachRemaining(
--- a/src/main/java/io/violetrail/kubernetes/ObjectStore.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectStore.java
@@ -49,7 +49,7 @@
   private final StateStore store;
   private final Membership membership;
   private final MachineTypes machineTypes;
-  private final JobAdmission intake;
+  private final JobAdmission jobAdmission;
   private final NativeJobTranslator translator;
   private final WatchCache watchCache;
 
@@ -60,7 +60,7 @@
       StateStore store,
       Membership membership,
       MachineTypes machineTypes,
-      JobAdmission intake,
+      JobAdmission jobAdmission,
       NativeJobTranslator translator,
       WatchCache watchCache) {
     this.loop = loop;
@@ -69,35 +69,35 @@
     this.store = store;
     this.membership = membership;
     this.machineTypes = machineTypes;
-    this.intake = intake;
+    this.jobAdmission = jobAdmission;
     this.translator = translator;
     this.watchCache = watchCache;
   }
 
-  void create(ObjectKind kind, String namespace, ObjectNode manifest, HttpExchange exchange) {
+  void create(ObjectKind kind, String namespace, ObjectNode manifest, HttpExchange httpExchange) {
     List<FieldError> errors = translator.validate(kind, manifest, namespace);
     String givenName = manifest.path("metadata").path("name").asText("");
     if (!errors.isEmpty()) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.invalid(
               new ObjectReference(kind, namespace, givenName).displayName(), errors));
       return;
     }
     if (manifest.path("metadata").has("resourceVersion")) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.badRequest("resourceVersion must not be set on objects to be created"));
       return;
     }
-    String closedReason = intake.findClosedReason();
+    String closedReason = jobAdmission.findClosedReason();
     if (!watchCache.isReady() || closedReason != null) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.unavailable(
               closedReason == null ? "the objects are not read yet" : closedReason));
       return;
     }
     OwnedEntity ownEntity = membership.findHomeEntity();
     if (watchCache.adjustCount(kind, namespace) >= MAX_OBJECTS) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.tooManyRequests(
               "the namespace holds " + MAX_OBJECTS + " " + kind.plural()));
       return;
@@ -105,18 +105,18 @@
     KubernetesObject object = newObject(kind, namespace, givenName, manifest, ownEntity);
     int bytes = Cbor.encode(object.value()).length;
     if (bytes > settings.stateStoreLimits().maxValueBytes() / 2) {
-      exchange.answer(KubernetesStatus.tooLarge("the object is too long to be kept"));
+      httpExchange.answer(KubernetesStatus.tooLarge("the object is too long to be kept"));
       return;
     }
     JobId id = KubernetesObject.nativeJobId(object.uid(), 1);
     JobSpec spec = translator.toJobSpec(object, id.value());
-    String reasonNeverRuns = intake.findImpossibleReason(spec);
+    String reasonNeverRuns = jobAdmission.findImpossibleReason(spec);
     if (reasonNeverRuns != null) {
-      exchange.answer(neverRunsStatus(object, reasonNeverRuns));
+      httpExchange.answer(neverRunsStatus(object, reasonNeverRuns));
     } else if (kind == ObjectKind.JOB && !object.spec().path("suspend").asBoolean()) {
-      createWithJob(object, spec, bytes, exchange);
+      createWithJob(object, spec, bytes, httpExchange);
     } else {
-      createAlone(object, ownEntity, exchange);
+      createAlone(object, ownEntity, httpExchange);
     }
   }
 
@@ -159,52 +159,55 @@
 
   /** The Job and its native job are stored by one transaction, through the one intake. */
   private void createWithJob(
-      KubernetesObject object, JobSpec spec, int bytes, HttpExchange exchange) {
-    intake
+      KubernetesObject object, JobSpec spec, int bytes, HttpExchange httpExchange) {
+    jobAdmission
         .admit(spec, new CoWrittenRow(object.key(), 0, object.value(), bytes))
         .thenAccept(
             decision -> {
               if (decision.verdict() == Verdict.ACCEPTED && decision.revision() > 0) {
-                exchange.answer(201, object.withResourceVersion(decision.revision()).toJson(), 0);
+                httpExchange.answer(
+                    201, object.withResourceVersion(decision.revision()).toJson(), 0);
               } else if (decision.verdict() == Verdict.IMPOSSIBLE) {
-                exchange.answer(neverRunsStatus(object, decision.reason()));
+                httpExchange.answer(neverRunsStatus(object, decision.reason()));
               } else if (decision.verdict() == Verdict.LATER) {
-                exchange.answer(KubernetesStatus.unavailable(decision.reason()));
+                httpExchange.answer(KubernetesStatus.unavailable(decision.reason()));
               } else {
                 answerExisting(
-                    object, decision.verdict() == Verdict.ACCEPTED ? 201 : 200, exchange);
+                    object, decision.verdict() == Verdict.ACCEPTED ? 201 : 200, httpExchange);
               }
             });
   }
 
-  private void createAlone(KubernetesObject object, OwnedEntity ownEntity, HttpExchange exchange) {
+  private void createAlone(
+      KubernetesObject object, OwnedEntity ownEntity, HttpExchange httpExchange) {
     Tombstones.draftCreation(store, ownEntity::fencedTransaction, object.key(), object.value())
         .thenCompose(store::commit)
         .whenComplete(
             (outcome, failure) -> {
               if (failure != null) {
-                exchange.answer(failureStatus(failure));
+                httpExchange.answer(failureStatus(failure));
               } else if (outcome.applied()) {
-                exchange.answer(201, object.withResourceVersion(outcome.revision()).toJson(), 0);
+                httpExchange.answer(
+                    201, object.withResourceVersion(outcome.revision()).toJson(), 0);
               } else if (outcome.failedKeys().contains(object.key())) {
                 // Another's, or an earlier try of this very write has got through.
-                answerExisting(object, 201, exchange);
+                answerExisting(object, 201, httpExchange);
               } else {
-                exchange.answer(
+                httpExchange.answer(
                     KubernetesStatus.unavailable("the entity or what was deleted has changed"));
               }
             });
   }
 
-  private void answerExisting(KubernetesObject object, int code, HttpExchange exchange) {
+  private void answerExisting(KubernetesObject object, int code, HttpExchange httpExchange) {
     read(
         object.reference(),
-        exchange,
+        httpExchange,
         found -> {
           if (found != null && found.uid().equals(object.uid())) {
-            exchange.answer(code, found.toJson(), 0);
+            httpExchange.answer(code, found.toJson(), 0);
           } else {
-            exchange.answer(KubernetesStatus.alreadyExists(object.reference().displayName()));
+            httpExchange.answer(KubernetesStatus.alreadyExists(object.reference().displayName()));
           }
         });
   }
@@ -217,13 +220,14 @@
   }
 
   /** A fresh read, whoever owns the object: no answer is older than one given before. */
-  void read(ObjectReference reference, HttpExchange exchange, Consumer<KubernetesObject> onRead) {
+  void read(
+      ObjectReference reference, HttpExchange httpExchange, Consumer<KubernetesObject> onRead) {
     store
         .getForUser(reference.key())
         .whenComplete(
             (entry, failure) -> {
               if (failure != null) {
-                exchange.answer(failureStatus(failure));
+                httpExchange.answer(failureStatus(failure));
               } else {
                 onRead.accept(
                     entry.value() == null
@@ -234,24 +238,24 @@
             });
   }
 
-  void get(ObjectReference reference, HttpExchange exchange) {
+  void get(ObjectReference reference, HttpExchange httpExchange) {
     read(
         reference,
-        exchange,
+        httpExchange,
         found -> {
           if (found == null) {
-            exchange.answer(KubernetesStatus.notFound(reference.displayName()));
+            httpExchange.answer(KubernetesStatus.notFound(reference.displayName()));
           } else {
-            exchange.answer(200, found.toJson(), 0);
+            httpExchange.answer(200, found.toJson(), 0);
           }
         });
   }
 
   /** A page of objects; {@code continue} names the last one looked at. */
-  void list(ObjectKind kind, String namespace, ListOptions options, HttpExchange exchange) {
+  void list(ObjectKind kind, String namespace, ListOptions options, HttpExchange httpExchange) {
     String prefix = KubernetesObject.keyPrefix(kind, namespace);
     if (!options.continueAfter().isEmpty() && !options.continueAfter().startsWith(prefix)) {
-      exchange.answer(KubernetesStatus.badRequest("continue: is not a token of this listing"));
+      httpExchange.answer(KubernetesStatus.badRequest("continue: is not a token of this listing"));
       return;
     }
     store
@@ -259,7 +263,7 @@
         .whenComplete(
             (page, failure) -> {
               if (failure != null) {
-                exchange.answer(failureStatus(failure));
+                httpExchange.answer(failureStatus(failure));
                 return;
               }
               ObjectNode list = Cbor.newMap().put("kind", kind.publishedName() + "List");
@@ -275,7 +279,7 @@
                   .map(e -> KubernetesObject.fromRow(e.key(), e.value(), e.modRevision()))
                   .filter(options.filterFor(namespace))
                   .forEach(o -> items.add(o.toJson()));
-              exchange.answer(200, list, 0);
+              httpExchange.answer(200, list, 0);
             });
   }
 
@@ -283,7 +287,7 @@
   void listAll(
       ObjectKind kind,
       String namespace,
-      HttpExchange exchange,
+      HttpExchange httpExchange,
       BiConsumer<List<KubernetesObject>, Long> onRead) {
     String prefix = KubernetesObject.keyPrefix(kind, namespace);
     store
@@ -291,9 +295,9 @@
         .whenComplete(
             (page, failure) -> {
               if (failure != null) {
-                exchange.answer(failureStatus(failure));
+                httpExchange.answer(failureStatus(failure));
               } else if (page.more()) {
-                exchange.answer(
+                httpExchange.answer(
                     KubernetesStatus.tooManyRequests("too many objects: list them in pages first"));
               } else {
                 onRead.accept(
@@ -306,7 +310,7 @@
   }
 
   /** Replaces what may change of an object. */
-  void replace(ObjectReference reference, ObjectNode manifest, HttpExchange exchange) {
+  void replace(ObjectReference reference, ObjectNode manifest, HttpExchange httpExchange) {
     List<FieldError> errors =
         translator.validate(reference.kind(), manifest, reference.namespace());
     if (errors.isEmpty()
@@ -315,7 +319,7 @@
           new FieldError("metadata.name", Cause.INVALID, "is not the name in the request's path"));
     }
     if (!errors.isEmpty()) {
-      exchange.answer(KubernetesStatus.invalid(reference.displayName(), errors));
+      httpExchange.answer(KubernetesStatus.invalid(reference.displayName(), errors));
       return;
     }
     JsonNode metadata = manifest.path("metadata");
@@ -325,67 +329,67 @@
         reference,
         metadata.path("uid").asText(""),
         metadata.path("resourceVersion").asText(""),
-        exchange,
+        httpExchange,
         found -> UpdateStrategy.replace(found, metadata, spec, loop.wallMillis()));
   }
 
-  void scale(ObjectReference reference, ObjectNode scale, HttpExchange exchange) {
+  void scale(ObjectReference reference, ObjectNode scale, HttpExchange httpExchange) {
     JsonNode replicas = scale.path("spec").path("replicas");
     JsonNode metadata = scale.path("metadata");
     List<FieldError> errors =
         UpdateStrategy.validateScale(scale, reference.name(), reference.namespace());
     if (!errors.isEmpty()) {
-      exchange.answer(KubernetesStatus.invalid("scale of " + reference.displayName(), errors));
+      httpExchange.answer(KubernetesStatus.invalid("scale of " + reference.displayName(), errors));
       return;
     }
     update(
         reference,
         metadata.path("uid").asText(""),
         metadata.path("resourceVersion").asText(""),
-        asScale(exchange),
+        asScale(httpExchange),
         found -> UpdateStrategy.scale(found, replicas.asInt()));
   }
 
   /** Gives answers about an object the form of its scale. */
-  private static HttpExchange asScale(HttpExchange exchange) {
-    return exchange.withAnswerFilter(
+  private static HttpExchange asScale(HttpExchange httpExchange) {
+    return httpExchange.withAnswerFilter(
         (code, body, retryAfterSeconds) ->
-            exchange.answer(
+            httpExchange.answer(
                 code, code < 300 ? UpdateStrategy.toScale(body) : body, retryAfterSeconds));
   }
 
-  void getScale(ObjectReference reference, HttpExchange exchange) {
-    get(reference, asScale(exchange));
+  void getScale(ObjectReference reference, HttpExchange httpExchange) {
+    get(reference, asScale(httpExchange));
   }
 
   private void update(
       ObjectReference reference,
       String uid,
       String resourceVersion,
-      HttpExchange exchange,
+      HttpExchange httpExchange,
       UpdateStrategy.Update change) {
-    tryUpdate(reference, uid, resourceVersion, exchange, change, MAX_ATTEMPTS, null);
+    tryUpdate(reference, uid, resourceVersion, httpExchange, change, MAX_ATTEMPTS, null);
   }
 
   private void tryUpdate(
       ObjectReference reference,
       String uid,
       String resourceVersion,
-      HttpExchange exchange,
+      HttpExchange httpExchange,
       UpdateStrategy.Update change,
       int attemptsLeft,
       KubernetesObject sent) {
     read(
         reference,
-        exchange,
+        httpExchange,
         found -> {
           if (found == null) {
-            exchange.answer(KubernetesStatus.notFound(reference.displayName()));
+            httpExchange.answer(KubernetesStatus.notFound(reference.displayName()));
             return;
           }
           if (sent != null && found.value().equals(sent.value())) {
             // An earlier try of the same write got through, though its answer was lost.
-            exchange.answer(200, found.toJson(), 0);
+            httpExchange.answer(200, found.toJson(), 0);
             return;
           }
           boolean sameObject = uid.isEmpty() || uid.equals(found.uid());
@@ -393,33 +397,34 @@
               resourceVersion.isEmpty()
                   || resourceVersion.equals(String.valueOf(found.resourceVersion()));
           if (!sameObject || !currentVersion || attemptsLeft == 0) {
-            exchange.answer(KubernetesStatus.conflict(reference.displayName()));
+            httpExchange.answer(KubernetesStatus.conflict(reference.displayName()));
             return;
           }
           UpdateStrategy.Result result = change.apply(found);
           if (!result.errors().isEmpty()) {
-            exchange.answer(KubernetesStatus.invalid(reference.displayName(), result.errors()));
+            httpExchange.answer(KubernetesStatus.invalid(reference.displayName(), result.errors()));
             return;
           }
           KubernetesObject next = result.next();
           if (next == found) {
-            exchange.answer(200, found.toJson(), 0);
+            httpExchange.answer(200, found.toJson(), 0);
             return;
           }
           if (Cbor.encode(next.value()).length
               > settings.stateStoreLimits().maxValueBytes() * 3 / 4) {
-            exchange.answer(KubernetesStatus.tooLarge("the object is too long to be kept"));
+            httpExchange.answer(KubernetesStatus.tooLarge("the object is too long to be kept"));
             return;
           }
           if (machineTypes.isEmpty()) {
-            exchange.answer(KubernetesStatus.unavailable("the machine types are not known yet"));
+            httpExchange.answer(
+                KubernetesStatus.unavailable("the machine types are not known yet"));
             return;
           }
           String reasonNeverRuns =
-              intake.findImpossibleReason(
+              jobAdmission.findImpossibleReason(
                   translator.toJobSpec(next, KubernetesObject.nativeJobId(next.uid(), 1).value()));
           if (reasonNeverRuns != null) {
-            exchange.answer(neverRunsStatus(next, reasonNeverRuns));
+            httpExchange.answer(neverRunsStatus(next, reasonNeverRuns));
             return;
           }
           store
@@ -430,16 +435,16 @@
               .whenComplete(
                   (outcome, failure) -> {
                     if (failure != null) {
-                      exchange.answer(failureStatus(failure));
+                      httpExchange.answer(failureStatus(failure));
                     } else if (outcome.applied()) {
-                      exchange.answer(
+                      httpExchange.answer(
                           200, next.withResourceVersion(outcome.revision()).toJson(), 0);
                     } else {
                       tryUpdate(
                           reference,
                           uid,
                           resourceVersion,
-                          exchange,
+                          httpExchange,
                           change,
                           attemptsLeft - 1,
                           next);
@@ -453,11 +458,12 @@
    * owner, or whoever takes the entity over, which tasks are to end; in the foreground it stays
    * until they have.
    */
-  void delete(ObjectReference reference, ObjectNode options, String policy, HttpExchange exchange) {
+  void delete(
+      ObjectReference reference, ObjectNode options, String policy, HttpExchange httpExchange) {
     for (var fields = options.fieldNames(); fields.hasNext(); ) {
       String field = fields.next();
       if (!DELETE_OPTION_FIELDS.contains(field)) {
-        exchange.answer(
+        httpExchange.answer(
             KubernetesStatus.invalid(
                 "DeleteOptions",
                 List.of(new FieldError(field, Cause.NOT_SUPPORTED, "the field is not supported"))));
@@ -466,7 +472,7 @@
     }
     String requestedPolicy = options.path("propagationPolicy").asText(policy);
     if (!PROPAGATION_POLICIES.contains(requestedPolicy)) {
-      exchange.answer(
+      httpExchange.answer(
           KubernetesStatus.invalid(
               "DeleteOptions",
               List.of(
@@ -476,27 +482,28 @@
                       "must be Background or Foreground: tasks do not outlive their object"))));
       return;
     }
-    tryDelete(reference, options.path("preconditions"), requestedPolicy, exchange, MAX_ATTEMPTS);
+    tryDelete(
+        reference, options.path("preconditions"), requestedPolicy, httpExchange, MAX_ATTEMPTS);
   }
 
   private void tryDelete(
       ObjectReference reference,
       JsonNode preconditions,
       String policy,
-      HttpExchange exchange,
+      HttpExchange httpExchange,
       int attemptsLeft) {
     read(
         reference,
-        exchange,
+        httpExchange,
         found -> {
           if (found == null && attemptsLeft < MAX_ATTEMPTS) {
             // Conditional on a state that is gone: an earlier try of ours, or somebody else's.
-            exchange.answer(
+            httpExchange.answer(
                 200, KubernetesStatus.success(reference.kind().plural(), reference.name(), ""), 0);
             return;
           }
           if (found == null) {
-            exchange.answer(KubernetesStatus.notFound(reference.displayName()));
+            httpExchange.answer(KubernetesStatus.notFound(reference.displayName()));
             return;
           }
           boolean sameObject = preconditions.path("uid").asText(found.uid()).equals(found.uid());
@@ -504,7 +511,7 @@
           boolean currentVersion =
               preconditions.path("resourceVersion").asText(resourceVersion).equals(resourceVersion);
           if (!sameObject || !currentVersion || attemptsLeft == 0) {
-            exchange.answer(KubernetesStatus.conflict(reference.displayName()));
+            httpExchange.answer(KubernetesStatus.conflict(reference.displayName()));
             return;
           }
           long nowMillis = loop.wallMillis();
@@ -516,7 +523,7 @@
             transaction.delete(found.key()).put(found.deletedKey(), found.toDeletedRow(nowMillis));
             Tombstones.markDeletion(transaction, found.key(), nowMillis);
           } else if (found.isDeleting()) {
-            exchange.answer(200, found.toJson(), 0);
+            httpExchange.answer(200, found.toJson(), 0);
             return;
           } else {
             transaction.put(found.key(), marked.value());
@@ -526,17 +533,17 @@
               .whenComplete(
                   (outcome, failure) -> {
                     if (failure != null) {
-                      exchange.answer(failureStatus(failure));
+                      httpExchange.answer(failureStatus(failure));
                     } else if (!outcome.applied()) {
-                      tryDelete(reference, preconditions, policy, exchange, attemptsLeft - 1);
+                      tryDelete(reference, preconditions, policy, httpExchange, attemptsLeft - 1);
                     } else if (background) {
-                      exchange.answer(
+                      httpExchange.answer(
                           200,
                           KubernetesStatus.success(
                               reference.kind().plural(), reference.name(), found.uid()),
                           0);
                     } else {
-                      exchange.answer(
+                      httpExchange.answer(
                           200, marked.withResourceVersion(outcome.revision()).toJson(), 0);
                     }
                   });
--- a/src/main/java/io/violetrail/kubernetes/PodLister.java
+++ b/src/main/java/io/violetrail/kubernetes/PodLister.java
@@ -30,7 +30,7 @@
   private static final double PEER_TIMEOUT_SECONDS = 1.5;
 
   private final Settings settings;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final ObjectReconciler reconciler;
   private final HttpClient http;
@@ -38,13 +38,13 @@
 
   PodLister(
       Settings settings,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       ObjectReconciler reconciler,
       HttpClient http,
       int port) {
     this.settings = settings;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.reconciler = reconciler;
     this.http = http;
@@ -62,7 +62,7 @@
   }
 
   /** All pods that are asked for, of all entities. */
-  void list(String namespace, ListOptions options, HttpExchange exchange) {
+  void list(String namespace, ListOptions options, HttpExchange httpExchange) {
     List<CompletableFuture<List<ObjectNode>>> podsByEntity = new ArrayList<>();
     for (ControllerId entity : settings.controllers()) {
       podsByEntity.add(fetchPods(entity, namespace, options));
@@ -71,13 +71,14 @@
         .whenComplete(
             (nothing, failure) -> {
               if (failure != null) {
-                exchange.answer(KubernetesStatus.unavailable("an owner of tasks does not answer"));
+                httpExchange.answer(
+                    KubernetesStatus.unavailable("an owner of tasks does not answer"));
                 return;
               }
               List<ObjectNode> pods = new ArrayList<>();
               podsByEntity.forEach(f -> pods.addAll(f.join()));
               pods.sort(byNamespaceAndName());
-              exchange.answer(200, toPage(pods, options), 0);
+              httpExchange.answer(200, toPage(pods, options), 0);
             });
   }
 
@@ -95,19 +96,19 @@
     return list;
   }
 
-  void get(String namespace, String name, HttpExchange exchange) {
+  void get(String namespace, String name, HttpExchange httpExchange) {
     ListOptions options =
         new ListOptions(LabelSelector.EVERYTHING, name, 1, "", false, false, "", 0);
     list(
         namespace,
         options,
-        exchange.withAnswerFilter(
+        httpExchange.withAnswerFilter(
             (code, body, retryAfterSeconds) -> {
               JsonNode pod = body.path("items").path(0);
               if (code == 200 && pod.isMissingNode()) {
-                exchange.answer(KubernetesStatus.notFound("pods \"" + name + "\""));
+                httpExchange.answer(KubernetesStatus.notFound("pods \"" + name + "\""));
               } else {
-                exchange.answer(code, code == 200 ? (ObjectNode) pod : body, retryAfterSeconds);
+                httpExchange.answer(code, code == 200 ? (ObjectNode) pod : body, retryAfterSeconds);
               }
             }));
   }
@@ -118,9 +119,9 @@
     if (own != null) {
       return CompletableFuture.completedFuture(own);
     }
-    ControllerId owner = directory.findLatestOwner(entity);
+    ControllerId owner = clusterView.findLatestOwner(entity);
     var peer = owner == null ? null : settings.peers().get(owner);
-    if (peer == null || !directory.isAlive(owner)) {
+    if (peer == null || !clusterView.isAlive(owner)) {
       return CompletableFuture.failedFuture(new IllegalStateException("no owner to ask"));
     }
     String path =
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -61,7 +61,7 @@
   private final EventLoop loop;
   private final StateStore store;
   private final ClusterView clusterView;
-  private final LeaseTiming timing;
+  private final LeaseTiming leaseTiming;
   private final Listener listener;
   private final Map<ControllerId, OwnedEntity> ownedEntities = new HashMap<>();
   private final Set<ControllerId> movesInProgress = new HashSet<>();
@@ -84,13 +84,13 @@
       EventLoop loop,
       StateStore store,
       ClusterView clusterView,
-      LeaseTiming timing,
+      LeaseTiming leaseTiming,
       Listener listener) {
     this.settings = settings;
     this.loop = loop;
     this.store = store;
     this.clusterView = clusterView;
-    this.timing = timing;
+    this.leaseTiming = leaseTiming;
     this.listener = listener;
   }
 
@@ -98,7 +98,7 @@
   public void start() {
     startedAtSeconds = loop.monotonicSeconds();
     acquireLease();
-    loop.scheduleWithFixedDelay(timing.renewIntervalSeconds(), this::renewLease);
+    loop.scheduleWithFixedDelay(leaseTiming.renewIntervalSeconds(), this::renewLease);
     loop.scheduleWithFixedDelay(CHECK_INTERVAL_SECONDS, this::checkOwnership);
   }
 
@@ -119,7 +119,7 @@
 
   /** In doubt, but still allowed to keep workers' leases alive. */
   public boolean mayKeepWorkersAlive() {
-    return loop.monotonicSeconds() < validUntilSeconds + timing.keepAliveGraceSeconds();
+    return loop.monotonicSeconds() < validUntilSeconds + leaseTiming.keepAliveGraceSeconds();
   }
 
   /** The entity if held here; null otherwise. */
@@ -145,7 +145,7 @@
   private void acquireLease() {
     double sentAtSeconds = loop.monotonicSeconds();
     store
-        .grantLease(timing.ttlSeconds())
+        .grantLease(leaseTiming.ttlSeconds())
         .thenCombine(
             store.list(StateSchema.COMMON_PREFIX),
             (id, listing) -> {
@@ -210,7 +210,7 @@
               }
               leaseId = OptionalLong.of(newLeaseId);
               validUntilSeconds =
-                  sentAtSeconds + timing.ttlSeconds() - timing.safetyMarginSeconds();
+                  sentAtSeconds + leaseTiming.ttlSeconds() - leaseTiming.safetyMarginSeconds();
               clusterView.apply(
                   new RowChange(
                       StateSchema.livenessKey(self),
@@ -227,7 +227,7 @@
   }
 
   private OwnershipHistory historyAfterMove(EntityRow row, boolean isFailover) {
-    return timing.historyAfterMove(
+    return leaseTiming.historyAfterMove(
         row == null ? OwnershipHistory.NONE : row.history(), loop.wallMillis(), isFailover);
   }
 
@@ -238,7 +238,7 @@
 
   /** Whether workers' leases may be renewed while the entity's rows are still being read. */
   public boolean mayRenewWhileLoading(OwnedEntity entity) {
-    return timing.mayRenewWhileLoading(entity.row().history(), loop.wallMillis());
+    return leaseTiming.mayRenewWhileLoading(entity.row().history(), loop.wallMillis());
   }
 
   private void giveUpChangedEntity(String key) {
@@ -274,7 +274,9 @@
                 validUntilSeconds =
                     Math.max(
                         validUntilSeconds,
-                        sentAtSeconds + timing.ttlSeconds() - timing.safetyMarginSeconds());
+                        sentAtSeconds
+                            + leaseTiming.ttlSeconds()
+                            - leaseTiming.safetyMarginSeconds());
               } else {
                 LOG.info("lease {} has ended", renewedLeaseId);
                 leaseId = OptionalLong.empty();
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -32,14 +32,14 @@
   private static final double CANCEL_TIMEOUT_SECONDS = 3;
 
   private final Settings settings;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final HttpClient http;
   private final PeerCodec codec;
 
   /** Sends to the peers that the settings name. */
-  public PeerClient(Settings settings, ClusterView directory, HttpClient http, PeerCodec codec) {
+  public PeerClient(Settings settings, ClusterView clusterView, HttpClient http, PeerCodec codec) {
     this.settings = settings;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.http = http;
     this.codec = codec;
   }
@@ -144,7 +144,7 @@
 
   private void callAllAlive(PeerRequest request) {
     settings.peers().keySet().stream()
-        .filter(directory::isAlive)
+        .filter(clusterView::isAlive)
         .forEach(peer -> call(peer, request, TIMEOUT_SECONDS));
   }
 
@@ -164,7 +164,7 @@
     }
     try {
       return codec.decode(reply.body(), PeerResponse.class);
-    } catch (KryoException e) {
+    } catch (KryoException exception) {
       throw new StateUnavailableException("the peer's answer is unclear", 0);
     }
   }
--- a/src/main/java/io/violetrail/peer/PeerJobViews.java
+++ b/src/main/java/io/violetrail/peer/PeerJobViews.java
@@ -12,14 +12,14 @@
 
 /** Asks peers for the states of jobs, many in one message, and remembers what cannot change. */
 public final class PeerJobViews {
-  private final PeerClient peers;
-  private final JobLifecycle jobs;
+  private final PeerClient peerClient;
+  private final JobLifecycle jobLifecycle;
   private final JobQueryBatcher batcher = new JobQueryBatcher(this::ask);
 
   /** Lets the jobs learn what peers answer. */
-  public PeerJobViews(PeerClient peers, JobLifecycle jobs) {
-    this.peers = peers;
-    this.jobs = jobs;
+  public PeerJobViews(PeerClient peerClient, JobLifecycle jobLifecycle) {
+    this.peerClient = peerClient;
+    this.jobLifecycle = jobLifecycle;
   }
 
   /** Asks the owner of a job for its current state; fails if the owner does not know it. */
@@ -28,7 +28,7 @@
   }
 
   private CompletableFuture<Map<JobId, JobView>> ask(ControllerId owner, List<JobId> ids) {
-    return peers.jobStatuses(owner, ids).thenApply(this::learn);
+    return peerClient.jobStatuses(owner, ids).thenApply(this::learn);
   }
 
   private Map<JobId, JobView> learn(List<JobViewMessage> statuses) {
@@ -38,7 +38,7 @@
       JobView view = status.toView();
       known.put(id, view);
       if (!status.entity().isEmpty()) {
-        jobs.recordFromPeer(id, new ControllerId(status.entity()), view);
+        jobLifecycle.recordFromPeer(id, new ControllerId(status.entity()), view);
       }
     }
     return known;
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -31,11 +31,11 @@
 
   private final Membership membership;
   private final Configuration configuration;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
-  private final WorkerReachability reachability;
-  private final TransferRequests transfers;
-  private final ScaleOutRequests hires;
+  private final WorkerReachability workerReachability;
+  private final TransferRequests transferRequests;
+  private final ScaleOutRequests scaleOutRequests;
   private final WriteBudgetLending lending;
   private final PeerCodec codec;
 
@@ -43,20 +43,20 @@
   public PeerService(
       Membership membership,
       Configuration configuration,
-      JobLifecycle jobs,
+      JobLifecycle jobLifecycle,
       JobStateLookup jobStates,
-      WorkerReachability reachability,
-      TransferRequests transfers,
-      ScaleOutRequests hires,
+      WorkerReachability workerReachability,
+      TransferRequests transferRequests,
+      ScaleOutRequests scaleOutRequests,
       WriteBudgetLending lending,
       PeerCodec codec) {
     this.membership = membership;
     this.configuration = configuration;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.jobStates = jobStates;
-    this.reachability = reachability;
-    this.transfers = transfers;
-    this.hires = hires;
+    this.workerReachability = workerReachability;
+    this.transferRequests = transferRequests;
+    this.scaleOutRequests = scaleOutRequests;
     this.lending = lending;
     this.codec = codec;
   }
@@ -70,8 +70,8 @@
     PeerRequest request;
     try {
       request = codec.decode(body, PeerRequest.class);
-    } catch (KryoException e) {
-      LOG.info("a peer's message is unclear: {}", e.getMessage());
+    } catch (KryoException exception) {
+      LOG.info("a peer's message is unclear: {}", exception.getMessage());
       respond.accept(HttpAnswer.empty(400));
       return;
     }
@@ -88,7 +88,7 @@
       case CANCEL -> cancel(new JobId(request.subject()), respond);
       case HEARS ->
           respond.accept(
-              reachability.receivesHeartbeats() ? PeerResponse.YES : PeerResponse.UNKNOWN);
+              workerReachability.receivesHeartbeats() ? PeerResponse.YES : PeerResponse.UNKNOWN);
       case BUDGET -> respond.accept(PeerResponse.of(lending.lend(request.number())));
       case CONFIGURATION -> respond.accept(configurationState());
       default -> {
@@ -104,7 +104,7 @@
       case HAND_BACK -> handBack(request);
       case SOLD_OUT -> soldOut(request.subject());
       case RESOURCES ->
-          transfers.handleRequests(new ControllerId(request.subject()), request.requests());
+          transferRequests.handleRequests(new ControllerId(request.subject()), request.requests());
       case MOVED ->
           membership.onOwnershipAnnounced(
               new ControllerId(request.subject()), new Version(request.number()));
@@ -122,7 +122,8 @@
   private void soldOut(String subject) {
     String[] offer = subject.split(" ", 3);
     if (offer.length == 3) {
-      hires.markSoldOut(new MachineOffering(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
+      scaleOutRequests.markSoldOut(
+          new MachineOffering(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
     }
   }
 
@@ -137,21 +138,22 @@
       JobId id = new JobId(text);
       JobView view = jobStates.knownView(id);
       if (view != null) {
-        known.add(JobViewMessage.of(view, jobs.findEntityOf(id)));
+        known.add(JobViewMessage.of(view, jobLifecycle.findEntityOf(id)));
       }
     }
     return new PeerResponse(true, known);
   }
 
   private void cancel(JobId id, Consumer<PeerResponse> done) {
-    JobView ended = jobs.findTerminalView(id);
+    JobView ended = jobLifecycle.findTerminalView(id);
     OwnedEntity entity = jobStates.entityOfOpenJob(id);
     if (ended != null) {
       done.accept(PeerResponse.of(ended));
     } else if (entity == null || !membership.isLeaseValid()) {
       done.accept(PeerResponse.UNKNOWN);
     } else {
-      jobs.cancel(entity, entity.jobs().get(id))
+      jobLifecycle
+          .cancel(entity, entity.jobs().get(id))
           .whenComplete(
               (view, failure) ->
                   done.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN));
--- a/src/main/java/io/violetrail/scheduling/BinPacker.java
+++ b/src/main/java/io/violetrail/scheduling/BinPacker.java
@@ -25,7 +25,7 @@
   private static final double URGENT_FETCH_WEIGHT = 1.5;
 
   private final ServiceLevelObjectives objectives;
-  private final RuntimeEstimates estimates;
+  private final RuntimeEstimates runtimeEstimates;
   private final Random random;
   private final int sampleSize;
 
@@ -53,11 +53,11 @@
   /** Compares {@code sampleSize} machines for each task. */
   public BinPacker(
       ServiceLevelObjectives objectives,
-      RuntimeEstimates estimates,
+      RuntimeEstimates runtimeEstimates,
       Random random,
       int sampleSize) {
     this.objectives = objectives;
-    this.estimates = estimates;
+    this.runtimeEstimates = runtimeEstimates;
     this.random = random;
     this.sampleSize = sampleSize;
   }
@@ -283,7 +283,7 @@
             nowSeconds,
             () ->
                 objectives.maxPriceRatio(
-                    job, nowSeconds, estimates.expectedRuntimeSeconds(job.spec())));
+                    job, nowSeconds, runtimeEstimates.expectedRuntimeSeconds(job.spec())));
     // Late small tasks in the processors left over kept dear machines rented that had no other use.
     boolean usesLeftoverCpus =
         job.spec().taskResources().gpus() == 0
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -22,7 +22,7 @@
   private final SchedulingLoop schedulingLoop;
   private final MachineLivenessMonitor liveness;
   private final GangRepair gangRepair;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
 
   /** Works on what the membership says is owned here. */
   public EntityMaintenance(
@@ -32,14 +32,14 @@
       SchedulingLoop schedulingLoop,
       MachineLivenessMonitor liveness,
       GangRepair gangRepair,
-      JobLifecycle jobs) {
+      JobLifecycle jobLifecycle) {
     this.loop = loop;
     this.membership = membership;
     this.pendingQueues = pendingQueues;
     this.schedulingLoop = schedulingLoop;
     this.liveness = liveness;
     this.gangRepair = gangRepair;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
   }
 
   /** Begins the periodic work. */
@@ -63,9 +63,9 @@
     }
     for (Job job : List.copyOf(entity.jobs().values())) {
       gangRepair.stopIncomplete(entity, job, now);
-      jobs.handleProgress(entity, job);
+      jobLifecycle.handleProgress(entity, job);
     }
-    jobs.flushProgress(entity);
+    jobLifecycle.flushProgress(entity);
     if (!pendingQueues.inOrder(entity).isEmpty()) {
       schedulingLoop.requestPass();
     }
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -21,8 +21,8 @@
 
   private static final double SILENT_SLACK_SECONDS = 1;
 
-  private final ClusterView directory;
-  private final LeaseTiming timing;
+  private final ClusterView clusterView;
+  private final LeaseTiming leaseTiming;
   private final double heartbeatSeconds;
   private final double periodSeconds;
 
@@ -33,9 +33,12 @@
    * @param periodSeconds the interval at which {@link #check} is called
    */
   public MachineLivenessMonitor(
-      ClusterView directory, LeaseTiming timing, double heartbeatSeconds, double periodSeconds) {
-    this.directory = directory;
-    this.timing = timing;
+      ClusterView clusterView,
+      LeaseTiming leaseTiming,
+      double heartbeatSeconds,
+      double periodSeconds) {
+    this.clusterView = clusterView;
+    this.leaseTiming = leaseTiming;
     this.heartbeatSeconds = heartbeatSeconds;
     this.periodSeconds = periodSeconds;
   }
@@ -49,10 +52,10 @@
     if (!machine.unresponsive() && now - machine.lastHeartbeatAtSeconds() > silentAfterSeconds()) {
       markSilent(entity, machine, now);
     }
-    if (!machine.tasksKnown() && directory.anyControllerRepliesWithoutToken()) {
+    if (!machine.tasksKnown() && clusterView.anyControllerRepliesWithoutToken()) {
       // Its worker may have seen no token yet, and then that controller's answers keep its lease.
       // This ends with the upgrade, or with the machine's return to the cloud.
-      double keptUntil = now + periodSeconds + timing.tasksGoneAfterReplySeconds();
+      double keptUntil = now + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
       machine.mayHoldTasksUntil(keptUntil);
     }
     if (machine.unresponsive()
@@ -68,7 +71,7 @@
 
   private boolean leaseIsOver(Machine machine, double now) {
     return machine.tasksKnown()
-        ? now - machine.lastAnsweredAtSeconds() > timing.tasksGoneAfterReplySeconds()
+        ? now - machine.lastAnsweredAtSeconds() > leaseTiming.tasksGoneAfterReplySeconds()
         : now > machine.unreportedTasksGoneAtSeconds();
   }
 
@@ -95,7 +98,7 @@
         machine.id(),
         machine.placements().size(),
         tenths(now - machine.lastAnsweredAtSeconds()),
-        tenths(timing.tasksGoneAfterReplySeconds()),
+        tenths(leaseTiming.tasksGoneAfterReplySeconds()),
         machine.tasksKnown());
     machine.leaseExpired();
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
--- a/src/main/java/io/violetrail/scheduling/PendingQueue.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueue.java
@@ -27,14 +27,15 @@
 
   private final OwnedEntity entity;
   private final ServiceLevelObjectives objectives;
-  private final RuntimeEstimates estimates;
+  private final RuntimeEstimates runtimeEstimates;
   private List<Job> order = List.of();
   private double orderedAtSeconds = Double.NEGATIVE_INFINITY;
 
-  PendingQueue(OwnedEntity entity, ServiceLevelObjectives objectives, RuntimeEstimates estimates) {
+  PendingQueue(
+      OwnedEntity entity, ServiceLevelObjectives objectives, RuntimeEstimates runtimeEstimates) {
     this.entity = entity;
     this.objectives = objectives;
-    this.estimates = estimates;
+    this.runtimeEstimates = runtimeEstimates;
   }
 
   /** A job has come, or tasks wait again. */
@@ -70,7 +71,7 @@
           firstTaskJobs.add(job);
           continue;
         }
-        double runtimeSeconds = estimates.expectedRuntimeSeconds(job.spec());
+        double runtimeSeconds = runtimeEstimates.expectedRuntimeSeconds(job.spec());
         // What fails wherever it goes comes after all that may be in time.
         boolean suspect = job.failureHistory().isSuspect();
         double deadlineAtSeconds =
--- a/src/main/java/io/violetrail/scheduling/PendingQueues.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueues.java
@@ -10,8 +10,8 @@
 /** The queues of pending jobs, one for each entity owned here. */
 public final class PendingQueues {
   private final EventLoop loop;
-  private final ServiceLevelObjectives aims;
-  private final RuntimeEstimates estimates;
+  private final ServiceLevelObjectives serviceLevelObjectives;
+  private final RuntimeEstimates runtimeEstimates;
   private final SchedulingLoop schedulingLoop;
   private final Map<OwnedEntity, PendingQueue> queues = new HashMap<>();
 
@@ -19,18 +19,19 @@
   public PendingQueues(
       EventLoop loop,
       ServiceLevelObjectives objectives,
-      RuntimeEstimates estimates,
+      RuntimeEstimates runtimeEstimates,
       SchedulingLoop schedulingLoop) {
     this.loop = loop;
-    this.aims = objectives;
-    this.estimates = estimates;
+    this.serviceLevelObjectives = objectives;
+    this.runtimeEstimates = runtimeEstimates;
     this.schedulingLoop = schedulingLoop;
   }
 
   /** Jobs of the entity with unplaced tasks, the most urgent first. */
   public List<Job> inOrder(OwnedEntity entity) {
     return queues
-        .computeIfAbsent(entity, owned -> new PendingQueue(owned, aims, estimates))
+        .computeIfAbsent(
+            entity, owned -> new PendingQueue(owned, serviceLevelObjectives, runtimeEstimates))
         .orderedJobs(loop.monotonicSeconds());
   }
 
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -32,8 +32,8 @@
   private final BinPacker binPacker;
   private final Preemption preemption;
   private final MachineDrainer drainer;
-  private final QuotaTransfer quotas;
-  private final TransferRequests transfers;
+  private final QuotaTransfer quotaTransfer;
+  private final TransferRequests transferRequests;
   private final LongPolls longPolls;
 
   /** Machines with new placements whose workers may be waiting. */
@@ -46,22 +46,22 @@
       Configuration configuration,
       MachineTypes machineTypes,
       PendingQueues pendingQueues,
-      BinPacker placer,
+      BinPacker binPacker,
       Preemption preemption,
       MachineDrainer drainer,
-      QuotaTransfer quotas,
-      TransferRequests transfers,
+      QuotaTransfer quotaTransfer,
+      TransferRequests transferRequests,
       LongPolls longPolls) {
     this.loop = loop;
     this.membership = membership;
     this.configuration = configuration;
     this.machineTypes = machineTypes;
     this.pendingQueues = pendingQueues;
-    this.binPacker = placer;
+    this.binPacker = binPacker;
     this.preemption = preemption;
     this.drainer = drainer;
-    this.quotas = quotas;
-    this.transfers = transfers;
+    this.quotaTransfer = quotaTransfer;
+    this.transferRequests = transferRequests;
     this.longPolls = longPolls;
   }
 
@@ -106,14 +106,14 @@
       }
       Resources quota =
           remainingQuotaByTeam.computeIfAbsent(
-              job.spec().team(), t -> quotas.availableQuota(entity, t, nowSeconds));
+              job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, nowSeconds));
       Resources used =
           BinPacker.startsTaskByTask(job)
               ? placeTasks(entity, job, schedulableMachines, quota, nowSeconds)
               : placeGang(entity, job, schedulableMachines, quota, nowSeconds);
       remainingQuotaByTeam.put(job.spec().team(), quota.minus(used));
     }
-    transfers.requestMissingResources(entity);
+    transferRequests.requestMissingResources(entity);
   }
 
   /** Fills what has become free on a machine, for the answer to its report. */
@@ -135,7 +135,7 @@
       }
       Resources quota =
           remainingQuotaByTeam.computeIfAbsent(
-              job.spec().team(), t -> quotas.availableQuota(entity, t, nowSeconds));
+              job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, nowSeconds));
       Resources used = Resources.NONE;
       if (BinPacker.startsTaskByTask(job)) {
         if (binPacker.hasRoomOnFullerMachines(
--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -54,7 +54,7 @@
         throw new MalformedMessageException("the body is not one CBOR map");
       }
       return map;
-    } catch (IOException | RuntimeException e) {
+    } catch (IOException | RuntimeException exception) {
       throw new MalformedMessageException("the body is not CBOR");
     }
   }
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -23,13 +23,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(CommandWriter.class);
 
   private final Configuration configuration;
-  private final JobTracer traces;
+  private final JobTracer jobTracer;
   private final EvidenceLog evidence;
 
   /** Notes launches in the traces and in the evidence log. */
-  public CommandWriter(Configuration configuration, JobTracer traces, EvidenceLog evidence) {
+  public CommandWriter(Configuration configuration, JobTracer jobTracer, EvidenceLog evidence) {
     this.configuration = configuration;
-    this.traces = traces;
+    this.jobTracer = jobTracer;
     this.evidence = evidence;
   }
 
@@ -62,7 +62,7 @@
     placement.launched();
     LOG.debug(
         "task {} try {} launched on {}", placement.taskId(), placement.attempt(), machine.id());
-    traces.taskLaunched(placement.job().spec().id(), machine.id());
+    jobTracer.taskLaunched(placement.job().spec().id(), machine.id());
     TaskDeparture from = placement.job().removeLastDeparture(placement.taskIndex());
     if (from != null) {
       evidence.recordStartElsewhere(placement.taskId(), placement.attempt(), machine.id(), from);
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -24,10 +24,10 @@
  */
 public final class HeartbeatHandler {
   private final EventLoop loop;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final EntityMachines machines;
-  private final WorkerReachability reachability;
+  private final WorkerReachability workerReachability;
   private final LongPolls longPolls;
   private final LastHeartbeats lastHeartbeats;
   private final WorkerRouter router;
@@ -39,24 +39,24 @@
   /** Routes heartbeats between the given parts. */
   public HeartbeatHandler(
       EventLoop loop,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
       EntityMachines machines,
-      WorkerReachability reachability,
+      WorkerReachability workerReachability,
       LongPolls longPolls,
-      LastHeartbeats contacts,
+      LastHeartbeats lastHeartbeats,
       WorkerRouter router,
       MachineAdoption adoption,
       OwnedMachineHeartbeat ownedMachine,
       LeaseRenewal leaseRenewal,
       CommandWriter commandWriter) {
     this.loop = loop;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.machines = machines;
-    this.reachability = reachability;
+    this.workerReachability = workerReachability;
     this.longPolls = longPolls;
-    this.lastHeartbeats = contacts;
+    this.lastHeartbeats = lastHeartbeats;
     this.router = router;
     this.adoption = adoption;
     this.ownedMachine = ownedMachine;
@@ -87,7 +87,7 @@
   }
 
   private void handle(WorkerReport report, Consumer<HeartbeatReply> replyConsumer) {
-    reachability.recordHeartbeat(report);
+    workerReachability.recordHeartbeat(report);
     longPolls.endSuperseded(report.machineId());
     if (machines.wasReturned(report.machineId())) {
       // Taken back for certain, though its record still stands: a report that was held back brought
@@ -95,7 +95,7 @@
       replyConsumer.accept(HeartbeatReply.redirected(null));
       return;
     }
-    MachineRow row = directory.findMachineRow(report.machineId());
+    MachineRow row = clusterView.findMachineRow(report.machineId());
     if (row == null) {
       adoption.adopt(
           report,
@@ -168,7 +168,7 @@
   /** The answer to a report that was kept open, with what there is to do by now. */
   private HeartbeatReply answerParked(
       Machine machine, WorkerReport report, List<WorkerCommand> parkedCommands) {
-    MachineRow row = directory.findMachineRow(machine.id());
+    MachineRow row = clusterView.findMachineRow(machine.id());
     OwnedEntity entity = row == null ? null : membership.findOwnedEntity(row.entity());
     if (row != null && (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING)) {
       return router.route(row, entity, report);
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -25,13 +25,13 @@
   static final int MAX_COMMANDS = 400;
 
   private final Membership membership;
-  private final JobLifecycle jobs;
+  private final JobLifecycle jobLifecycle;
   private final EvidenceLog evidence;
 
   /** Halts what the jobs say is over. */
-  public LeaseRenewal(Membership membership, JobLifecycle jobs, EvidenceLog evidence) {
+  public LeaseRenewal(Membership membership, JobLifecycle jobLifecycle, EvidenceLog evidence) {
     this.membership = membership;
-    this.jobs = jobs;
+    this.jobLifecycle = jobLifecycle;
     this.evidence = evidence;
   }
 
@@ -52,7 +52,7 @@
     Set<WorkerCommand> all = new LinkedHashSet<>();
     for (TaskReport task : report.tasks()) {
       if (task.state() != TaskState.EXITED
-          && jobs.isFinishedOrCancelled(entity, task.taskId().jobId())) {
+          && jobLifecycle.isFinishedOrCancelled(entity, task.taskId().jobId())) {
         all.add(new WorkerCommand(CommandType.STOP, task.taskId(), task.attempt(), 0));
       }
     }
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -32,7 +32,7 @@
   private static final int MAX_REMEMBERED = 2_000;
 
   private final EventLoop loop;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final double startedAtSeconds;
@@ -43,9 +43,9 @@
 
   /** Adopts into the entity that the membership says is this controller's own. */
   public MachineAdoption(
-      EventLoop loop, ClusterView directory, Membership membership, MachineTypes machineTypes) {
+      EventLoop loop, ClusterView clusterView, Membership membership, MachineTypes machineTypes) {
     this.loop = loop;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.startedAtSeconds = loop.monotonicSeconds();
@@ -61,11 +61,11 @@
       WorkerReport report,
       BiConsumer<OwnedEntity, MachineRow> adopted,
       Consumer<HeartbeatReply> done) {
-    OwnedEntity own = membership.findHomeEntity();
-    if (own == null
-        || !own.isActive()
+    OwnedEntity ownEntity = membership.findHomeEntity();
+    if (ownEntity == null
+        || !ownEntity.isActive()
         || !membership.isLeaseValid()
-        || directory.wasTerminated(report.machineId())
+        || clusterView.wasTerminated(report.machineId())
         || machineTypes.find(report.machineType()) == null) {
       done.accept(HeartbeatReply.redirected(null));
       return;
@@ -74,8 +74,9 @@
       done.accept(HeartbeatReply.withoutRenewal(report));
       return;
     }
-    MachineRow row = newRow(own, report);
-    own.machineRecords()
+    MachineRow row = newRow(ownEntity, report);
+    ownEntity
+        .machineRecords()
         .add(row)
         .whenComplete(
             (stored, failure) -> {
@@ -84,25 +85,28 @@
                 return;
               }
               LOG.info(
-                  "machine {} adopted by entity {} version {}", row.id(), own.id(), row.term());
-              adopted.accept(own, stored);
+                  "machine {} adopted by entity {} version {}",
+                  row.id(),
+                  ownEntity.id(),
+                  row.term());
+              adopted.accept(ownEntity, stored);
             });
   }
 
-  private MachineRow newRow(OwnedEntity own, WorkerReport report) {
+  private MachineRow newRow(OwnedEntity ownEntity, WorkerReport report) {
     // Strictly above what its worker has seen: a report held back for minutes then shows its age.
     Version seen =
-        report.fencingToken().compareTo(own.row().version()) > 0
+        report.fencingToken().compareTo(ownEntity.row().version()) > 0
             ? report.fencingToken()
-            : own.row().version();
+            : ownEntity.row().version();
     return new MachineRow(
         report.machineId(),
-        own.id(),
+        ownEntity.id(),
         report.machineType(),
         report.zone(),
         report.spot(),
         true,
-        seen.nextOwnedBy(own.row().version().ownerIndex()),
+        seen.nextOwnedBy(ownEntity.row().version().ownerIndex()),
         loop.wallMillis());
   }
 
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -22,10 +22,10 @@
  */
 public final class OwnedMachineHeartbeat {
   private final EventLoop loop;
-  private final LeaseTiming timing;
+  private final LeaseTiming leaseTiming;
   private final Membership membership;
   private final EntityMachines machines;
-  private final TaskScheduler dispatcher;
+  private final TaskScheduler taskScheduler;
   private final MachineDrainer drainer;
   private final SchedulingLoop schedulingLoop;
   private final ReportReconciler reconciler;
@@ -35,20 +35,20 @@
   /** Processes heartbeats through the given parts. */
   public OwnedMachineHeartbeat(
       EventLoop loop,
-      LeaseTiming timing,
+      LeaseTiming leaseTiming,
       Membership membership,
       EntityMachines machines,
-      TaskScheduler dispatcher,
+      TaskScheduler taskScheduler,
       MachineDrainer drainer,
       SchedulingLoop schedulingLoop,
       ReportReconciler reconciler,
       LeaseRenewal leaseRenewal,
       CommandWriter commandWriter) {
     this.loop = loop;
-    this.timing = timing;
+    this.leaseTiming = leaseTiming;
     this.membership = membership;
     this.machines = machines;
-    this.dispatcher = dispatcher;
+    this.taskScheduler = taskScheduler;
     this.drainer = drainer;
     this.schedulingLoop = schedulingLoop;
     this.reconciler = reconciler;
@@ -94,7 +94,7 @@
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
     double now = loop.monotonicSeconds();
     if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(now)) {
-      machine.mayHoldTasksUntil(now + timing.tasksGoneAfterReplySeconds());
+      machine.mayHoldTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
     }
     List<WorkerCommand> first = new ArrayList<>();
     if (machine.tasksKnown() && machine.lastSession() == 0 && mayCommand(entity)) {
@@ -124,7 +124,7 @@
       // What has ended makes room that this very answer can fill; the next one is a report away.
       // Only this machine is looked at: a pass over all of them for each ended task left a small
       // processor nothing for the reports of hundreds of machines.
-      dispatcher.fillMachine(entity, machine);
+      taskScheduler.fillMachine(entity, machine);
       schedulingLoop.requestPass();
     } else if (!wasOpen && machine.isSchedulable()) {
       schedulingLoop.requestPass();
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -33,15 +33,17 @@
 public final class ReportReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportReconciler.class);
 
-  private final JobLifecycle jobs;
-  private final RuntimeEstimates estimates;
+  private final JobLifecycle jobLifecycle;
+  private final RuntimeEstimates runtimeEstimates;
   private final TaskFailureHandler failureHandler;
 
   /** Tells the jobs what is done and the failure handler what has failed. */
   public ReportReconciler(
-      JobLifecycle jobs, RuntimeEstimates estimates, TaskFailureHandler failureHandler) {
-    this.jobs = jobs;
-    this.estimates = estimates;
+      JobLifecycle jobLifecycle,
+      RuntimeEstimates runtimeEstimates,
+      TaskFailureHandler failureHandler) {
+    this.jobLifecycle = jobLifecycle;
+    this.runtimeEstimates = runtimeEstimates;
     this.failureHandler = failureHandler;
   }
 
@@ -156,7 +158,7 @@
       if (taskReport.exitCause() == ExitCause.DONE
           && placement.runningSinceSeconds() > 0
           && placement.stopGraceSeconds() < 0) {
-        estimates.recordRuntime(job.spec(), nowSeconds - placement.runningSinceSeconds());
+        runtimeEstimates.recordRuntime(job.spec(), nowSeconds - placement.runningSinceSeconds());
       }
       entity.removePlacement(placement, nowSeconds, TerminationEvidence.REPORTED_ENDED);
       if (taskReport.exitCause() != ExitCause.DONE) {
@@ -164,7 +166,7 @@
       }
     }
     if (job.isDone(index)) {
-      jobs.handleProgress(entity, job);
+      jobLifecycle.handleProgress(entity, job);
       if (taskReport.exitCause() == ExitCause.DONE
           && !job.isStored(index)
           && job.phase() != Job.Phase.FINISHED) {
@@ -182,7 +184,7 @@
       TaskReport taskReport,
       Map<TaskId, Resources> unknownTasks,
       List<WorkerCommand> commands) {
-    JobLifecycle.KnownJob knownJob = jobs.findKnownJob(entity, taskReport.taskId().jobId());
+    JobLifecycle.KnownJob knownJob = jobLifecycle.findKnownJob(entity, taskReport.taskId().jobId());
     if (taskReport.state() != TaskState.EXITED) {
       // Its halt goes with whatever renews the lease.
       unknownTasks.put(
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -53,9 +53,9 @@
   private final Settings settings;
   private final EventLoop loop;
   private final Random random;
-  private final ClusterView directory;
+  private final ClusterView clusterView;
   private final Membership membership;
-  private final PeerClient peers;
+  private final PeerClient peerClient;
   private final HttpClient http;
   private final List<HostPort> rememberedWorkers = new ArrayList<>();
   private double lastHeartbeatAtSeconds;
@@ -71,16 +71,16 @@
       Settings settings,
       EventLoop loop,
       Random random,
-      ClusterView directory,
+      ClusterView clusterView,
       Membership membership,
-      PeerClient peers,
+      PeerClient peerClient,
       HttpClient http) {
     this.settings = settings;
     this.loop = loop;
     this.random = random;
-    this.directory = directory;
+    this.clusterView = clusterView;
     this.membership = membership;
-    this.peers = peers;
+    this.peerClient = peerClient;
     this.http = http;
   }
 
@@ -220,19 +220,19 @@
   }
 
   private void handOverToReceivingPeer(List<ControllerId> candidates) {
-    candidates.removeIf(peer -> !directory.isAlive(peer));
+    candidates.removeIf(peer -> !clusterView.isAlive(peer));
     if (candidates.isEmpty() || !partitionedFromWorkers) {
       handOverInFlight = false;
       return;
     }
     ControllerId peer = candidates.remove(0);
-    peers
+    peerClient
         .hears(peer)
         .whenComplete(
             (receivesHeartbeats, failure) -> {
               if (failure == null && receivesHeartbeats && partitionedFromWorkers) {
                 handOverInFlight = false;
-                membership.ownedEntities().forEach(h -> membership.handBack(h, peer));
+                membership.ownedEntities().forEach(entity -> membership.handBack(entity, peer));
               } else {
                 handOverToReceivingPeer(candidates);
               }
--- a/src/main/java/io/violetrail/worker/WorkerRouter.java
+++ b/src/main/java/io/violetrail/worker/WorkerRouter.java
@@ -22,8 +22,8 @@
 
   private final Settings settings;
   private final EventLoop loop;
-  private final LeaseTiming timing;
-  private final ClusterView directory;
+  private final LeaseTiming leaseTiming;
+  private final ClusterView clusterView;
   private final Membership membership;
 
   /** When each worker was last told to report to its owner. */
@@ -33,13 +33,13 @@
   public WorkerRouter(
       Settings settings,
       EventLoop loop,
-      LeaseTiming timing,
-      ClusterView directory,
+      LeaseTiming leaseTiming,
+      ClusterView clusterView,
       Membership membership) {
     this.settings = settings;
     this.loop = loop;
-    this.timing = timing;
-    this.directory = directory;
+    this.leaseTiming = leaseTiming;
+    this.clusterView = clusterView;
     this.membership = membership;
   }
 
@@ -49,8 +49,9 @@
    * @param entity the entity if it is just being handed over; null if it is not owned here
    */
   HeartbeatReply route(MachineRow row, OwnedEntity entity, WorkerReport report) {
-    ControllerId owner = directory.findLatestOwner(row.entity());
-    boolean elsewhere = owner != null && !owner.equals(settings.self()) && directory.isAlive(owner);
+    ControllerId owner = clusterView.findLatestOwner(row.entity());
+    boolean elsewhere =
+        owner != null && !owner.equals(settings.self()) && clusterView.isAlive(owner);
     // While the entity has no owner, its workers stay here, where the next one is soon known.
     // Sent away, each came back only after all dead controllers, and a second failure soon after
     // the first then ended the leases of a whole fleet.
@@ -68,7 +69,7 @@
   private boolean cameBackSoon(MachineId machine) {
     double now = loop.monotonicSeconds();
     Double before = redirectedAtSeconds.get(machine);
-    if (before != null && now - before < timing.ttlSeconds() + LAPSE_SHOWS_SECONDS) {
+    if (before != null && now - before < leaseTiming.ttlSeconds() + LAPSE_SHOWS_SECONDS) {
       return true;
     }
     if (redirectedAtSeconds.size() >= MAX_REDIRECTED) {
