--- a/src/test/java/io/violetrail/simulation/digest/SimulationDigest.java
+++ b/src/test/java/io/violetrail/simulation/digest/SimulationDigest.java
@@ -9,7 +9,8 @@
  *
  * <pre>
  * mvn -q -DskipTests package
- * java -cp target/test-classes:target/violetrail.jar io.violetrail.simulation.digest.SimulationDigest
+ * java -cp target/test-classes:target/violetrail.jar \
+ *     io.violetrail.simulation.digest.SimulationDigest
  * </pre>
  *
  * <p>Arguments: the first and the last seed, if not all are to be played. Standard output has the
