--- a/src/main/java/io/violetrail/api/JobSubmission.java
+++ b/src/main/java/io/violetrail/api/JobSubmission.java
@@ -98,8 +98,7 @@
       case ACCEPTED ->
           respond.accept(
               HttpAnswer.of(
-                  201,
-                  JobMessages.viewMessage(new JobView(id.value(), JobStatus.QUEUED, 0, 0))));
+                  201, JobMessages.viewMessage(new JobView(id.value(), JobStatus.QUEUED, 0, 0))));
       case KNOWN -> jobQuery.answerKnown(id, respond);
       case IMPOSSIBLE -> respond.accept(HttpAnswer.error(422, decision.reason()));
       default -> respond.accept(HttpAnswer.unavailable(decision.reason()));
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -74,8 +74,7 @@
         JobMessages.JOBS_PATH,
         Route.post(
             (body, respond) ->
-                jobSubmission.handle(
-                    body, timed("submit", CHANGE_TIMEOUT_SECONDS, respond))));
+                jobSubmission.handle(body, timed("submit", CHANGE_TIMEOUT_SECONDS, respond))));
     routes.put(
         "/metrics",
         Route.get((body, respond) -> respond.accept(HttpAnswer.text(metrics.render()))));
@@ -121,7 +120,9 @@
               jobQuery.handle(subpath, timed("poll", QUERY_TIMEOUT_SECONDS, respond)));
     }
     // The prefix and the suffix share their slash if there is no id between them.
-    String id = subpath.substring(0, Math.max(0, subpath.length() - JobMessages.CANCEL_PATH_SUFFIX.length()));
+    String id =
+        subpath.substring(
+            0, Math.max(0, subpath.length() - JobMessages.CANCEL_PATH_SUFFIX.length()));
     return Route.post(
         (body, respond) ->
             jobCancellation.handle(id, timed("abort", CHANGE_TIMEOUT_SECONDS, respond)));
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -162,8 +162,7 @@
             .get()
             .whenComplete(
                 (view, failure) ->
-                    respond.accept(
-                        failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
+                    respond.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
         "cancel a job for a peer");
   }
 }
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -211,16 +211,6 @@
         taskId, parseCounter(message, "try"), state, exitCause, kept != null && kept.asBoolean());
   }
 
-  /**
-   * Commands that are sent to a worker outside the reply to a heartbeat.
-   *
-   * @param session the only session of the worker in which they are carried out
-   */
-  public static ObjectNode directCommands(
-      Version fencingToken, long session, List<WorkerCommand> commands) {
-    return commandReply(fencingToken, commands).put("tenure", session);
-  }
-
   /** Commands under a token; in an answer to a report this renews the worker's lease. */
   public static ObjectNode commandReply(Version fencingToken, List<WorkerCommand> commands) {
     ObjectNode message = Cbor.newMap().put("baton", fencingToken.requireToken().value());
