--- /dev/null
+++ b/src/main/java/io/violetrail/calendar/LocalDaysResource.java
@@ -0,0 +1,99 @@
+package io.violetrail.calendar;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.calendar.ScheduleDefinition.InvalidDefinitionException;
+import io.violetrail.net.Futures;
+import io.violetrail.net.JsonAnswers;
+import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.state.StateStore;
+import io.violetrail.wire.Cbor;
+import io.violetrail.wire.StateStoreMessages.Transaction;
+import io.violetrail.wire.kubernetes.KubernetesJson;
+import java.time.DateTimeException;
+import java.time.LocalDate;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * Named sets of local days for their operators. Reads give what this controller knows; writes go to
+ * the state service, and every controller's schedules follow the stored sets.
+ */
+final class LocalDaysResource {
+  private static final int MAX_DATES = 600;
+
+  private final StateStore store;
+  private final ScheduleRegistry scheduleRegistry;
+
+  LocalDaysResource(StateStore store, ScheduleRegistry scheduleRegistry) {
+    this.store = store;
+    this.scheduleRegistry = scheduleRegistry;
+  }
+
+  /**
+   * Serves a request for one set of days.
+   *
+   * @throws KubernetesJson.MalformedRequestException if the body is not a JSON object
+   * @throws InvalidDefinitionException if it is not a list of dates
+   */
+  void handle(String method, String name, byte[] body, Consumer<HttpAnswer> responder)
+      throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
+    if (!name.matches(ScheduleApi.NAME_PATTERN)) {
+      responder.accept(JsonAnswers.error(404, "no such path"));
+      return;
+    }
+    String key = ScheduleRow.CALENDAR_KEY_PREFIX + name;
+    switch (method) {
+      case "GET" -> show(name, responder);
+      case "PUT" ->
+          store(
+              name,
+              new Transaction().put(key, validateDates(KubernetesJson.parse(body))),
+              responder);
+      case "DELETE" -> store(name, new Transaction().delete(key), responder);
+      default -> responder.accept(JsonAnswers.error(405, "GET, PUT and DELETE are served"));
+    }
+  }
+
+  private void show(String name, Consumer<HttpAnswer> responder) {
+    Set<LocalDate> dates = scheduleRegistry.dayCalendar().findNamedDays(name);
+    if (dates == null) {
+      responder.accept(JsonAnswers.error(404, "no days are kept under this name"));
+      return;
+    }
+    ObjectNode json = Cbor.newMap().put("name", name);
+    dates.stream().sorted().forEach(date -> json.withArray("dates").add(date.toString()));
+    responder.accept(JsonAnswers.of(200, json));
+  }
+
+  /** A repeated write does no harm: it replaces the whole set by the same one. */
+  private void store(String name, Transaction transaction, Consumer<HttpAnswer> responder) {
+    Futures.logFailure(
+        store
+            .tryTransaction(transaction)
+            .whenComplete(
+                (outcome, failure) ->
+                    responder.accept(
+                        failure != null
+                            ? JsonAnswers.error(503, "the days could not be stored")
+                            : JsonAnswers.of(200, Cbor.newMap().put("name", name)))),
+        "store local days");
+  }
+
+  private static ObjectNode validateDates(ObjectNode json) throws InvalidDefinitionException {
+    if (json.size() != 1 || !json.path("dates").isArray()) {
+      throw new InvalidDefinitionException(400, "dates", "must be the only field, and a list");
+    }
+    if (json.get("dates").size() > MAX_DATES) {
+      throw new InvalidDefinitionException(422, "dates", "must be at most " + MAX_DATES);
+    }
+    for (JsonNode node : json.get("dates")) {
+      try {
+        LocalDate.parse(node.asText());
+      } catch (DateTimeException exception) {
+        throw new InvalidDefinitionException(400, "dates", "'" + node.asText() + "' is no date");
+      }
+    }
+    return json;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/violetrail/calendar/ScheduleJson.java
@@ -0,0 +1,79 @@
+package io.violetrail.calendar;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.calendar.ScheduleDefinition.InvalidDefinitionException;
+import io.violetrail.calendar.ScheduleRow.Run;
+import io.violetrail.wire.Cbor;
+import java.time.Instant;
+import java.util.Set;
+
+/** Schedules and their runs in the JSON that operators read: moments as times, not as numbers. */
+final class ScheduleJson {
+  private static final Set<String> TIMESTAMP_FIELDS =
+      Set.of("due", "last", "fired", "done", "at", "said");
+
+  private ScheduleJson() {}
+
+  /**
+   * A schedule with its open runs and its next due time.
+   *
+   * @param dayCalendar what the next due time is computed by
+   */
+  static ObjectNode schedule(ScheduleRow row, DayCalendar dayCalendar) {
+    ObjectNode json = Cbor.newMap().put("name", row.name()).put("version", row.version());
+    row.definition().properties().forEach(e -> json.set(e.getKey(), e.getValue()));
+    json.put("paused", row.isPaused()).put("entity", row.entity().value());
+    json.put("settled", Instant.ofEpochMilli(row.cursorMillis()).toString());
+    try {
+      Instant next =
+          row.isPaused()
+              ? null
+              : ScheduleDefinition.parse(row.definition())
+                  .findNextDue(Instant.ofEpochMilli(row.cursorMillis()), dayCalendar);
+      json.put("next", next == null ? null : next.toString());
+    } catch (InvalidDefinitionException exception) {
+      json.put("error", exception.getMessage());
+    }
+    ArrayNode runs = json.putArray("runs");
+    row.openRuns().forEach(run -> runs.add(openRun(row, run)));
+    return json;
+  }
+
+  /** A run that is not over, with its deadline and its report. */
+  static ObjectNode openRun(ScheduleRow row, Run run) {
+    ObjectNode json = Cbor.newMap().put("due", Instant.ofEpochMilli(run.dueMillis()).toString());
+    json.put("job", ScheduleRow.runJobId(row.uid(), run.dueMillis()).value());
+    long deadlineMillis =
+        run.dueMillis() + (long) (1000 * row.definition().path("deadline_s").asDouble());
+    json.put("deadline", Instant.ofEpochMilli(deadlineMillis).toString());
+    if (run.report() != null) {
+      ObjectNode report = json.putObject("report");
+      report.put("first", Instant.ofEpochMilli(run.report().path("at").asLong()).toString());
+      report.put("foreseen", Instant.ofEpochMilli(run.report().path("done").asLong()).toString());
+      report.put("withdrawn", run.report().path("withdrawn").asBoolean());
+    }
+    return json;
+  }
+
+  /** An entry of the run history; its timestamps are stored as numbers. */
+  static JsonNode endedRun(JsonNode run) {
+    ObjectNode json = Cbor.newMap();
+    run.properties()
+        .forEach(
+            entry -> {
+              boolean timestamp =
+                  TIMESTAMP_FIELDS.contains(entry.getKey()) && entry.getValue().isNumber();
+              if (timestamp) {
+                json.put(
+                    entry.getKey(), Instant.ofEpochMilli(entry.getValue().asLong()).toString());
+              } else {
+                json.set(
+                    entry.getKey(),
+                    entry.getValue().isObject() ? endedRun(entry.getValue()) : entry.getValue());
+              }
+            });
+    return json;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/violetrail/calendar/ScheduleQueries.java
@@ -0,0 +1,159 @@
+package io.violetrail.calendar;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.calendar.ScheduleRow.Run;
+import io.violetrail.net.Futures;
+import io.violetrail.net.JsonAnswers;
+import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.state.StateStore;
+import io.violetrail.state.StateStore.StateUnavailableException;
+import io.violetrail.wire.Cbor;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+
+/**
+ * Answers operators' questions about schedules. Rows and history are read from the state service
+ * for every request, so no answer is older than one given before; reports are those of the entities
+ * owned here. Keeps nothing.
+ */
+final class ScheduleQueries {
+  private static final int PAGE_SIZE = 200;
+
+  private final StateStore store;
+  private final ScheduleRegistry scheduleRegistry;
+
+  ScheduleQueries(StateStore store, ScheduleRegistry scheduleRegistry) {
+    this.store = store;
+    this.scheduleRegistry = scheduleRegistry;
+  }
+
+  /** A schedule in JSON, with the next due time by the local days known here. */
+  ObjectNode toJson(ScheduleRow row) {
+    return ScheduleJson.schedule(row, scheduleRegistry.dayCalendar());
+  }
+
+  /** Reads a schedule; without one, or when it cannot be read, answers the request at once. */
+  void read(String name, Consumer<HttpAnswer> responder, Consumer<ScheduleRow> onFound) {
+    String key = ScheduleRow.KEY_PREFIX + name;
+    Futures.logFailure(
+        store
+            .getForUser(key)
+            .whenComplete(
+                (entry, failure) -> {
+                  if (failure != null) {
+                    boolean busy = StateUnavailableException.from(failure).status() == 429;
+                    responder.accept(
+                        JsonAnswers.error(
+                            busy ? 429 : 503, "the state service cannot be asked now"));
+                  } else if (entry.value() == null) {
+                    responder.accept(JsonAnswers.error(404, "there is no such schedule"));
+                  } else {
+                    onFound.accept(ScheduleRow.fromRow(key, entry.value(), entry.modRevision()));
+                  }
+                }),
+        "read a schedule");
+  }
+
+  void show(String name, Consumer<HttpAnswer> responder) {
+    read(name, responder, row -> responder.accept(JsonAnswers.of(200, toJson(row))));
+  }
+
+  void showHistory(String name, Consumer<HttpAnswer> responder) {
+    read(name, responder, row -> showHistory(row, responder));
+  }
+
+  private void showHistory(ScheduleRow row, Consumer<HttpAnswer> responder) {
+    List<String> keys = row.historyBlockKeys();
+    List<CompletableFuture<JsonNode>> reads = new ArrayList<>();
+    keys.forEach(key -> reads.add(store.getForUser(key).thenApply(entry -> entry.value())));
+    Futures.logFailure(
+        CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
+            .whenComplete(
+                (nothing, failure) ->
+                    responder.accept(
+                        failure != null
+                            ? JsonAnswers.error(
+                                429, "the history cannot be read now: too many requests")
+                            : JsonAnswers.of(200, historyToJson(row, keys, reads)))),
+        "read a schedule's history");
+  }
+
+  /**
+   * All that is kept of ended runs; a block that cannot be read is named, never taken for empty.
+   *
+   * @param reads completed reads of the blocks, in the keys' order
+   */
+  private static ObjectNode historyToJson(
+      ScheduleRow row, List<String> keys, List<CompletableFuture<JsonNode>> reads) {
+    ObjectNode json = Cbor.newMap().put("name", row.name());
+    ArrayNode torn = json.putArray("torn");
+    ArrayNode runs = json.putArray("runs");
+    for (int i = 0; i < keys.size(); i++) {
+      try {
+        JsonNode block = reads.get(i).join();
+        if (block == null) {
+          throw new RunHistoryCodec.CorruptBlockException("the block is missing");
+        }
+        RunHistoryCodec.decode(block).forEach(run -> runs.add(ScheduleJson.endedRun(run)));
+      } catch (RunHistoryCodec.CorruptBlockException exception) {
+        torn.addObject().put("block", keys.get(i)).put("error", exception.getMessage());
+      }
+    }
+    row.endedRuns().forEach(run -> runs.add(ScheduleJson.endedRun(run)));
+    return json;
+  }
+
+  void list(String query, Consumer<HttpAnswer> responder) {
+    String after = query.startsWith("after=") ? query.substring(6) : "";
+    if (!after.isEmpty() && !after.matches(ScheduleApi.NAME_PATTERN)) {
+      responder.accept(JsonAnswers.error(400, "after: is no name"));
+      return;
+    }
+    Futures.logFailure(
+        store
+            .pageForUser(
+                ScheduleRow.KEY_PREFIX,
+                after.isEmpty() ? "" : ScheduleRow.KEY_PREFIX + after,
+                PAGE_SIZE)
+            .whenComplete(
+                (page, failure) -> {
+                  if (failure != null) {
+                    responder.accept(
+                        JsonAnswers.error(503, "the state service cannot be asked now"));
+                    return;
+                  }
+                  ObjectNode json = Cbor.newMap();
+                  ArrayNode schedules = json.putArray("schedules");
+                  page.entries()
+                      .forEach(
+                          entry ->
+                              schedules.add(
+                                  toJson(
+                                      ScheduleRow.fromRow(
+                                          entry.key(), entry.value(), entry.modRevision()))));
+                  if (page.more()) {
+                    json.put("after", schedules.get(schedules.size() - 1).path("name").asText());
+                  }
+                  responder.accept(JsonAnswers.of(200, json));
+                }),
+        "list schedules");
+  }
+
+  /** Answers with the open reports of the entities owned here. */
+  void listReports(Consumer<HttpAnswer> responder) {
+    ObjectNode json = Cbor.newMap();
+    ArrayNode reports = json.putArray("reports");
+    for (ScheduleRow row : scheduleRegistry.findSchedulesWithOpenReports()) {
+      for (Run run : row.openRuns()) {
+        if (run.hasOpenReport()) {
+          reports.add(ScheduleJson.openRun(row, run).put("schedule", row.name()));
+        }
+      }
+    }
+    responder.accept(JsonAnswers.of(200, json));
+  }
+}
--- a/src/main/java/io/violetrail/calendar/ScheduleRow.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRow.java
@@ -171,6 +171,16 @@
     return HISTORY_KEY_PREFIX + uid() + "/" + "%08d".formatted(number);
   }
 
+  /** The keys of the history blocks that are kept, the oldest first. */
+  List<String> historyBlockKeys() {
+    List<String> keys = new ArrayList<>();
+    int count = value.path("blocks").asInt();
+    for (int i = Math.max(0, count - ScheduleTrigger.MAX_HISTORY_BLOCKS); i < count; i++) {
+      keys.add(blockKey(i));
+    }
+    return keys;
+  }
+
   /**
    * The id of the run of a due time: it follows from the two, so a run that is stored twice is the
    * same job, whose claim exists.
--- a/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -4,9 +4,12 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
+import io.violetrail.config.Settings.InvalidSettingsException;
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobShape;
 import io.violetrail.model.JobSpec;
+import io.violetrail.model.MachineId;
+import io.violetrail.model.MachineType;
 import io.violetrail.model.Priority;
 import io.violetrail.model.Resources;
 import io.violetrail.net.Futures;
@@ -14,75 +17,123 @@
 import io.violetrail.peer.PeerClient;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.JobMessages;
+import io.violetrail.wire.ScriptedMessages;
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
+import java.util.List;
 import java.util.function.Consumer;
 
 /**
  * Runs a controller for a moment against services that answer from a script, all in this process,
- * so that the build can archive the classes a start needs. Takes no part in serving.
+ * so that the build can archive the classes a start needs. A start without the archive takes about
+ * two seconds longer, which is outage time. Takes no part in serving.
+ *
+ * <p>{@link #run} is called on the main thread; the requests and the script's answers are run on
+ * the event loops' threads.
  */
 final class ClassArchiveWarmUp {
-  private static final double RUN_SECONDS = 2.5;
-  private static long revision = 1;
+  private static final long RUN_MILLIS = 2_500;
+  private static final double FIRST_REQUESTS_AFTER_SECONDS = 1;
+  private static final double SECOND_HEARTBEAT_AFTER_SECONDS = 1.6;
+  private static final double CANCELLATION_AFTER_SECONDS = 2;
+  private static final double REQUEST_TIMEOUT_SECONDS = 1;
 
-  private ClassArchiveWarmUp() {}
+  private static final String ZONE = "z";
+  private static final String TEAM = "t";
+  private static final String JOB_CLASS = "c";
+  private static final String JOB_ID = "job-1";
+  private static final MachineId REPORTING_MACHINE = new MachineId("vm-1");
+  private static final MachineId RENTED_MACHINE = new MachineId("vm-9");
+  private static final MachineType MACHINE_TYPE =
+      new MachineType("t", new Resources(4, 0, 8), 9, 1, 1, 1, 5, List.of(ZONE));
+  private static final long LEASE_ID = 7;
 
-  static int run() throws Exception {
+  /** Above what the controller has been granted by then, so that it sees a higher token. */
+  private static final long HIGH_FENCING_TOKEN = 100;
+
+  private static final String SETTINGS_TOML =
+      """
+      label = "a-0"
+      zone = "z"
+      api_addr = "127.0.0.1:%d"
+      cluster_listen = "127.0.0.1:%d"
+      [[known]]
+      label = "a-1"
+      zone = "z"
+      address = "127.0.0.1:%d"
+      [external]
+      cloud = "127.0.0.1:%d"
+      state = "127.0.0.1:%d"
+      [cluster]
+      time_bound_ms = 5.0
+      [[cluster.teams]]
+      name = "t"
+      [[cluster.objectives]]
+      kind = "wait"
+      class = "c"
+      within_s = 8.0
+      share = 0.5
+      [cluster.workers]
+      report_s = 1.0
+      lease_s = 10.0
+      gang_wait_s = 45.0
+      gang_peer_s = 4.0
+      cancel_s = 40.0
+      [cluster.state]
+      rps = 250.0
+      write_rps = 50.0
+      value_kb = 8.0
+      txn_ops = 24
+      [cluster.cloud]
+      rps = 5.0
+      list_lag_s = 10.0
+      [cluster.limits]
+      cpu_share = 1.0
+      memory_mb = 176.0
+      sockets = 700
+      """;
+
+  private final Settings settings;
+  private final ControllerStarter.StartedController controller;
+  private long revision = 1;
+
+  private ClassArchiveWarmUp(Settings settings) throws IOException {
+    this.settings = settings;
+    this.controller = ControllerStarter.start(settings, Options.DEFAULTS);
+  }
+
+  /**
+   * Plays the script and ends the process with status 0: the archive is written when it ends.
+   *
+   * @return never
+   */
+  static int run() throws IOException, InvalidSettingsException, InterruptedException {
+    ClassArchiveWarmUp warmUp = new ClassArchiveWarmUp(readSettings());
+    warmUp.startScriptedServices();
+    warmUp.scheduleRequests(exampleJob());
+    Thread.sleep(RUN_MILLIS);
+    System.exit(0);
+    return 0;
+  }
+
+  private static Settings readSettings() throws IOException, InvalidSettingsException {
     int[] ports = new int[4];
     for (int i = 0; i < ports.length; i++) {
       try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         ports[i] = socket.getLocalPort();
       }
     }
-    String toml =
-        """
-        label = "a-0"
-        zone = "z"
-        api_addr = "127.0.0.1:%d"
-        cluster_listen = "127.0.0.1:%d"
-        [[known]]
-        label = "a-1"
-        zone = "z"
-        address = "127.0.0.1:%d"
-        [external]
-        cloud = "127.0.0.1:%d"
-        state = "127.0.0.1:%d"
-        [cluster]
-        time_bound_ms = 5.0
-        [[cluster.teams]]
-        name = "t"
-        [[cluster.objectives]]
-        kind = "wait"
-        class = "c"
-        within_s = 8.0
-        share = 0.5
-        [cluster.workers]
-        report_s = 1.0
-        lease_s = 10.0
-        gang_wait_s = 45.0
-        gang_peer_s = 4.0
-        cancel_s = 40.0
-        [cluster.state]
-        rps = 250.0
-        write_rps = 50.0
-        value_kb = 8.0
-        txn_ops = 24
-        [cluster.cloud]
-        rps = 5.0
-        list_lag_s = 10.0
-        [cluster.limits]
-        cpu_share = 1.0
-        memory_mb = 176.0
-        sockets = 700
-        """
-            .formatted(ports[0], ports[1], ports[1], ports[2], ports[3]);
-    Settings settings = Settings.parse(new TomlMapper().readTree(toml));
-    Main.StartedController controller = Main.start(settings, Options.DEFAULTS, null);
-    Main.start(
+    String toml = SETTINGS_TOML.formatted(ports[0], ports[1], ports[1], ports[2], ports[3]);
+    return Settings.parse(new TomlMapper().readTree(toml));
+  }
+
+  /** The provider and the state service, served at the addresses that the settings name. */
+  private void startScriptedServices() throws IOException {
+    Settings scriptSettings =
         new Settings(
             settings.self(),
-            "z",
+            ZONE,
             settings.cloudAddress(),
             settings.stateStoreAddress(),
             settings.peers(),
@@ -94,141 +145,86 @@
             settings.workerTiming(),
             settings.stateStoreLimits(),
             settings.cloudLimits(),
-            settings.processLimits()),
-        Options.DEFAULTS,
-        ClassArchiveWarmUp::answerFromScript);
-    JobSpec spec =
-        new JobSpec(
-            new JobId("job-1"),
-            "c",
-            "t",
-            JobShape.ARRAY,
-            Priority.HIGH,
-            2,
-            new Resources(1, 0, 1),
-            "i",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            10,
-            0,
-            0,
-            null);
+            settings.processLimits());
+    ControllerStarter.startScript(scriptSettings, this::answerFromScript);
+  }
+
+  private static JobSpec exampleJob() {
+    return new JobSpec(
+        new JobId(JOB_ID),
+        JOB_CLASS,
+        TEAM,
+        JobShape.ARRAY,
+        Priority.HIGH,
+        2,
+        new Resources(1, 0, 1),
+        "i",
+        1,
+        null,
+        null,
+        false,
+        false,
+        true,
+        10,
+        0,
+        0,
+        null);
+  }
+
+  private void scheduleRequests(JobSpec spec) {
     PeerClient.exerciseCodec(spec);
-    controller
-        .loop()
-        .schedule(
-            1,
-            () -> {
-              for (String path :
-                  new String[] {"/ready", "/work/job-1", "/work/job-2", "/metrics"}) {
-                Futures.logFailure(
-                    controller.http().call(settings.apiAddress(), "GET", path, null, 1),
-                    "warm up a read");
-              }
-              Futures.logFailure(
-                  controller
-                      .http()
-                      .call(
-                          settings.apiAddress(),
-                          "POST",
-                          "/work",
-                          Cbor.encode(JobMessages.jobSpec(spec)),
-                          1),
-                  "warm up a submission");
-              Futures.logFailure(
-                  controller
-                      .http()
-                      .call(
-                          settings.apiAddress(),
-                          "POST",
-                          "/agent/beat",
-                          Cbor.encode(heartbeat(1)),
-                          1),
-                  "warm up the first heartbeat");
-            });
-    controller
-        .loop()
-        .schedule(
-            1.6,
-            () ->
-                Futures.logFailure(
-                    controller
-                        .http()
-                        .call(
-                            settings.apiAddress(),
-                            "POST",
-                            "/agent/beat",
-                            Cbor.encode(heartbeat(2)),
-                            1),
-                    "warm up the second heartbeat"));
-    controller
-        .loop()
-        .schedule(
-            2,
-            () ->
-                Futures.logFailure(
-                    controller
-                        .http()
-                        .call(
-                            settings.apiAddress(),
-                            "POST",
-                            "/work/job-1/abort",
-                            Cbor.encode(Cbor.newMap()),
-                            1),
-                    "warm up a cancellation"));
-    Thread.sleep((long) (RUN_SECONDS * 1000));
-    System.exit(0);
-    return 0;
+    var loop = controller.loop();
+    loop.schedule(
+        FIRST_REQUESTS_AFTER_SECONDS,
+        () -> {
+          for (String path : List.of("/ready", "/work/" + JOB_ID, "/work/job-2", "/metrics")) {
+            send("GET", path, null, "warm up a read");
+          }
+          send("POST", "/work", JobMessages.jobSpec(spec), "warm up a submission");
+          sendHeartbeat(1, 0, "warm up the first heartbeat");
+        });
+    loop.schedule(
+        SECOND_HEARTBEAT_AFTER_SECONDS,
+        () -> sendHeartbeat(2, HIGH_FENCING_TOKEN, "warm up the second heartbeat"));
+    loop.schedule(
+        CANCELLATION_AFTER_SECONDS,
+        () -> send("POST", "/work/" + JOB_ID + "/abort", Cbor.newMap(), "warm up a cancellation"));
+  }
+
+  private void sendHeartbeat(long sequence, long fencingToken, String purpose) {
+    JsonNode heartbeat =
+        ScriptedMessages.idleHeartbeat(
+            REPORTING_MACHINE, MACHINE_TYPE.name(), ZONE, sequence, fencingToken);
+    send("POST", "/agent/beat", heartbeat, purpose);
   }
 
-  private static JsonNode heartbeat(int sequence) {
-    var heartbeat =
-        Cbor.newMap()
-            .put("host", "vm-1")
-            .put("hosttype", "t")
-            .put("yard", "z")
-            .put("loaners", false);
-    heartbeat
-        .put("tenure", 1)
-        .put("tick", sequence)
-        .put("baton", sequence == 1 ? 0 : 100)
-        .putArray("pieces");
-    return heartbeat;
+  private void send(String method, String path, JsonNode body, String purpose) {
+    byte[] encoded = body == null ? null : Cbor.encode(body);
+    Futures.logFailure(
+        controller
+            .http()
+            .call(settings.apiAddress(), method, path, encoded, REQUEST_TIMEOUT_SECONDS),
+        purpose);
   }
 
-  private static void answerFromScript(
+  private void answerFromScript(
       String method, String path, byte[] body, Consumer<RequestHandler.HttpAnswer> responder) {
-    var answer = Cbor.newMap().put("epoch", ++revision).put("hold", 7);
-    answer.putArray("entries");
-    answer.putArray("log");
+    revision++;
+    if (path.startsWith("/changes")) {
+      return; // A watch without changes stays open.
+    }
     if (path.equals("/flavors")) {
-      var type =
-          answer
-              .putArray("hosttypes")
-              .addObject()
-              .put("sku", "t")
-              .put("cores", 4)
-              .put("gpus", 0)
-              .put("mem_gb", 8)
-              .put("cache_gb", 9);
-      type.put("pull_gb_per_s", 1)
-          .put("rate", 1)
-          .put("spot_price", 1)
-          .put("ready_s", 5)
-          .putArray("yards")
-          .add("z");
-    } else if (path.equals("/hosts")) {
-      answer.putArray("hosts").add("vm-9");
-    } else if (path.startsWith("/keys/")) {
-      responder.accept(RequestHandler.HttpAnswer.of(404, answer));
+      responder.accept(
+          RequestHandler.HttpAnswer.of(200, ScriptedMessages.machineTypeReply(MACHINE_TYPE)));
       return;
-    } else if (path.startsWith("/changes")) {
+    }
+    if (path.equals("/hosts")) {
+      responder.accept(
+          RequestHandler.HttpAnswer.of(200, ScriptedMessages.rentalReply(RENTED_MACHINE)));
       return;
     }
-    responder.accept(RequestHandler.HttpAnswer.of(200, answer));
+    int status = path.startsWith("/keys/") ? 404 : 200;
+    responder.accept(
+        RequestHandler.HttpAnswer.of(status, ScriptedMessages.emptyStateReply(revision, LEASE_ID)));
   }
 }
--- a/src/main/java/io/violetrail/cli/ControllerClient.java
+++ b/src/main/java/io/violetrail/cli/ControllerClient.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Asks controllers for the command line. */
+/** Calls controllers' HTTP API from the command line; blocks its caller. Keeps no state. */
 final class ControllerClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -33,6 +33,11 @@
     boolean isSuccessful() {
       return status >= 200 && status < 300;
     }
+
+    /** What the controller says is wrong, or the status where it says nothing. */
+    String errorText() {
+      return body.path("error").asText("status " + status);
+    }
   }
 
   /** No controller has answered. */
@@ -51,10 +56,22 @@
     }
   }
 
+  /**
+   * Asks the controllers in turn until one answers.
+   *
+   * @throws NoAnswerException if none does
+   */
   Reply get(String path) throws NoAnswerException {
     return send("GET", path, null);
   }
 
+  /**
+   * Sends a request to the first controller that can be reached. Only a read is repeated at another
+   * one after a failure in which a controller may have received it.
+   *
+   * @param body JSON, or null for none
+   * @throws NoAnswerException if no controller answers
+   */
   Reply send(String method, String path, byte[] body) throws NoAnswerException {
     StringBuilder failures = new StringBuilder();
     for (String server : servers) {
--- a/src/main/java/io/violetrail/cli/KubernetesCommand.java
+++ b/src/main/java/io/violetrail/cli/KubernetesCommand.java
@@ -31,17 +31,12 @@
     description = "Says what of the Kubernetes API is taken.",
     synopsisSubcommandLabel = "COMMAND")
 final class KubernetesCommand implements Callable<Integer> {
-  /** Something would be refused. */
-  private static final int REFUSED = 1;
-
-  private static final int BAD_USAGE = 2;
-
   @Spec private CommandSpec spec;
 
   @Override
   public Integer call() {
     spec.commandLine().usage(spec.commandLine().getErr());
-    return BAD_USAGE;
+    return ExitStatus.BAD_USAGE;
   }
 
   /** Reads YAML or JSON, several documents too, and says what would become of each. */
@@ -95,17 +90,17 @@
                 + ": refused: "
                 + (exception.path().isEmpty() ? "" : exception.path() + ": ")
                 + exception.getMessage());
-        return REFUSED;
+        return ExitStatus.REFUSED;
       } catch (IOException exception) {
         err.println(
             "violetrail kubernetes check: " + file + " cannot be read: " + exception.getMessage());
-        return BAD_USAGE;
+        return ExitStatus.BAD_USAGE;
       }
       if (documents == 0) {
         err.println("violetrail kubernetes check: " + file + " holds no manifest");
-        return BAD_USAGE;
+        return ExitStatus.BAD_USAGE;
       }
-      return refused > 0 ? REFUSED : 0;
+      return refused > 0 ? ExitStatus.REFUSED : ExitStatus.DONE;
     }
 
     private List<FieldError> checkManifest(JsonNode document, String location, PrintWriter out) {
@@ -177,9 +172,9 @@
       }
       if (found == 0) {
         spec.commandLine().getErr().println("violetrail kubernetes explain: no such field");
-        return REFUSED;
+        return ExitStatus.REFUSED;
       }
-      return 0;
+      return ExitStatus.DONE;
     }
   }
 }
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -1,37 +1,23 @@
 package io.violetrail.cli;
 
-import io.undertow.server.DefaultByteBufferPool;
 import io.violetrail.config.Options;
 import io.violetrail.config.Settings;
-import io.violetrail.config.Settings.HostPort;
-import io.violetrail.controller.Controller;
-import io.violetrail.kubernetes.KubernetesHttpServer;
-import io.violetrail.net.EventLoop;
-import io.violetrail.net.HttpClient;
-import io.violetrail.net.RequestHandler;
-import io.violetrail.net.UndertowEventLoop;
-import io.violetrail.net.UndertowHttpClient;
-import io.violetrail.net.UndertowServer;
-import io.violetrail.tracing.JobTracer;
-import io.violetrail.tracing.OpenTelemetryJobTracer;
-import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.Map;
-import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.Callable;
 import java.util.function.Supplier;
 import org.slf4j.LoggerFactory;
-import org.xnio.OptionMap;
-import org.xnio.Xnio;
-import org.xnio.XnioWorker;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The daemon's command line. */
+/**
+ * The daemon's command line: reads the flags and the settings' file and starts a controller, or
+ * runs one of the other commands. Called on the main thread.
+ */
 @Command(
     name = "violetrail",
     mixinStandardHelpOptions = true,
@@ -44,14 +30,6 @@
       "  schedule    recurring jobs tied to calendars"
     })
 public final class Main implements Callable<Integer> {
-  /**
-   * Callbacks nest deeply on the I/O thread, and native code and signal handlers run on what is
-   * left of its stack. Only what is touched counts as memory.
-   */
-  private static final long STACK_BYTES = 1024L * 1024;
-
-  private static final int BAD_USAGE = 2;
-
   /** Some 2 KiB each. */
   private static final int MAX_TRACE_SPANS = 5_000;
 
@@ -63,7 +41,7 @@
       defaultValue = "${env:VIOLETRAIL_LAPSE_S}",
       description =
           "a controller's lease in seconds (VIOLETRAIL_LAPSE_S); default: from the workers' lease")
-  private Double lapseS;
+  private Double leaseSeconds;
 
   @Option(
       names = "--idle-s",
@@ -71,14 +49,14 @@
       description =
           "how long a machine may be idle before it is returned (VIOLETRAIL_IDLE_S);"
               + " default: ${DEFAULT-VALUE}")
-  private double idleS;
+  private double maxIdleSeconds;
 
   @Option(
       names = "--sample",
       defaultValue = "${env:VIOLETRAIL_SAMPLE:-8}",
       description =
           "machines compared for each task (VIOLETRAIL_SAMPLE); default: ${DEFAULT-VALUE}")
-  private int sample;
+  private int placementSampleSize;
 
   @Option(
       names = "--kubernetes-port",
@@ -172,98 +150,41 @@
     }
     Settings settings;
     try {
-      if (config == null) {
-        throw new Settings.InvalidSettingsException("--config FILE is required");
-      }
-      if (sample < 1 || idleS < 0 || (lapseS != null && !(lapseS >= 1))) {
-        throw new Settings.InvalidSettingsException(
-            "--sample must be at least 1, --idle-s at least 0 and --lapse-s at least 1");
-      }
-      if (kubernetesPort != null && (kubernetesPort < 1 || kubernetesPort > 65_535)) {
-        throw new Settings.InvalidSettingsException("--kubernetes-port must be 1 to 65535");
-      }
-      if (traceSpans != null && (traceSpans < 1 || traceSpans > MAX_TRACE_SPANS)) {
-        throw new Settings.InvalidSettingsException(
-            "--trace-spans must be 1 to " + MAX_TRACE_SPANS);
-      }
-      settings = Settings.load(config);
+      settings = readSettings();
     } catch (Settings.InvalidSettingsException exception) {
       System.err.println("violetrail: " + exception.getMessage());
-      return BAD_USAGE;
+      return ExitStatus.BAD_USAGE;
     }
-    start(
+    ControllerStarter.start(
         settings,
-        new Options(lapseS, idleS, sample, kubernetesPort, traceSpans, calendar, configuration),
-        null);
-    return 0;
-  }
-
-  /** The edges of a started controller. */
-  record StartedController(EventLoop loop, HttpClient http) {}
-
-  /**
-   * Starts a controller, or a script in its place. All of it happens on the I/O thread: the main
-   * thread has nothing left to do once that thread runs, and two threads never share a start.
-   */
-  static StartedController start(Settings settings, Options options, RequestHandler script)
-      throws IOException {
-    XnioWorker worker =
-        Xnio.getInstance()
-            .createWorker(
-                OptionMap.builder()
-                    .set(org.xnio.Options.WORKER_IO_THREADS, 1)
-                    .set(org.xnio.Options.WORKER_TASK_CORE_THREADS, 1)
-                    .set(org.xnio.Options.WORKER_TASK_MAX_THREADS, 2)
-                    .set(org.xnio.Options.STACK_SIZE, STACK_BYTES)
-                    .set(org.xnio.Options.TCP_NODELAY, true)
-                    .getMap());
-    var buffers = new DefaultByteBufferPool(true, 8 * 1024, 256, 0);
-    var loop = new UndertowEventLoop(worker.getIoThread());
-    var http = new UndertowHttpClient(worker.getIoThread(), loop, buffers);
-    loop.execute(
-        () -> {
-          if (script != null) {
-            UndertowServer.start(settings.apiAddress(), script, loop, worker, buffers);
-            UndertowServer.start(settings.clusterListenAddress(), script, loop, worker, buffers);
-            return;
-          }
-          startController(settings, options, loop, http, worker, buffers);
-          LoggerFactory.getLogger(Main.class)
-              .info("{} serves at {}", settings.self(), settings.apiAddress());
-        });
-    return new StartedController(loop, http);
+        new Options(
+            leaseSeconds,
+            maxIdleSeconds,
+            placementSampleSize,
+            kubernetesPort,
+            traceSpans,
+            calendar,
+            configuration));
+    return ExitStatus.DONE;
   }
 
-  private static void startController(
-      Settings settings,
-      Options options,
-      UndertowEventLoop loop,
-      UndertowHttpClient http,
-      XnioWorker worker,
-      DefaultByteBufferPool buffers) {
-    JobTracer jobTracer =
-        options.maxTraceSpans() == null
-            ? JobTracer.NO_OP
-            : new OpenTelemetryJobTracer(loop, options.maxTraceSpans());
-    Controller controller = new Controller(settings, options, loop, http, new Random(), jobTracer);
-    // The first calls are on their way while the servers come up.
-    controller.start();
-    UndertowServer.start(settings.apiAddress(), controller.api(), loop, worker, buffers);
-    UndertowServer.start(
-        settings.clusterListenAddress(), controller.peerService(), loop, worker, buffers);
-    if (options.calendarEnabled()) {
-      controller.serveSchedules();
+  /** Reads the settings' file after a check of the flags. */
+  private Settings readSettings() throws Settings.InvalidSettingsException {
+    if (config == null) {
+      throw new Settings.InvalidSettingsException("--config FILE is required");
+    }
+    if (placementSampleSize < 1
+        || maxIdleSeconds < 0
+        || (leaseSeconds != null && !(leaseSeconds >= 1))) {
+      throw new Settings.InvalidSettingsException(
+          "--sample must be at least 1, --idle-s at least 0 and --lapse-s at least 1");
     }
-    if (options.configurationEnabled()) {
-      controller.serveConfiguration();
+    if (kubernetesPort != null && (kubernetesPort < 1 || kubernetesPort > 65_535)) {
+      throw new Settings.InvalidSettingsException("--kubernetes-port must be 1 to 65535");
     }
-    if (options.kubernetesPort() != null) {
-      KubernetesHttpServer.start(
-          new HostPort(settings.apiAddress().host(), options.kubernetesPort()),
-          controller.startKubernetes(options.kubernetesPort()),
-          loop,
-          worker,
-          buffers);
+    if (traceSpans != null && (traceSpans < 1 || traceSpans > MAX_TRACE_SPANS)) {
+      throw new Settings.InvalidSettingsException("--trace-spans must be 1 to " + MAX_TRACE_SPANS);
     }
+    return Settings.load(config);
   }
 }
--- /dev/null
+++ b/src/main/java/io/violetrail/cli/SchedulePreviewCommand.java
@@ -0,0 +1,115 @@
+package io.violetrail.cli;
+
+import io.violetrail.calendar.CalendarExpression;
+import io.violetrail.calendar.CalendarExpression.MalformedExpressionException;
+import io.violetrail.calendar.DayCalendar;
+import io.violetrail.calendar.PublicHolidays;
+import java.io.PrintWriter;
+import java.time.DateTimeException;
+import java.time.Instant;
+import java.time.LocalDate;
+import java.time.ZoneId;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
+
+/** Prints the next due times of an expression, day by day, without a controller. */
+@Command(
+    name = "preview",
+    mixinStandardHelpOptions = true,
+    description = "Says when an expression is due next, and why days are or are not.")
+final class SchedulePreviewCommand implements Callable<Integer> {
+  /** Days are looked at up to this many years ahead. */
+  private static final int MAX_YEARS_AHEAD = 8;
+
+  @Parameters(paramLabel = "EXPRESSION")
+  private String expression;
+
+  @Option(
+      names = "--zone",
+      required = true,
+      description = "time zone, such as Africa/Dar_es_Salaam")
+  private String zone;
+
+  @Option(names = "--holidays", description = "region whose holidays are no workdays")
+  private String region;
+
+  @Option(names = "--from", description = "first day; default: today")
+  private LocalDate from;
+
+  @Option(names = "--count", defaultValue = "10", description = "due times to show")
+  private int count;
+
+  @Option(names = "--why", description = "also say of each day before them why it is passed")
+  private boolean why;
+
+  @Option(
+      names = "--days",
+      description = "local days, as NAME=DATE,DATE; may be repeated",
+      paramLabel = "NAME=DATES")
+  private Map<String, String> datesByName = new HashMap<>();
+
+  @Spec private CommandSpec spec;
+
+  @Override
+  public Integer call() {
+    try {
+      DayCalendar days = DayCalendar.of(new PublicHolidays(), parseNamedDays());
+      if (region != null && !days.isKnownRegion(region)) {
+        return fail(ExitStatus.REFUSED, "nobody knows the region " + region);
+      }
+      int shown = printDueTimes(CalendarExpression.parse(expression), days);
+      return shown == 0
+          ? fail(ExitStatus.REFUSED, "it is never due within eight years")
+          : ExitStatus.DONE;
+    } catch (MalformedExpressionException | DateTimeException exception) {
+      return fail(ExitStatus.BAD_USAGE, exception.getMessage());
+    }
+  }
+
+  private int fail(int exitStatus, String reason) {
+    spec.commandLine().getErr().println("violetrail schedule preview: " + reason);
+    return exitStatus;
+  }
+
+  private Map<String, Set<LocalDate>> parseNamedDays() {
+    Map<String, Set<LocalDate>> namedDays = new HashMap<>();
+    datesByName.forEach(
+        (name, dates) -> {
+          Set<LocalDate> dateSet = new HashSet<>();
+          List.of(dates.split(",")).forEach(date -> dateSet.add(LocalDate.parse(date)));
+          namedDays.put(name, dateSet);
+        });
+    return namedDays;
+  }
+
+  /** Prints the due times and returns how many there are, at least those printed. */
+  private int printDueTimes(CalendarExpression calendarExpression, DayCalendar days) {
+    PrintWriter out = spec.commandLine().getOut();
+    ZoneId zoneId = ZoneId.of(zone);
+    LocalDate first = from == null ? LocalDate.now(zoneId) : from;
+    LocalDate end = first.plusYears(MAX_YEARS_AHEAD);
+    int found = 0;
+    for (LocalDate day = first; found < count && day.isBefore(end); day = day.plusDays(1)) {
+      Set<Instant> dueTimes = calendarExpression.dueTimesOn(day, zoneId, region, days);
+      for (Instant dueTime : dueTimes) {
+        if (found++ < count) {
+          out.println(
+              dueTime.atZone(zoneId) + " (" + calendarExpression.explain(day, region, days) + ")");
+        }
+      }
+      if (why && dueTimes.isEmpty()) {
+        out.println("  " + day + " passed: " + calendarExpression.explain(day, region, days));
+      }
+    }
+    return found;
+  }
+}
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -1,6 +1,5 @@
 package io.violetrail.configuration;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.config.Settings.Objective;
 import io.violetrail.config.Settings.Team;
@@ -9,6 +8,7 @@
 import io.violetrail.configuration.ConfigurationHead.Revision;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
+import io.violetrail.net.JsonAnswers;
 import io.violetrail.net.RequestHandler;
 import io.violetrail.state.StateStore.StateUnavailableException;
 import io.violetrail.wire.Cbor;
@@ -35,11 +35,13 @@
  *
  * <p>A change is answered with 200 and its revision, 409 and the revision in force, 400 or 422 with
  * what is wrong by path, or 503 where the outcome is not known.
+ *
+ * <p>Keeps nothing between requests. Called on the event loop's thread.
  */
 public final class ConfigurationApi implements RequestHandler {
   private static final String PATH = "/config";
 
-  /** Below the patience of the command line; the change may still be under way. */
+  /** Less than the command line's timeout; the change may still be in progress then. */
   private static final double DECISION_TIMEOUT_SECONDS = 8;
 
   private static final int MAX_NAME_LENGTH = 64;
@@ -80,32 +82,21 @@
     Consumer<HttpAnswer> timedResponder = withTimeout(responder);
     try {
       switch (method + " " + path) {
-        case "GET /config" -> timedResponder.accept(jsonAnswer(200, currentConfiguration()));
+        case "GET /config" -> timedResponder.accept(JsonAnswers.of(200, currentConfiguration()));
         case "GET /config/status" -> showStatus(timedResponder);
         case "GET /config/history" -> showHistory(timedResponder);
         case "POST /config" -> applyConfiguration(body, timedResponder);
         case "POST /config/rollback" -> rollback(body, timedResponder);
-        default -> timedResponder.accept(errorAnswer(404, "no such path or method"));
+        default -> timedResponder.accept(JsonAnswers.error(404, "no such path or method"));
       }
     } catch (KubernetesJson.MalformedRequestException exception) {
-      timedResponder.accept(
-          errorAnswer(
-              400,
-              exception.path().isEmpty()
-                  ? exception.getMessage()
-                  : exception.path() + ": " + exception.getMessage()));
+      timedResponder.accept(JsonAnswers.malformed(exception));
     }
   }
 
-  private static HttpAnswer jsonAnswer(int httpStatus, JsonNode body) {
-    return new HttpAnswer(
-        httpStatus, KubernetesJson.toBytes(body), httpStatus == 503 ? 1 : 0, "application/json");
-  }
-
-  private static HttpAnswer errorAnswer(int httpStatus, String reason) {
-    return jsonAnswer(httpStatus, Cbor.newMap().put("error", reason));
-  }
-
+  /**
+   * A responder that answers once: the first answer given to it, or 503 when none comes in time.
+   */
   private Consumer<HttpAnswer> withTimeout(Consumer<HttpAnswer> responder) {
     AtomicBoolean answered = new AtomicBoolean();
     EventLoop.Cancellable timer =
@@ -113,7 +104,8 @@
             DECISION_TIMEOUT_SECONDS,
             () -> {
               if (answered.compareAndSet(false, true)) {
-                responder.accept(errorAnswer(503, "no decision in time; the outcome is not known"));
+                responder.accept(
+                    JsonAnswers.error(503, "no decision in time; the outcome is not known"));
               }
             });
     return answer -> {
@@ -144,23 +136,27 @@
             .get()
             .whenComplete(
                 (states, failure) -> {
-                  ObjectNode json = Cbor.newMap().put("in_force_here", configuration.revision());
-                  var list = json.putArray("controllers");
-                  for (ConfigurationState state :
-                      failure == null ? states : List.<ConfigurationState>of()) {
-                    list.addObject()
-                        .put("controller", state.controller())
-                        .put("answers", state.inForceSinceMs() > 0)
-                        .put("revision", state.revision())
-                        .put("confirmed_ms_ago", state.confirmedMsAgo())
-                        .put("in_force_since_ms", state.inForceSinceMs())
-                        .put("fresh", state.fresh());
-                  }
-                  responder.accept(jsonAnswer(200, json));
+                  List<ConfigurationState> known = failure == null ? states : List.of();
+                  responder.accept(JsonAnswers.of(200, statusToJson(known)));
                 }),
         "collect the controllers' configuration");
   }
 
+  private ObjectNode statusToJson(List<ConfigurationState> states) {
+    ObjectNode json = Cbor.newMap().put("in_force_here", configuration.revision());
+    var list = json.putArray("controllers");
+    for (ConfigurationState state : states) {
+      list.addObject()
+          .put("controller", state.controller())
+          .put("answers", state.inForceSinceMs() > 0)
+          .put("revision", state.revision())
+          .put("confirmed_ms_ago", state.confirmedMsAgo())
+          .put("in_force_since_ms", state.inForceSinceMs())
+          .put("fresh", state.fresh());
+    }
+    return json;
+  }
+
   private void showHistory(Consumer<HttpAnswer> responder) {
     Futures.logFailure(
         writer
@@ -169,25 +165,30 @@
                 (revisions, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        errorAnswer(503, StateUnavailableException.from(failure).getMessage()));
+                        JsonAnswers.error(
+                            503, StateUnavailableException.from(failure).getMessage()));
                     return;
                   }
-                  ObjectNode json = Cbor.newMap();
-                  var list = json.putArray("revisions");
-                  for (Revision revision : revisions) {
-                    list.addObject()
-                        .put("revision", revision.number())
-                        .put("digest", revision.digest())
-                        .put("request", revision.requestId())
-                        .put("who", revision.author())
-                        .put("why", revision.reason())
-                        .put("at_ms", revision.createdMillis());
-                  }
-                  responder.accept(jsonAnswer(200, json));
+                  responder.accept(JsonAnswers.of(200, historyToJson(revisions)));
                 }),
         "read the configuration's history");
   }
 
+  private static ObjectNode historyToJson(List<Revision> revisions) {
+    ObjectNode json = Cbor.newMap();
+    var list = json.putArray("revisions");
+    for (Revision revision : revisions) {
+      list.addObject()
+          .put("revision", revision.number())
+          .put("digest", revision.digest())
+          .put("request", revision.requestId())
+          .put("who", revision.author())
+          .put("why", revision.reason())
+          .put("at_ms", revision.createdMillis());
+    }
+    return json;
+  }
+
   private void applyConfiguration(byte[] body, Consumer<HttpAnswer> responder)
       throws KubernetesJson.MalformedRequestException {
     ObjectNode json = KubernetesJson.parse(body);
@@ -200,7 +201,7 @@
       checked
           .problems()
           .forEach(p -> problems.addObject().put("path", p.path()).put("why", p.message()));
-      responder.accept(jsonAnswer(422, refusal));
+      responder.accept(JsonAnswers.of(422, refusal));
       return;
     }
     submitChange(json, checked.configuration(), 0, responder);
@@ -237,11 +238,11 @@
       json.put("error", result.message());
     }
     return switch (result.outcome()) {
-      case APPLIED -> jsonAnswer(200, json);
-      case CONFLICT -> jsonAnswer(409, json);
-      case REFUSED -> jsonAnswer(422, json);
+      case APPLIED -> JsonAnswers.of(200, json);
+      case CONFLICT -> JsonAnswers.of(409, json);
+      case REFUSED -> JsonAnswers.of(422, json);
       case UNKNOWN ->
-          jsonAnswer(503, json.put("error", "the outcome is not known: " + result.message()));
+          JsonAnswers.of(503, json.put("error", "the outcome is not known: " + result.message()));
     };
   }
 
