--- a/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -180,7 +180,7 @@
           for (String path : List.of("/ready", "/work/" + JOB_ID, "/work/job-2", "/metrics")) {
             send("GET", path, null, "warm up a read");
           }
-          send("POST", "/work", JobMessages.jobSpec(spec), "warm up a submission");
+          send("POST", "/work", JobMessages.submissionMessage(spec), "warm up a submission");
           sendHeartbeat(1, 0, "warm up the first heartbeat");
         });
     loop.schedule(
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -165,8 +165,7 @@
                 (revisions, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        JsonAnswers.error(
-                            503, RequestFailedException.from(failure).getMessage()));
+                        JsonAnswers.error(503, RequestFailedException.from(failure).getMessage()));
                     return;
                   }
                   responder.accept(JsonAnswers.of(200, historyToJson(revisions)));
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -484,6 +484,11 @@
     return workerReachability;
   }
 
+  /** The machine types known here, for tests. */
+  public MachineTypes machineTypes() {
+    return machineTypes;
+  }
+
   /** What the controller was started with, for tests. */
   public Settings settings() {
     return settings;
--- a/src/main/java/io/violetrail/fleet/QuotaMoveExecutor.java
+++ b/src/main/java/io/violetrail/fleet/QuotaMoveExecutor.java
@@ -1,6 +1,7 @@
 package io.violetrail.fleet;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.violetrail.errors.RequestFailedException;
 import io.violetrail.model.Resources;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
@@ -9,7 +10,6 @@
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.ownership.StateSchema;
 import io.violetrail.state.StateStore;
-import io.violetrail.errors.RequestFailedException;
 import io.violetrail.wire.StateStoreMessages.Entry;
 import io.violetrail.wire.StateStoreMessages.RowChange;
 import io.violetrail.wire.StateStoreMessages.Transaction;
--- a/src/main/java/io/violetrail/kubernetes/ObjectErrors.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectErrors.java
@@ -1,8 +1,8 @@
 package io.violetrail.kubernetes;
 
 import io.violetrail.errors.RequestFailedException;
-import io.violetrail.wire.kubernetes.FieldError.Cause;
 import io.violetrail.wire.kubernetes.FieldError;
+import io.violetrail.wire.kubernetes.FieldError.Cause;
 import io.violetrail.wire.kubernetes.KubernetesStatus;
 import java.util.List;
 
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -232,6 +232,15 @@
     return message;
   }
 
+  /**
+   * Commands sent straight to a worker. They renew no lease, and are carried out in that session of
+   * the worker only.
+   */
+  public static ObjectNode directCommands(
+      Version fencingToken, long session, List<WorkerCommand> commands) {
+    return commandReply(fencingToken, commands).put("tenure", session);
+  }
+
   /**
    * An answer that renews nothing: its token is lower than any that a worker has been given. Left
    * out, the token was read as 0 by some workers, and 0 had been given out.
--- a/src/main/java/io/violetrail/wire/ScriptedMessages.java
+++ b/src/main/java/io/violetrail/wire/ScriptedMessages.java
@@ -36,7 +36,7 @@
 
   /** The provider's only machine type. */
   public static ObjectNode machineTypeReply(MachineType machineType) {
-    return CloudMessages.machineTypes(List.of(machineType));
+    return CloudMessages.machineTypesMessage(List.of(machineType));
   }
 
   /** The provider's answer to a scale-out request for one machine. */
