--- a/src/main/java/io/violetrail/model/ControllerId.java
+++ b/src/main/java/io/violetrail/model/ControllerId.java
@@ -1,6 +1,6 @@
 package io.violetrail.model;
 
-/** A controller's label; also names the entity that is at home there. */
+/** A controller's label. The controller's home entity has the same id. */
 public record ControllerId(String value) implements Comparable<ControllerId> {
   @Override
   public int compareTo(ControllerId other) {
--- a/src/main/java/io/violetrail/model/DerivedJobId.java
+++ b/src/main/java/io/violetrail/model/DerivedJobId.java
@@ -4,18 +4,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Ids of jobs that follow from what the jobs belong to. A step that is repeated, by the same
- * controller or by the next owner, names the same job, whose id can be claimed once; so it is
- * stored once.
+ * Derives job ids from the identity of the object that the job belongs to, such as a run of a
+ * schedule. If a step is repeated by the same controller or by the next owner, it derives the same
+ * id. An id can be claimed only once, so the job is stored only once.
  */
 public final class DerivedJobId {
   private DerivedJobId() {}
 
   /**
-   * The id for an identity: a prefix and 19 digits of the identity's hash, twenty digits in all, so
-   * that no user's id is met by chance.
+   * Returns the id for an identity. It consists of the prefix and 19 digits of the identity's hash,
+   * so it has 20 digits, which makes a collision with a user's id unlikely.
    *
-   * @param prefix {@code job-} with a digit for the kind of identity
+   * @param prefix {@code job-} and one digit for the kind of identity
    */
   public static JobId of(String prefix, String identity) {
     long digest = Hashing.sha256().hashString(identity, StandardCharsets.UTF_8).asLong();
--- a/src/main/java/io/violetrail/model/JobId.java
+++ b/src/main/java/io/violetrail/model/JobId.java
@@ -1,10 +1,10 @@
 package io.violetrail.model;
 
-/** A user's job id; users choose it, in one fixed form. */
+/** A job's id. The users of the API choose the ids of the jobs that they submit. */
 public record JobId(String value) implements Comparable<JobId> {
   private static final int MAX_LENGTH = 64;
 
-  /** Whether the text has the only form that ids take: {@code job-} and digits. */
+  /** Returns whether the text is {@code job-} and digits, with at most 64 characters in all. */
   public static boolean isWellFormed(String text) {
     if (text == null
         || !text.startsWith("job-")
@@ -12,7 +12,7 @@
         || text.length() > MAX_LENGTH) {
       return false;
     }
-    return text.chars().skip(4).allMatch(c -> c >= '0' && c <= '9');
+    return text.chars().skip(4).allMatch(character -> character >= '0' && character <= '9');
   }
 
   @Override
--- a/src/main/java/io/violetrail/model/JobSpec.java
+++ b/src/main/java/io/violetrail/model/JobSpec.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What a user asked for; immutable.
+ * A job as its user specified it.
  *
- * @param machineTypes the allowed types of machine; null: any
- * @param zone the only allowed zone; null: any
- * @param singleZone all tasks must be in the same zone
- * @param spreadAcrossZones at most half of the tasks, rounded up, may be in one zone
+ * @param machineTypes the allowed machine types; null allows any
+ * @param zone the only allowed zone; null allows any
+ * @param singleZone whether all tasks must be in the same zone
+ * @param spreadAcrossZones whether a zone may hold at most half of the tasks, rounded up
  * @param spotAllowed whether the tasks may run on spot machines
- * @param estimatedRuntimeSeconds the owner's estimate for a task, without the image fetch
- * @param checkpointIntervalSeconds how often a task saves its progress; 0: never
- * @param checkpointSaveSeconds how long a task needs to save when it is stopped
- * @param deadlineSeconds until when it should be complete, from its submission; null: no deadline
+ * @param estimatedRuntimeSeconds the user's estimate of a task's runtime, without the image fetch
+ * @param checkpointIntervalSeconds how often a task saves a checkpoint; 0 if it never does
+ * @param checkpointSaveSeconds how long a task takes to save a checkpoint when it is stopped
+ * @param deadlineSeconds the time from submission within which the job should complete; null if it
+ *     has no deadline
  */
 public record JobSpec(
     JobId id,
@@ -42,7 +43,7 @@
         && (spotAllowed || !spotMachine);
   }
 
-  /** How many tasks one zone may hold. */
+  /** Returns the maximum number of tasks in a zone. */
   public int maxTasksPerZone() {
     return spreadAcrossZones ? (taskCount + 1) / 2 : taskCount;
   }
--- a/src/main/java/io/violetrail/model/JobView.java
+++ b/src/main/java/io/violetrail/model/JobView.java
@@ -1,19 +1,19 @@
 package io.violetrail.model;
 
-/** What a user is told of a job; counts are of tasks. */
+/** A job as the API shows it to users, with its numbers of completed and of running tasks. */
 public record JobView(String id, JobStatus status, int doneCount, int runningCount) {
-  /** A job's state as users see it. */
+  /** A job's status as users see it. */
   public enum JobStatus {
-    /** No task runs. */
+    /** The job has not ended, and none of its tasks runs. */
     QUEUED,
-    /** Some task runs. */
+    /** At least one task runs. */
     RUNNING,
-    /** All tasks are done; it remains so. */
+    /** All tasks are done. This status is final. */
     DONE,
-    /** Its user has called it off; it remains so. */
+    /** The user has cancelled the job. This status is final. */
     CANCELLED;
 
-    /** Whether the state is an end, which never changes. */
+    /** Returns whether the status is final. */
     public boolean isTerminal() {
       return this == DONE || this == CANCELLED;
     }
--- a/src/main/java/io/violetrail/model/MachineId.java
+++ b/src/main/java/io/violetrail/model/MachineId.java
@@ -1,6 +1,6 @@
 package io.violetrail.model;
 
-/** The cloud's name of a machine. */
+/** The name that the cloud has given to a machine. */
 public record MachineId(String value) {
   @Override
   public String toString() {
--- a/src/main/java/io/violetrail/model/MachineType.java
+++ b/src/main/java/io/violetrail/model/MachineType.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A type of machine that the cloud rents out; prices are per hour.
+ * A type of machine that the cloud offers. Prices are per hour.
  *
- * @param bootSeconds the usual time from the rental request until the worker reports
- * @param zones where the type is offered
+ * @param bootSeconds the usual time from the scale-out request until the worker reports
+ * @param zones the zones in which the type is offered
  */
 public record MachineType(
     String name,
@@ -17,12 +17,15 @@
     double spotPrice,
     double bootSeconds,
     List<String> zones) {
-  /** The hourly price of such a machine. */
+  /** Returns the price per hour of a spot machine or of an on-demand machine. */
   public double priceFor(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
 
-  /** Whether a task may take the type without idling accelerators: it uses some, or it has none. */
+  /**
+   * Returns whether a task may use this type without leaving accelerators idle: the type has none,
+   * or the task uses some.
+   */
   public boolean suitsAcceleratorNeed(Resources task) {
     return capacity.gpus() == 0 || task.gpus() > 0;
   }
--- a/src/main/java/io/violetrail/model/Priority.java
+++ b/src/main/java/io/violetrail/model/Priority.java
@@ -1,12 +1,15 @@
 package io.violetrail.model;
 
-/** How urgent a job is, the most urgent first; the ordinal travels between controllers. */
+/**
+ * How urgent a job is, the most urgent first. The order of the constants must not change, because
+ * controllers send each other the ordinals.
+ */
 public enum Priority {
-  /** Preempts everything else. */
+  /** Preempts tasks of all lower priorities. */
   PRODUCTION,
-  /** Preempts normal and low work. */
+  /** Preempts tasks of normal and low priority. */
   HIGH,
-  /** Preempts low work. */
+  /** Preempts tasks of low priority. */
   NORMAL,
   /** Preempts nothing. */
   LOW
--- a/src/main/java/io/violetrail/model/TaskId.java
+++ b/src/main/java/io/violetrail/model/TaskId.java
@@ -1,8 +1,8 @@
 package io.violetrail.model;
 
-/** One task of a job, numbered from 0. */
+/** Identifies a task by its job and its index in the job, which starts at 0. */
 public record TaskId(JobId jobId, int index) {
-  /** Parses {@code job-000412/3}; null if the text has another form. */
+  /** Parses a text like {@code job-000412/3}; returns null if it is malformed. */
   public static TaskId parse(String text) {
     int slash = text == null ? -1 : text.indexOf('/');
     if (slash < 0 || !JobId.isWellFormed(text.substring(0, slash))) {
--- a/src/main/java/io/violetrail/model/Version.java
+++ b/src/main/java/io/violetrail/model/Version.java
@@ -1,41 +1,43 @@
 package io.violetrail.model;
 
 /**
- * An entity's version, which is also the workers' fencing token. The remainder by the increment
- * names the owner, so a version says by itself who may act under it.
+ * An entity's version, which is also the fencing token for its workers. The version modulo {@link
+ * #INCREMENT} is the index of the owner, so the version alone tells which controller may act under
+ * it.
  *
- * <p>No version that is given out is below {@link #INCREMENT}. What is below stands for "none": 0
- * is the token of a worker that has seen none, and some workers read an answer without a token as
- * one with token 0. As long as 0 was also the first controller's first version, such an answer
- * renewed the lease of that controller's workers. Rows with versions below the increment, left by
- * programs of that time, are read as they are and lifted by the next move.
+ * <p>Every version that is issued is at least {@link #INCREMENT}. Lower values stand for "none": 0
+ * is the token of a worker that has seen no token, and some workers read a reply without a token as
+ * a reply with token 0. Earlier releases issued 0 as the first version of the first controller, so
+ * that such a reply renewed the leases of that controller's workers. Rows with a lower version that
+ * those releases have stored are read unchanged. The version is raised when a controller next
+ * acquires the entity.
  */
 public record Version(long value) implements Comparable<Version> {
-  /** Leaves room for ten controllers, as in the paper's example. */
+  /** Limits a cluster to ten controllers, as in the paper's example. */
   public static final int INCREMENT = 10;
 
-  /** What a worker has seen that has seen no token; lower than every version that is given out. */
+  /** The token of a worker that has seen no token; lower than every version that is issued. */
   public static final Version NONE = new Version(0);
 
   /**
-   * Checks the value.
+   * Creates a version, which need not be a valid fencing token.
    *
    * @throws IllegalArgumentException if the value is negative
    */
   public Version {
     if (value < 0) {
-      throw new IllegalArgumentException("a version is not negative: " + value);
+      throw new IllegalArgumentException("version must not be negative: " + value);
     }
   }
 
-  /** The first version of the entity of the controller with that index. */
+  /** Returns the first version of an entity whose first owner has the given index. */
   public static Version firstOwnedBy(int ownerIndex) {
     return NONE.nextOwnedBy(ownerIndex);
   }
 
   /**
-   * The first version above this one whose remainder is {@code ownerIndex}; it can serve as a
-   * token.
+   * Returns the lowest version above this one that belongs to the owner with the given index and is
+   * a valid fencing token.
    */
   public Version nextOwnedBy(int ownerIndex) {
     long lowerBound = Math.max(value, INCREMENT - 1);
@@ -43,20 +45,26 @@
     return new Version(candidate > lowerBound ? candidate : candidate + INCREMENT);
   }
 
-  /** The index of the controller that owns the entity under this version. */
+  /** Returns the index of the controller that owns the entity under this version. */
   public int ownerIndex() {
     return (int) Math.floorMod(value, (long) INCREMENT);
   }
 
-  /** Whether it can be told from "none", so that it may be given to workers as their token. */
+  /** Returns whether this version is distinct from "none" and so may be sent to workers. */
   public boolean isToken() {
     return value >= INCREMENT;
   }
 
-  /** This version if it can serve as a token; an error of the program otherwise. */
+  /**
+   * Returns this version.
+   *
+   * @throws IllegalArgumentException if this version is not a valid fencing token, which is a fault
+   *     of the program
+   */
   public Version requireToken() {
     if (!isToken()) {
-      throw new IllegalArgumentException("version " + value + " is no token");
+      throw new IllegalArgumentException(
+          "version " + value + " is not a fencing token: must be at least " + INCREMENT);
     }
     return this;
   }
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the launch and stop commands that the reply to a heartbeat carries, from what is placed on
+ * Writes the launch and stop commands for a reply to a heartbeat, according to the placements on
  * the machine.
  *
- * <p>Launches travel in these replies only. A worker has one report in flight and drops late
- * replies, so its next report always shows whether a launch arrived: no task is launched late, when
- * it may already run elsewhere.
+ * <p>Launches are sent only in replies to heartbeats. A worker has a single report in flight and
+ * drops late replies, so its next report always shows whether a launch arrived. A task is therefore
+ * never launched late, when it may already run elsewhere.
  *
- * <p>Called on the event loop's thread. It has no state; which report carried a launch is kept in
- * the {@link TaskPlacement} and is lost with the process.
+ * <p>Called on the event loop's thread; has no state. Each {@link TaskPlacement} keeps the report
+ * in whose reply its launch was sent, which is lost with the process.
  */
 public final class CommandWriter {
   private static final Logger LOG = LoggerFactory.getLogger(CommandWriter.class);
@@ -29,7 +29,11 @@
   private final JobTracer jobTracer;
   private final EvidenceLog evidence;
 
-  /** Records launches in the traces, and starts of tasks that ran before in the evidence log. */
+  /**
+   * Creates a writer that launches tasks only while {@code configuration} is fresh. It records
+   * launches in {@code jobTracer}, and starts of tasks that were on a machine before in {@code
+   * evidence}.
+   */
   public CommandWriter(Configuration configuration, JobTracer jobTracer, EvidenceLog evidence) {
     this.configuration = configuration;
     this.jobTracer = jobTracer;
@@ -37,10 +41,11 @@
   }
 
   /**
-   * Adds launches for placements that no worker was sent yet, and stops for those that are to stop.
+   * Adds a launch for each placement whose launch was not sent yet, and a stop for each placement
+   * whose stop is requested.
    *
-   * @param commands gets at most {@link LeaseRenewal#MAX_COMMANDS} commands by launches; stops are
-   *     always added
+   * @param commands receives the commands; launches are added only while it has fewer than {@link
+   *     LeaseRenewal#MAX_COMMANDS}, stops always
    */
   void addCommands(Machine machine, List<WorkerCommand> commands) {
     for (TaskPlacement placement : machine.placements().values()) {
@@ -64,7 +69,10 @@
     commands.add(WorkerCommands.launch(placement));
     placement.launched();
     LOG.debug(
-        "task {} attempt {} launched on {}", placement.taskId(), placement.attempt(), machine.id());
+        "sending launch of task {} attempt {} to machine {}",
+        placement.taskId(),
+        placement.attempt(),
+        machine.id());
     jobTracer.taskLaunched(placement.job().spec().id(), machine.id());
     placement
         .job()
@@ -75,7 +83,10 @@
                     placement.taskId(), placement.attempt(), machine.id(), departure));
   }
 
-  /** A task that is saving its checkpoint is left to it, unless it is to stop at once. */
+  /**
+   * Returns whether to send a stop. A task that is already saving its checkpoint is not stopped
+   * again, unless it must stop without a grace period.
+   */
   private static boolean shouldStop(TaskPlacement placement) {
     return placement.isStopRequested()
         && (placement.reportedState() != TaskState.CHECKPOINTING
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -18,9 +18,33 @@
 import java.util.function.Consumer;
 
 /**
- * Receives the workers' heartbeats and decides who replies: this controller as the owner of the
- * machine's entity ({@link OwnedMachineHeartbeat}, {@link LeaseRenewal}), another controller
- * ({@link WorkerRouter}), or this one after it has adopted the machine ({@link MachineAdoption}).
+ * Receives the workers' heartbeats and chooses the reply to each.
+ *
+ * <p>A worker runs on a machine, a machine belongs to an entity, and an entity has one owner. Only
+ * the owner may renew the worker's lease and send it commands. A worker may report to any
+ * controller. The first of these cases that applies decides the reply:
+ *
+ * <ol>
+ *   <li>The heartbeat is malformed: it is answered with status 400.
+ *   <li>It is not newer than the last heartbeat that was accepted from the same worker ({@link
+ *       LastHeartbeats}), so the network has delayed or duplicated it. The reply renews nothing,
+ *       and the heartbeat has no other effect.
+ *   <li>The cloud has already taken the machine back: the worker is sent to the next controller,
+ *       and its lease is not renewed.
+ *   <li>The machine has no stored record: {@link MachineAdoption} may add it to this controller's
+ *       home entity. Once its record is stored, the heartbeat is processed as in case 8.
+ *   <li>This controller does not own the machine's entity, or is handing it over: {@link
+ *       WorkerRouter} sends the worker to the owner, or keeps it reporting here until an owner is
+ *       known.
+ *   <li>This controller owns the entity, but has failed to renew its own lease for longer than the
+ *       keep-alive grace period: the worker is refused and tries the next controller.
+ *   <li>The entity's stored state is still being loaded, or the machine's type is not known yet:
+ *       {@link LeaseRenewal} decides whether to renew the worker's lease. Nothing is launched.
+ *   <li>Otherwise {@link OwnedMachineHeartbeat} reconciles the machine with the report and writes
+ *       the reply, which normally renews the worker's lease and carries launches and stops. If the
+ *       worker waits for work and the reply carries nothing urgent ({@link LongPollReplies}), the
+ *       reply is held back in {@link LongPolls} until there is work or the long poll times out.
+ * </ol>
  *
  * <p>Called on the event loop's thread; has no state of its own.
  */
@@ -37,7 +61,7 @@
   private final LeaseRenewal leaseRenewal;
   private final LongPollReplies longPollReplies;
 
-  /** Routes heartbeats between the given collaborators. */
+  /** Creates a handler that delegates to the given collaborators. */
   public HeartbeatHandler(
       ClusterView clusterView,
       Membership membership,
@@ -66,8 +90,9 @@
   /**
    * Processes a heartbeat.
    *
-   * @param body the request's body as it came; malformed ones are answered with status 400
-   * @param replyConsumer gets the answer once, at once or when the heartbeat's long poll ends
+   * @param body the encoded body of the request
+   * @param replyConsumer receives exactly one answer: before this method returns, after the record
+   *     of an adopted machine was written, or when the heartbeat's long poll ends
    */
   public void handle(byte[] body, Consumer<HttpAnswer> replyConsumer) {
     WorkerReport report;
@@ -92,10 +117,10 @@
 
   private void handle(WorkerReport report, Consumer<HeartbeatReply> replyConsumer) {
     workerReachability.recordHeartbeat(report);
-    longPolls.endSuperseded(report.machineId());
+    longPolls.refuseSuperseded(report.machineId());
     if (machines.wasReturned(report.machineId())) {
-      // The cloud has confirmed its return, though its record still stands: a report that was
-      // delayed in the network must not bring the machine into use again, with tasks that have been
+      // The cloud has confirmed the machine's return, but its record is not removed yet. A report
+      // that was delayed in the network must not put the machine back into use: its tasks have been
       // started elsewhere since.
       replyConsumer.accept(HeartbeatReply.redirected(null));
       return;
@@ -112,7 +137,10 @@
     if (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING) {
       replyConsumer.accept(router.route(row, entity, report));
     } else if (!membership.mayKeepWorkersAlive()) {
-      replyConsumer.accept(HeartbeatReply.refused("not entitled"));
+      replyConsumer.accept(
+          HeartbeatReply.refused(
+              "this controller could not renew its lease within the keep-alive grace period;"
+                  + " report to the next controller"));
     } else {
       handleOwned(entity, row, report, replyConsumer);
     }
@@ -138,8 +166,8 @@
     }
     List<WorkerCommand> commands = new ArrayList<>();
     HeartbeatReply reply = ownedMachine.process(entity, machine, report, commands);
-    if (longPollReplies.mayDelay(entity, machine, report, commands)) {
-      longPolls.park(
+    if (longPollReplies.shouldDelay(entity, machine, report, commands)) {
+      longPolls.delay(
           machine.id(),
           replyConsumer,
           () -> replyConsumer.accept(longPollReplies.write(machine, report, commands)));
--- a/src/main/java/io/violetrail/worker/HeartbeatReply.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatReply.java
@@ -10,12 +10,13 @@
 
 /**
  * A reply to a worker's heartbeat. Only {@link #leaseRenewed} renews the worker's lease, and it
- * cannot be made without a fencing token.
+ * requires a fencing token.
  *
- * @param token the fencing token that the reply carries; {@link Version#NONE} if it renews nothing
+ * @param token the fencing token that the reply carries; {@link Version#NONE} if the reply does not
+ *     renew the lease
  */
 record HeartbeatReply(HeartbeatReplyKind kind, Version token, HttpAnswer answer) {
-  /** Renews the lease and carries commands. */
+  /** Returns a reply that renews the worker's lease and carries commands. */
   static HeartbeatReply leaseRenewed(Version token, List<WorkerCommand> commands) {
     return new HeartbeatReply(
         HeartbeatReplyKind.RENEWED,
@@ -24,14 +25,18 @@
   }
 
   /**
-   * Keeps a worker reporting here while its lease runs on. The reply carries a token lower than the
-   * worker's, which renews nothing. No token is lower than that of a worker that has seen none: if
-   * it has tasks, which only releases that issued version 0 can have started there, it is refused
-   * and tries the next controller.
+   * Returns a reply that keeps the worker reporting here without renewing its lease. The reply
+   * carries a lower token than the worker has seen, so the worker does not renew its lease.
+   *
+   * <p>No token is lower than that of a worker that has seen none. If such a worker holds tasks,
+   * which only releases that issued version 0 can have started, it is refused and tries the next
+   * controller.
    */
   static HeartbeatReply withoutRenewal(WorkerReport report) {
     return report.fencingToken().equals(Version.NONE) && report.holdsTasks()
-        ? refused("no owner is known")
+        ? refused(
+            "the worker holds tasks but has seen no fencing token, and this reply must not renew"
+                + " its lease; report to the next controller")
         : new HeartbeatReply(
             HeartbeatReplyKind.STAY,
             Version.NONE,
@@ -39,9 +44,9 @@
   }
 
   /**
-   * Sends a worker to another controller.
+   * Returns a reply that sends the worker to another controller.
    *
-   * @param owner the controller's name; null if the worker is to try the next one that it knows
+   * @param owner the name of the controller; null if the worker is to try the next one in its list
    */
   static HeartbeatReply redirected(String owner) {
     return new HeartbeatReply(
@@ -50,7 +55,7 @@
         HttpAnswer.of(421, HeartbeatMessages.redirectReply(owner)));
   }
 
-  /** Gives no answer for now: the worker tries the next controller. */
+  /** Returns an error with status 503, after which the worker tries the next controller. */
   static HeartbeatReply refused(String reason) {
     return new HeartbeatReply(
         HeartbeatReplyKind.REFUSED, Version.NONE, HttpAnswer.unavailable(reason));
--- a/src/main/java/io/violetrail/worker/LastHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/LastHeartbeat.java
@@ -4,7 +4,7 @@
 import io.violetrail.model.Version;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
 
-/** The newest report of one worker that has arrived here, and how it was last replied to. */
+/** The newest report that this controller has received from a worker, and its last reply to it. */
 final class LastHeartbeat {
   private long session;
   private long sequence;
@@ -14,16 +14,16 @@
   private double sameReplySinceSeconds;
   private double lastRepliedAtSeconds;
 
-  LastHeartbeat(WorkerReport first) {
-    accept(first);
+  LastHeartbeat(WorkerReport firstReport) {
+    replaceReport(firstReport);
   }
 
   boolean isOlderThan(WorkerReport report) {
     return report.isNewerThan(session, sequence);
   }
 
-  /** The report takes the place of the one before. */
-  void accept(WorkerReport report) {
+  /** Replaces the previous report. */
+  void replaceReport(WorkerReport report) {
     session = report.session();
     sequence = report.sequence();
     tokenSeen = report.fencingToken();
@@ -40,8 +40,10 @@
   }
 
   /**
-   * Whether the worker was replied to in the same way before, and not so long ago that it must have
-   * reported elsewhere meanwhile.
+   * Returns whether the worker's last reply was of the same kind and carried the same token.
+   *
+   * @param absenceSeconds if the last reply is longer ago than this, the worker has reported to
+   *     another controller meanwhile, and the result is false
    */
   boolean isSameReply(HeartbeatReply reply, double nowSeconds, double absenceSeconds) {
     return replyKind == reply.kind()
@@ -49,19 +51,19 @@
         && nowSeconds - lastRepliedAtSeconds <= absenceSeconds;
   }
 
-  /** A reply of another kind or token than before is sent. */
-  void changeReply(HeartbeatReply reply, double nowSeconds) {
+  /** Records that a reply with another kind or token than the last one is sent. */
+  void recordChangedReply(HeartbeatReply reply, double nowSeconds) {
     replyKind = reply.kind();
     replyToken = reply.token();
     sameReplySinceSeconds = nowSeconds;
   }
 
-  /** Any reply is sent. */
-  void repliedAt(double nowSeconds) {
+  /** Records when a reply is sent, whether or not it differs from the last one. */
+  void recordReplyTime(double nowSeconds) {
     lastRepliedAtSeconds = nowSeconds;
   }
 
-  /** The last reply as a field of a line of the evidence log. */
+  /** Formats the last reply as a field of a line in the evidence log. */
   String describeLastReply(double nowSeconds) {
     return replyKind == null
         ? "none"
--- a/src/main/java/io/violetrail/worker/LastHeartbeats.java
+++ b/src/main/java/io/violetrail/worker/LastHeartbeats.java
@@ -9,22 +9,25 @@
 import java.util.Optional;
 
 /**
- * The newest report of each worker that has arrived here, of whichever entity, and how it was last
- * replied to.
+ * The newest report that this controller has received from each worker, of any entity, and its last
+ * reply to that worker.
  *
- * <p>The network may deliver a copy of an older report at any later time. Nothing follows from such
- * a copy, not even that its worker is alive: it must neither replace a report whose reply is
- * delayed in a long poll nor mark a silent machine as heard.
+ * <p>The network may deliver a copy of an older report at any later time. Such a copy is not even
+ * evidence that its worker is alive. It must neither replace a report whose reply is delayed in a
+ * long poll nor mark a silent machine as responsive.
  *
- * <p>Called by {@link HeartbeatHandler} on the event loop's thread. Lost with the process: the
- * first report of each worker is accepted then, whatever its age; {@link OwnedMachineHeartbeat}
- * judges that by sessions and tokens.
+ * <p>Called by {@link HeartbeatHandler} on the event loop's thread. The state is lost with the
+ * process. After a restart the first report of each worker is accepted, whatever its age; {@link
+ * OwnedMachineHeartbeat} then detects an outdated one by its session and fencing token.
  */
 public final class LastHeartbeats {
-  /** Twice as many as the machines of a large deployment; a forgotten worker counts as new. */
+  /** Twice the number of machines in a large deployment; an evicted worker counts as new. */
   private static final int MAX_WORKERS = 8_000;
 
-  /** Without a report for so many intervals the worker reported elsewhere meanwhile. */
+  /**
+   * Number of heartbeat intervals without a report after which the worker is assumed to have
+   * reported to another controller.
+   */
   private static final double ABSENCE_INTERVALS = 3;
 
   private static final double ABSENCE_SLACK_SECONDS = 1;
@@ -35,14 +38,18 @@
   private final Cache<MachineId, LastHeartbeat> heartbeatByWorker =
       CacheBuilder.newBuilder().maximumSize(MAX_WORKERS).build();
 
-  /** Counts and logs replies in the evidence log. */
+  /** Creates an empty record that counts and logs replies through {@code evidence}. */
   public LastHeartbeats(EventLoop loop, EvidenceLog evidence, double heartbeatIntervalSeconds) {
     this.loop = loop;
     this.evidence = evidence;
     this.absenceSeconds = ABSENCE_INTERVALS * heartbeatIntervalSeconds + ABSENCE_SLACK_SECONDS;
   }
 
-  /** Records the report if it is newer than all before it of its worker; empty if it is not. */
+  /**
+   * Records the report if it is newer than all earlier ones of its worker.
+   *
+   * @return the worker's updated entry; empty if the report is not newer
+   */
   Optional<LastHeartbeat> acceptIfNewer(WorkerReport report) {
     LastHeartbeat lastHeartbeat = heartbeatByWorker.getIfPresent(report.machineId());
     if (lastHeartbeat == null) {
@@ -53,11 +60,11 @@
     if (!lastHeartbeat.isOlderThan(report)) {
       return Optional.empty();
     }
-    lastHeartbeat.accept(report);
+    lastHeartbeat.replaceReport(report);
     return Optional.of(lastHeartbeat);
   }
 
-  /** Counts a reply, and logs it if the worker was replied to otherwise before. */
+  /** Counts a reply, and logs it if it differs from the last reply to the worker. */
   void recordReply(MachineId workerId, LastHeartbeat lastHeartbeat, HeartbeatReply reply) {
     evidence.countReply(reply.kind());
     double nowSeconds = loop.monotonicSeconds();
@@ -69,8 +76,8 @@
           reply.kind(),
           reply.token(),
           lastHeartbeat.describeLastReply(nowSeconds));
-      lastHeartbeat.changeReply(reply, nowSeconds);
+      lastHeartbeat.recordChangedReply(reply, nowSeconds);
     }
-    lastHeartbeat.repliedAt(nowSeconds);
+    lastHeartbeat.recordReplyTime(nowSeconds);
   }
 }
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -14,22 +14,24 @@
 import java.util.Set;
 
 /**
- * Renews workers' leases, which is done here and nowhere else. The same reply stops what the report
- * shows of jobs that are finished or cancelled: the worker takes both or neither, so no lease is
- * renewed for a task whose end this owner knows, whether this controller's own lease is valid or
- * uncertain.
+ * Writes the replies that renew workers' leases. No other class renews them.
+ *
+ * <p>Once the entity is active, a reply that renews a lease also stops every reported task whose
+ * job is finished or cancelled. The worker applies the whole reply or none of it. The lease is
+ * therefore never renewed for a task that this owner knows to be over, whether the controller's own
+ * lease is valid or uncertain.
  *
  * <p>Called on the event loop's thread; has no state.
  */
 public final class LeaseRenewal {
-  /** Commands in one reply; keeps it below the protocol's 64 KiB. */
+  /** Maximum number of commands in a reply; keeps it below the protocol's limit of 64 KiB. */
   static final int MAX_COMMANDS = 400;
 
   private final Membership membership;
   private final JobLifecycle jobLifecycle;
   private final EvidenceLog evidence;
 
-  /** Stops the tasks of jobs that are finished or cancelled by {@code jobLifecycle}. */
+  /** Creates a renewal that takes finished and cancelled jobs from {@code jobLifecycle}. */
   public LeaseRenewal(Membership membership, JobLifecycle jobLifecycle, EvidenceLog evidence) {
     this.membership = membership;
     this.jobLifecycle = jobLifecycle;
@@ -37,16 +39,17 @@
   }
 
   /**
-   * The reply that renews the worker's lease and carries the commands.
+   * Returns the reply that renews the worker's lease and carries the commands.
    *
-   * <p>An owner that has not loaded its entity's rows yet knows of no finished or cancelled job.
-   * Until then, workers with tasks have their lease renewed only as long as {@link
-   * Membership#mayRenewWhileLoading} allows; after that they are kept reporting here while their
-   * lease runs on.
+   * <p>While an owner is still loading its entity's rows, it does not know which jobs are finished
+   * or cancelled. Until it has loaded them, it renews the lease of a worker with tasks only as long
+   * as {@link Membership#mayRenewWhileLoading} allows. After that, the worker is kept reporting
+   * here without renewal, and its lease runs down.
    *
    * @param token the fencing token under which the lease is renewed
-   * @param commands those beyond {@link #MAX_COMMANDS}, counted with the stops, are left out; a
-   *     launch that is left out is taken for lost once the next report does not show it
+   * @param commands sent after the stops of finished and cancelled jobs, up to {@link
+   *     #MAX_COMMANDS} in all; the others are left out, and a launch that is left out is treated as
+   *     lost once the next report does not show its task
    */
   HeartbeatReply renew(
       OwnedEntity entity, Version token, WorkerReport report, List<WorkerCommand> commands) {
@@ -55,24 +58,27 @@
           ? HeartbeatReply.withoutRenewal(report)
           : HeartbeatReply.leaseRenewed(token, List.of());
     }
-    Set<WorkerCommand> stopsFirst = new LinkedHashSet<>();
+    Set<WorkerCommand> orderedCommands = new LinkedHashSet<>();
     for (TaskReport task : report.tasks()) {
       if (task.state() != TaskState.EXITED
           && jobLifecycle.isFinishedOrCancelled(entity, task.taskId().jobId())) {
-        stopsFirst.add(WorkerCommands.stopAtOnce(task));
+        orderedCommands.add(WorkerCommands.stopAtOnce(task));
       }
     }
-    stopsFirst.addAll(commands);
+    orderedCommands.addAll(commands);
     return HeartbeatReply.leaseRenewed(
-        token, List.copyOf(stopsFirst).subList(0, Math.min(MAX_COMMANDS, stopsFirst.size())));
+        token,
+        List.copyOf(orderedCommands).subList(0, Math.min(MAX_COMMANDS, orderedCommands.size())));
   }
 
   /**
-   * The reply to a report of a session whose lease was taken for expired: its tasks may have
-   * started elsewhere. Either the report was delayed in the network and nobody waits for the reply,
-   * or another controller has renewed the lease: then the reply that renews it stops all of its
-   * tasks. A worker without tasks is left without renewal, so that its lease expires: the machine
-   * is used again in a later session only.
+   * Returns the reply to a report of a session whose lease was taken for expired, and whose tasks
+   * may have been started elsewhere since.
+   *
+   * <p>Either the report was delayed in the network and its worker no longer waits for the reply,
+   * or another controller has renewed the lease. For the second case, the reply renews the lease
+   * and stops all reported tasks. The lease of a worker without tasks is not renewed, so that it
+   * expires: the machine is used again only in a later session.
    */
   HeartbeatReply answerExpiredSession(OwnedEntity entity, Version token, WorkerReport report) {
     if (!report.holdsTasks()) {
--- a/src/main/java/io/violetrail/worker/LongPollReplies.java
+++ b/src/main/java/io/violetrail/worker/LongPollReplies.java
@@ -14,10 +14,10 @@
 
 /**
  * Decides whether the reply to a heartbeat is delayed in a long poll until there is work for the
- * machine, and writes the delayed reply from what is known by then.
+ * machine, and writes the delayed reply from the state at the time it is sent.
  *
- * <p>Called by {@link HeartbeatHandler} on the event loop's thread; has no state. The open
- * heartbeats themselves are in {@link LongPolls}.
+ * <p>Called by {@link HeartbeatHandler} on the event loop's thread; has no state. {@link LongPolls}
+ * keeps the heartbeats whose replies are delayed.
  */
 public final class LongPollReplies {
   private final EventLoop loop;
@@ -44,24 +44,25 @@
   }
 
   /**
-   * Whether the reply waits for work: the worker has nothing to run, or room is reserved there for
-   * a job that waits for other machines as well, and the reply would say nothing that is urgent.
+   * Returns whether the reply may be delayed until there is work. This requires that the machine is
+   * empty, or has capacity reserved for a job that also waits for other machines. It also requires
+   * that the reply carries nothing urgent.
    *
-   * @param commands what the reply would carry if it were sent now
+   * @param commands the commands that the reply would carry if it were sent now
    */
-  boolean mayDelay(
+  boolean shouldDelay(
       OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
     return entity.isActive()
         && membership.isLeaseValid()
         && machine.isSchedulable()
-        && (machine.isEmpty() || hasReservedRoom(machine))
+        && (machine.isEmpty() || hasReservedCapacity(machine))
         && isNewestReport(machine, report)
         && report.fencingToken().equals(entity.fencingTokenFor(machine))
         && commands.size() < LeaseRenewal.MAX_COMMANDS
         && commands.stream().allMatch(command -> command.type() == CommandType.FORGET);
   }
 
-  private boolean hasReservedRoom(Machine machine) {
+  private boolean hasReservedCapacity(Machine machine) {
     return machine.reservedForJob() != null
         && loop.monotonicSeconds() <= machine.reservedUntilSeconds()
         && machine.reservedForJob().unplacedCount() > 0
@@ -73,10 +74,10 @@
   }
 
   /**
-   * The delayed reply to a report. The machine may have been handed over, and the entity with it,
-   * since the report arrived.
+   * Returns the delayed reply to a report. Since the report arrived, the entity may have been
+   * handed over to another controller, or the machine transferred to another entity.
    *
-   * @param delayedCommands what the reply would have carried without the delay
+   * @param delayedCommands the commands that the reply would have carried without the delay
    */
   HeartbeatReply write(Machine machine, WorkerReport report, List<WorkerCommand> delayedCommands) {
     MachineRow row = clusterView.findMachineRow(machine.id());
@@ -87,10 +88,12 @@
     if (entity == null
         || entity.machines().get(machine.id()) != machine
         || !membership.mayKeepWorkersAlive()) {
-      return HeartbeatReply.refused("the machine has passed on");
+      return HeartbeatReply.refused(
+          "the machine has left its entity, or this controller could not renew its lease within the"
+              + " keep-alive grace period; report to the next controller");
     }
-    // The worker counts its lease from the sending of its report; the reply's time is later, so the
-    // lease is taken for expired too late rather than too early.
+    // The worker's lease starts when it sends its report. The reply is sent later, so counting from
+    // the reply treats the lease as expired too late rather than too early.
     machine.recordReply(loop.monotonicSeconds());
     List<WorkerCommand> commands = new ArrayList<>(delayedCommands);
     if (isNewestReport(machine, report) && membership.isLeaseValid() && entity.isActive()) {
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -18,24 +18,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Adopts machines that report and that no entity has a record of into this controller's home
- * entity, by a conditional write: if two controllers try at once, one of them fails.
+ * Adopts machines whose workers report but of which no entity has a record. Such a machine is added
+ * to this controller's home entity by a conditional write: if two controllers try at the same time,
+ * only one succeeds.
  *
  * <p>Called by {@link HeartbeatHandler} on the event loop's thread. The machine's record survives a
- * crash once it is stored; when a worker was first heard does not, which delays its adoption.
+ * crash once it is stored. The time of a worker's first report does not, which delays the machine's
+ * adoption.
  */
 public final class MachineAdoption {
   private static final Logger LOG = LoggerFactory.getLogger(MachineAdoption.class);
 
-  /** The answer to a scale-out request and the machine's record take so long with slow services. */
-  private static final double SCALE_OUT_RECORDED_SECONDS = 2.5;
+  /**
+   * Time for the answer to a scale-out request and the write of the machine's record when the cloud
+   * and the state service are slow.
+   */
+  private static final double SCALE_OUT_RECORD_DELAY_SECONDS = 2.5;
 
   /**
-   * Workers without a record are, so soon after the start, those that ran before the controllers.
+   * Time after this controller's start during which workers without a record are taken for those
+   * that were running before the controllers.
    */
   private static final double STARTUP_SECONDS = 10;
 
-  private static final int MAX_REMEMBERED = 2_000;
+  private static final int MAX_REMEMBERED_WORKERS = 2_000;
 
   private final EventLoop loop;
   private final ClusterView clusterView;
@@ -43,11 +49,11 @@
   private final MachineTypes machineTypes;
   private final double startedAtSeconds;
 
-  /** When each worker without a record was first heard. */
-  private final Cache<MachineId, Double> firstSeenAtSeconds =
-      CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build();
+  /** When each worker without a record first reported here, in seconds of the monotonic clock. */
+  private final Cache<MachineId, Double> firstReportAtSeconds =
+      CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_WORKERS).build();
 
-  /** Adopts into the entity that {@code membership} names as this controller's home entity. */
+  /** Creates the adoption; the startup period begins now. */
   public MachineAdoption(
       EventLoop loop, ClusterView clusterView, Membership membership, MachineTypes machineTypes) {
     this.loop = loop;
@@ -60,8 +66,8 @@
   /**
    * Adopts the machine of the report if this controller may.
    *
-   * @param onAdopted gets the entity and the machine's row once it is stored
-   * @param replyConsumer gets the reply to the worker in every other case
+   * @param onAdopted receives the entity and the machine's row once the row is stored
+   * @param replyConsumer receives the reply to the worker in every other case
    */
   void adopt(
       WorkerReport report,
@@ -72,7 +78,7 @@
       replyConsumer.accept(HeartbeatReply.redirected(null));
       return;
     }
-    if (mayBeRecordedSoon(report)) {
+    if (mayHaveRecordInFlight(report)) {
       replyConsumer.accept(HeartbeatReply.withoutRenewal(report));
       return;
     }
@@ -102,7 +108,7 @@
                     return;
                   }
                   LOG.info(
-                      "machine {} adopted by entity {} version {}",
+                      "machine {} adopted by entity {} with fencing token {}",
                       row.id(),
                       homeEntity.id(),
                       row.term());
@@ -112,9 +118,9 @@
   }
 
   private MachineRow newRow(OwnedEntity homeEntity, WorkerReport report) {
-    // Strictly above the token that its worker has seen, so that a report that was delayed in the
-    // network for minutes shows its age.
-    Version seen =
+    // The new term is strictly above the token that the worker has seen, so that a report that was
+    // delayed in the network for minutes is recognizable as outdated.
+    Version highestKnownVersion =
         report.fencingToken().compareTo(homeEntity.row().version()) > 0
             ? report.fencingToken()
             : homeEntity.row().version();
@@ -125,27 +131,28 @@
         report.zone(),
         report.spot(),
         true,
-        seen.nextOwnedBy(homeEntity.row().version().ownerIndex()),
+        highestKnownVersion.nextOwnedBy(homeEntity.row().version().ownerIndex()),
         loop.wallMillis());
   }
 
   /**
-   * Whether the worker may be of a scale-out request whose answer or record is still in flight:
-   * some machines are up within a second or two. If whoever hears it first adopted it at once, it
-   * would be missing in the entity that requested it, which would request another in its place.
+   * Returns whether the machine may come from a scale-out request whose answer or record is still
+   * in flight: some machines boot within a second or two. If the first controller to receive its
+   * report adopted it at once, the requesting entity would lack the machine and request another in
+   * its place.
    */
-  private boolean mayBeRecordedSoon(WorkerReport report) {
-    double now = loop.monotonicSeconds();
+  private boolean mayHaveRecordInFlight(WorkerReport report) {
+    double nowSeconds = loop.monotonicSeconds();
     if (report.session() > 1
         || !report.tasks().isEmpty()
-        || now - startedAtSeconds < STARTUP_SECONDS) {
+        || nowSeconds - startedAtSeconds < STARTUP_SECONDS) {
       return false;
     }
-    Double first = firstSeenAtSeconds.getIfPresent(report.machineId());
-    if (first == null) {
-      firstSeenAtSeconds.put(report.machineId(), (Double) now);
+    Double firstAtSeconds = firstReportAtSeconds.getIfPresent(report.machineId());
+    if (firstAtSeconds == null) {
+      firstReportAtSeconds.put(report.machineId(), (Double) nowSeconds);
       return true;
     }
-    return now - first < SCALE_OUT_RECORDED_SECONDS;
+    return nowSeconds - firstAtSeconds < SCALE_OUT_RECORD_DELAY_SECONDS;
   }
 }
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -17,8 +17,9 @@
 import java.util.List;
 
 /**
- * Processes the heartbeat of a machine whose entity is owned here: brings the machine's state in
- * line with the report, fills room that has become free, and writes the reply with its commands.
+ * Processes the heartbeat of a machine whose entity this controller owns: reconciles the machine's
+ * state with the report, schedules tasks onto capacity that has become free, and writes the reply
+ * with its commands.
  *
  * <p>Called by {@link HeartbeatHandler} on the event loop's thread; has no state of its own.
  */
@@ -59,13 +60,21 @@
   }
 
   /**
-   * Processes a report and writes the reply.
+   * Processes a report and returns the reply.
    *
-   * <p>Reports may arrive late and out of order. Only one that is newer than all before it, of a
-   * session that may still run, and of a worker that has seen a token of this ownership is taken
-   * for the machine's present state.
+   * <p>Reports may arrive late and out of order. A report is taken for the machine's current state
+   * only if it meets all of these conditions:
    *
-   * @param commands gets the commands that the reply carries
+   * <ul>
+   *   <li>It is newer than every earlier report of the machine.
+   *   <li>The lease of its session was not taken for expired.
+   *   <li>Its worker has seen a fencing token that was issued under the current ownership.
+   * </ul>
+   *
+   * <p>If the worker has seen a higher token than the machine's, the machine's token is raised,
+   * because the worker obeys no lower one.
+   *
+   * @param commands receives the commands that the reply carries
    */
   HeartbeatReply process(
       OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
@@ -81,36 +90,38 @@
     if (!machine.row().hasReported()) {
       machines.markUp(entity, machine);
     }
-    if (isOutdatedSession(machine, report)) {
+    if (isExpiredSession(machine, report)) {
       return leaseRenewal.answerExpiredSession(entity, token, report);
     }
     if (report.fencingToken().compareTo(machine.acquiredVersion()) < 0) {
-      return answerReportOfEarlierTerm(entity, machine, token, report);
+      return answerReportWithEarlierToken(entity, machine, token, report);
     }
     return answerCurrentReport(entity, machine, token, report, commands);
   }
 
   /**
-   * Whether the report is of a session whose lease was taken for expired. A report may have been
-   * delayed in the network for minutes; one of a later session was sent after that lease expired.
+   * Returns whether the report belongs to a session whose lease was taken for expired. Such a
+   * report may have been delayed in the network for minutes. A report of a later session was
+   * certainly sent after that lease expired.
    */
-  private static boolean isOutdatedSession(Machine machine, WorkerReport report) {
+  private static boolean isExpiredSession(Machine machine, WorkerReport report) {
     return report.session() < machine.firstValidSession();
   }
 
   /**
-   * The worker has not seen a token of this ownership yet, so its report may be from before the
-   * handover or failover and says nothing certain about tasks.
+   * Replies to a worker that has not seen a fencing token of the current ownership yet. Its report
+   * may have been sent before the handover or failover, so it does not prove which tasks run.
    */
-  private HeartbeatReply answerReportOfEarlierTerm(
+  private HeartbeatReply answerReportWithEarlierToken(
       OwnedEntity entity, Machine machine, Version token, WorkerReport report) {
-    double now = loop.monotonicSeconds();
-    if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(now)) {
-      machine.extendUnreportedTasksUntil(now + leaseTiming.tasksGoneAfterReplySeconds());
+    double nowSeconds = loop.monotonicSeconds();
+    if (!machine.tasksKnown() && machine.mayHoldUnreportedTasks(nowSeconds)) {
+      machine.extendUnreportedTasksUntil(nowSeconds + leaseTiming.tasksGoneAfterReplySeconds());
     }
     List<WorkerCommand> firstLaunches = new ArrayList<>();
     if (machine.tasksKnown() && machine.lastSession() == 0 && mayCommand(entity)) {
-      // Handed over empty: it may get its first tasks before it has seen a token of this owner.
+      // The machine was transferred to this entity without tasks, so its worker may receive its
+      // first launches before it has seen a token of this owner.
       machine.recordNewestReport(report.session(), report.sequence());
       commandWriter.addCommands(machine, firstLaunches);
     }
@@ -123,7 +134,7 @@
       Version token,
       WorkerReport report,
       List<WorkerCommand> commands) {
-    final int tasksBefore = machine.placements().size();
+    final int placementCountBefore = machine.placements().size();
     final boolean wasSchedulable = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
     machine.recordNewestReport(report.session(), report.sequence());
@@ -132,10 +143,10 @@
       return leaseRenewal.renew(entity, token, report, List.of());
     }
     drainer.drain(machine);
-    if (machine.placements().size() < tasksBefore) {
-      // This reply can fill the room of ended tasks; the next reply is an interval away. Only this
-      // machine is examined: a pass over all machines for each ended task would leave a small
-      // processor no time for the heartbeats of hundreds of machines.
+    if (machine.placements().size() < placementCountBefore) {
+      // Launches in this reply reuse the capacity of exited tasks at once; the next reply is a
+      // heartbeat interval away. Only this machine is examined: with hundreds of machines, a pass
+      // over all of them for each exited task would leave a small processor no time for heartbeats.
       taskScheduler.fillMachine(entity, machine);
       schedulingLoop.requestPass();
     } else if (!wasSchedulable && machine.isSchedulable()) {
--- a/src/main/java/io/violetrail/worker/PartitionHandover.java
+++ b/src/main/java/io/violetrail/worker/PartitionHandover.java
@@ -11,10 +11,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Hands the owned entities of a controller that is partitioned from its workers to a peer that
- * receives heartbeats, by the ordinary conditional write of a handover.
+ * Hands over the entities of a controller that is partitioned from its workers to a peer that
+ * receives heartbeats. It uses the same conditional write as any other handover.
  *
- * <p>Used by {@link WorkerReachability} alone, on the event loop's thread.
+ * <p>Used only by {@link WorkerReachability}, on the event loop's thread.
  */
 public final class PartitionHandover {
   private final Set<ControllerId> peers;
@@ -23,7 +23,7 @@
   private final PeerClient peerClient;
   private boolean inFlight;
 
-  /** Hands over to one of the given peers. */
+  /** Creates a handover whose candidates are the given peers. */
   public PartitionHandover(
       Set<ControllerId> peers,
       ClusterView clusterView,
@@ -36,10 +36,11 @@
   }
 
   /**
-   * Asks one live peer after the other and hands all owned entities to the first that receives
-   * heartbeats. Nothing happens while an earlier attempt is in flight or nothing is owned.
+   * Asks the live peers one after another whether they receive heartbeats, and hands all owned
+   * entities to the first that does. Does nothing if an earlier attempt is in flight or this
+   * controller owns no entity.
    *
-   * @param stillPartitioned asked again before each step; the attempt ends once it is false
+   * @param stillPartitioned evaluated before each step; the attempt ends once it returns false
    */
   void handOverEntities(BooleanSupplier stillPartitioned) {
     if (inFlight || membership.ownedEntities().isEmpty()) {
--- a/src/main/java/io/violetrail/worker/ReportReconciler.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciler.java
@@ -11,9 +11,9 @@
 import java.util.List;
 
 /**
- * Reconciles an owner's state of a machine with its worker's newest report: what runs there, what
- * has exited, and what is there that should not be. {@link ReportReconciliation} does the work for
- * one report.
+ * Reconciles the owner's view of a machine with its worker's newest report: the tasks that run, the
+ * tasks that have exited, and the tasks that should not be there. {@link ReportReconciliation} does
+ * the work for a single report.
  *
  * <p>Called by {@link OwnedMachineHeartbeat} on the event loop's thread; has no state of its own.
  */
@@ -38,7 +38,8 @@
   /**
    * Reconciles the machine with its newest report.
    *
-   * @param commands gets the commands that follow from the report
+   * @param commands receives the commands that result from the report: stops of tasks that must not
+   *     run there, and {@code FORGET} for exited tasks
    */
   void reconcile(
       OwnedEntity entity,
--- a/src/main/java/io/violetrail/worker/ReportReconciliation.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciliation.java
@@ -28,8 +28,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The reconciliation of a machine with one report of its worker. Made for that report by {@link
- * ReportReconciler}, on the event loop's thread.
+ * Reconciles a machine with a single report of its worker. {@link ReportReconciler} creates one
+ * instance for each report, on the event loop's thread.
  */
 final class ReportReconciliation {
   private static final Logger LOG = LoggerFactory.getLogger(ReportReconciliation.class);
@@ -43,10 +43,13 @@
   private final double nowSeconds;
   private final List<WorkerCommand> commands;
 
-  /** Tasks of open jobs that the report shows and that have not exited. */
+  /** Tasks of open jobs that the report shows as not exited. */
   private final Set<TaskId> reportedTasks = new HashSet<>();
 
-  /** Other tasks that the report shows, with the resources that they take until they are gone. */
+  /**
+   * Reported tasks that have not exited and are not placed on this machine, with the resources that
+   * they count for until they are gone: the machine's whole capacity if the job is not known.
+   */
   private final Map<TaskId, Resources> unknownTasks = new HashMap<>();
 
   ReportReconciliation(
@@ -92,8 +95,8 @@
   }
 
   /**
-   * A launch that was sent in the reply to an earlier report and whose task is not in this one
-   * never arrived, or the task is gone.
+   * Removes placements whose launch was sent but whose task is not in the report. The launch was
+   * sent in the reply to an earlier report, so either it never arrived or the task is gone.
    */
   private void removeUnreportedPlacements(TerminationEvidence evidence) {
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
@@ -101,7 +104,7 @@
           && !reportedTasks.contains(placement.taskId())
           && machine.findPlacement(placement.taskId()) == placement) {
         LOG.debug(
-            "task {} attempt {} is no longer on {}",
+            "removing task {} attempt {}: the latest report of machine {} does not show it",
             placement.taskId(),
             placement.attempt(),
             machine.id());
@@ -131,7 +134,10 @@
     }
   }
 
-  /** The placement of the very attempt; one of another attempt is removed if never sent. */
+  /**
+   * Returns the placement of the reported attempt, or null if there is none. A placement of another
+   * attempt of the task on this machine is removed if its launch was never sent.
+   */
   private TaskPlacement findReportedAttempt(TaskReport taskReport) {
     TaskPlacement placement = machine.findPlacement(taskReport.taskId());
     if (placement == null || placement.attempt() == taskReport.attempt()) {
@@ -143,7 +149,10 @@
     return null;
   }
 
-  /** Whether another machine's worker may run the task; a placement that was never sent yields. */
+  /**
+   * Returns whether another machine's worker may run the task. A placement on another machine is
+   * removed instead if its launch was never sent.
+   */
   private boolean isOnAnotherMachine(Job job, TaskId taskId) {
     TaskPlacement otherPlacement = job.findPlacement(taskId.index());
     if (otherPlacement == null || otherPlacement.machine() == machine) {
@@ -153,7 +162,11 @@
       entity.removePlacement(otherPlacement, nowSeconds, TerminationEvidence.NEVER_SENT);
       return false;
     }
-    LOG.error("task {} is on {} and on {}", taskId, machine.id(), otherPlacement.machine().id());
+    LOG.error(
+        "task {} is reported by machine {} but placed on machine {}; stopping the reported attempt",
+        taskId,
+        machine.id(),
+        otherPlacement.machine().id());
     return true;
   }
 
@@ -170,7 +183,7 @@
     int index = taskReport.taskId().index();
     boolean succeeded = taskReport.exitCause() == ExitCause.DONE;
     TaskPlacement placement = machine.findPlacement(taskReport.taskId());
-    // A replica is never done: one that exits is started again.
+    // Replicas of a service do not complete: one that exits is started again.
     if (succeeded && job.spec().shape() != JobShape.SERVICE && !job.isDone(index)) {
       job.markDone(index);
       FailureAttribution.recordSuccess(machine, job);
@@ -184,7 +197,8 @@
     if (job.isDone(index)) {
       jobLifecycle.handleProgress(entity, job);
       if (succeeded && !job.isStored(index) && job.phase() != Job.Phase.FINISHED) {
-        // The worker keeps reporting it until its end is stored: a crash loses nothing.
+        // Without a FORGET command the worker keeps reporting the task. It is sent only once the
+        // task's completion is stored, so that a controller's crash does not lose the completion.
         return;
       }
     }
@@ -201,12 +215,12 @@
     }
   }
 
-  /** A task of a job that is finished or cancelled, or that this owner has not loaded. */
+  /** Handles a task whose job is finished or cancelled, or is not among the jobs loaded here. */
   private void reconcileUnknownTask(TaskReport taskReport) {
     KnownJobs.KnownJob knownJob =
         unknownTaskLookup.findKnownJob(entity, taskReport.taskId().jobId());
     if (taskReport.state() != TaskState.EXITED) {
-      // The stop of a finished or cancelled job's task goes with whatever renews the lease.
+      // If the job is finished or cancelled, LeaseRenewal adds the stop to the renewing reply.
       unknownTasks.put(
           taskReport.taskId(),
           knownJob == null ? machine.type().capacity() : knownJob.taskResources());
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -18,45 +18,51 @@
 import java.util.Set;
 
 /**
- * Sends stop commands to workers at once, for tasks whose room a more urgent job waits for or whose
- * job was cancelled; the reply to their next heartbeat, which carries them too, may be seconds
- * away.
+ * Sends stop commands directly to workers, without waiting for their next heartbeats. It stops
+ * tasks that are preempted for a more urgent job and tasks of cancelled jobs. The reply to the next
+ * heartbeat carries the same stops, but may be seconds away.
  *
- * <p>Nothing is concluded from the answers. Such a command may overtake a launch that is in flight
- * in the reply to a heartbeat, and be executed minutes late; but it names the attempt, which was to
- * end anyway, so a late one stops nothing else. Launches never travel this way.
+ * <p>The workers' answers are ignored. A direct stop may overtake a launch that is in flight in the
+ * reply to a heartbeat, and it may be executed minutes late. It names the attempt, which was to end
+ * anyway, so a late stop affects nothing else. Launches are never sent directly.
  *
- * <p>Called on the event loop's thread. Nothing survives a crash: the next owner stops the tasks of
- * cancelled jobs with the replies to heartbeats.
+ * <p>Called on the event loop's thread. No state survives a crash: the next owner stops the tasks
+ * of cancelled jobs in its replies to heartbeats.
  */
 public final class TaskStopper {
   private static final double TIMEOUT_SECONDS = 2;
 
-  /** Beyond so many requests in flight the replies to heartbeats must do. */
+  /**
+   * Maximum number of requests in flight to responsive machines. Further stops are sent only in
+   * replies to heartbeats.
+   */
   private static final int MAX_CALLS_IN_FLIGHT = 64;
 
-  /** Requests in flight to machines that are silent, most of which are gone. */
-  private static final int MAX_CALLS_TO_UNRESPONSIVE = 16;
+  /** Maximum number of requests in flight to unresponsive machines, most of which have failed. */
+  private static final int MAX_CALLS_IN_FLIGHT_TO_UNRESPONSIVE = 16;
 
   private static final double RESEND_INTERVAL_SECONDS = 1;
 
-  /** Cancelled tasks remembered for resends; beyond that the expiry of leases must do. */
+  /**
+   * Maximum number of cancelled tasks that are remembered for resends. The others end at the latest
+   * when their workers' leases expire.
+   */
   private static final int MAX_UNCONFIRMED_CANCELLATIONS = 4_000;
 
   private final EventLoop loop;
   private final Membership membership;
   private final HttpClient http;
 
-  /** What is to stop, collected until the end of this turn of the event loop. */
+  /** Stops to send at the end of the current turn of the event loop, by machine. */
   private final Map<Machine, List<TaskPlacement>> pendingStops = new LinkedHashMap<>();
 
-  /** Cancelled tasks that are not known to be gone yet, the next to be resent first. */
+  /** Cancelled tasks that may still be on their machines, in the order of the next resends. */
   private final Set<TaskPlacement> unconfirmedCancellations = new LinkedHashSet<>();
 
   private int callsInFlight;
   private int callsInFlightToUnresponsive;
 
-  /** Sends commands to the machines of the entities owned here. */
+  /** Creates a stopper whose resends begin only with {@link #start}. */
   public TaskStopper(EventLoop loop, Membership membership, HttpClient http) {
     this.loop = loop;
     this.membership = membership;
@@ -69,10 +75,10 @@
   }
 
   /**
-   * Stops a cancelled job's placement. Until its machine is known to be rid of it, this is repeated
-   * while no heartbeats arrive: a worker that reaches no controller may still be reached. Without
-   * that, a task whose image is being fetched could start after its user has been told that the job
-   * is cancelled.
+   * Stops a placement of a cancelled job. While the placement remains and its machine sends no
+   * heartbeats, the stop is resent, because a worker that reaches no controller may still be
+   * reachable. Otherwise a task whose image is being fetched could start after the user was told
+   * that the job is cancelled.
    */
   public void stopUntilGone(TaskPlacement placement) {
     enqueueStop(placement);
@@ -82,9 +88,9 @@
   }
 
   /**
-   * Sends the stop that was requested for a placement; the stops of one turn of the event loop go
-   * to each machine together. Nothing is sent for a placement that its worker was never sent, or
-   * that is not to stop.
+   * Enqueues the stop that was requested for a placement. Each machine receives the stops of one
+   * turn of the event loop in a single request. Does nothing if the placement's launch was never
+   * sent or no stop is requested.
    */
   public void enqueueStop(TaskPlacement placement) {
     if (placement.isRevocable() || !placement.isStopRequested()) {
@@ -93,7 +99,7 @@
     if (pendingStops.isEmpty()) {
       loop.execute(this::sendPendingStops);
     }
-    pendingStops.computeIfAbsent(placement.machine(), m -> new ArrayList<>()).add(placement);
+    pendingStops.computeIfAbsent(placement.machine(), machine -> new ArrayList<>()).add(placement);
   }
 
   private void sendPendingStops() {
@@ -109,42 +115,47 @@
   }
 
   private void resendUnconfirmed() {
-    unconfirmedCancellations.removeIf(placement -> !isOnItsMachine(placement));
+    unconfirmedCancellations.removeIf(placement -> !isStillPlaced(placement));
     groupByUnresponsiveMachine()
         .forEach(
             (machine, placements) -> {
-              // To the end of the set, so that all have their turn.
+              // Moves the placements to the end of the set, for a round-robin order.
               placements.forEach(unconfirmedCancellations::remove);
               unconfirmedCancellations.addAll(placements);
-              if (callsInFlightToUnresponsive < MAX_CALLS_TO_UNRESPONSIVE) {
+              if (callsInFlightToUnresponsive < MAX_CALLS_IN_FLIGHT_TO_UNRESPONSIVE) {
                 callsInFlightToUnresponsive++;
                 sendStops(machine, placements, () -> callsInFlightToUnresponsive--);
               }
             });
   }
 
-  /** The unconfirmed cancellations on the first few of the machines that are silent. */
+  /**
+   * Returns the unconfirmed cancellations of the first {@link #MAX_CALLS_IN_FLIGHT_TO_UNRESPONSIVE}
+   * unresponsive machines, by machine.
+   */
   private Map<Machine, List<TaskPlacement>> groupByUnresponsiveMachine() {
     Map<Machine, List<TaskPlacement>> unresponsive = new LinkedHashMap<>();
     for (TaskPlacement placement : unconfirmedCancellations) {
       if (placement.machine().unresponsive()
           && (unresponsive.containsKey(placement.machine())
-              || unresponsive.size() < MAX_CALLS_TO_UNRESPONSIVE)) {
-        unresponsive.computeIfAbsent(placement.machine(), m -> new ArrayList<>()).add(placement);
+              || unresponsive.size() < MAX_CALLS_IN_FLIGHT_TO_UNRESPONSIVE)) {
+        unresponsive
+            .computeIfAbsent(placement.machine(), machine -> new ArrayList<>())
+            .add(placement);
       }
     }
     return unresponsive;
   }
 
   /**
-   * Sends the stops that still apply, if any.
+   * Sends the stops of those placements that are still on the machine.
    *
-   * @param onCompleted run in any case, also if nothing is sent
+   * @param onCompleted always run once, even if nothing is sent
    */
   private void sendStops(Machine machine, List<TaskPlacement> placements, Runnable onCompleted) {
     OwnedEntity entity = membership.findOwnedEntity(machine.row().entity());
     List<WorkerCommand> commands =
-        placements.stream().filter(TaskStopper::isOnItsMachine).map(WorkerCommands::stop).toList();
+        placements.stream().filter(TaskStopper::isStillPlaced).map(WorkerCommands::stop).toList();
     if (entity == null || commands.isEmpty() || !mayCommand(entity, machine)) {
       onCompleted.run();
       return;
@@ -168,7 +179,7 @@
         && machine.lastSession() != 0;
   }
 
-  private static boolean isOnItsMachine(TaskPlacement placement) {
+  private static boolean isStillPlaced(TaskPlacement placement) {
     return placement.machine().findPlacement(placement.taskId()) == placement;
   }
 }
--- a/src/main/java/io/violetrail/worker/WorkerProbe.java
+++ b/src/main/java/io/violetrail/worker/WorkerProbe.java
@@ -8,10 +8,10 @@
 import java.util.function.IntConsumer;
 
 /**
- * Asks workers for their status, which shows whether requests from here reach them and their
- * replies come back.
+ * Requests the status of workers, to find out whether requests of this controller reach them and
+ * their replies come back.
  *
- * <p>Used by {@link WorkerReachability} alone, on the event loop's thread. One probe runs at a
+ * <p>Used only by {@link WorkerReachability}, on the event loop's thread. A single probe runs at a
  * time.
  */
 public final class WorkerProbe {
@@ -22,7 +22,6 @@
   private int pendingCount;
   private int answeredCount;
 
-  /** Probes over the given client. */
   public WorkerProbe(HttpClient http) {
     this.http = http;
   }
@@ -32,11 +31,11 @@
   }
 
   /**
-   * Asks all the given workers at once; no other probe may be in flight.
+   * Probes all the given workers concurrently. No other probe may be in flight.
    *
-   * @param workers at least one
-   * @param onCompleted gets the number of workers that answered, once each has answered or timed
-   *     out
+   * @param workers must not be empty
+   * @param onCompleted receives the number of workers that answered with a success status, once
+   *     each request has ended or timed out
    */
   void probe(List<HostPort> workers, IntConsumer onCompleted) {
     inFlight = true;
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -14,57 +14,63 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether workers' heartbeats reach this controller. A controller that is partitioned from its
- * workers alone still renews its own lease, so its entity looks healthy to its peers while the
- * leases of all its workers expire, and their tasks with them. It therefore hands its entities to a
- * peer that receives heartbeats, and {@link #receivesHeartbeats} keeps it from getting its own one
- * back before a worker has answered it again.
+ * Detects whether this controller is partitioned from its workers.
  *
- * <p>Runs on the event loop's thread. Nothing survives a restart: a new process begins as {@link
- * State#REACHABLE}.
+ * <p>A controller that is partitioned only from its workers still renews its own lease. Its peers
+ * therefore see a healthy owner while the leases of all its workers expire and their tasks end. To
+ * prevent this, a partitioned controller hands its entities to a peer that receives heartbeats.
+ * {@link #isPartitionedFromWorkers} keeps it from asking for its home entity back before a worker
+ * has reached it or answered it again, or the time limit of the partition has passed.
+ *
+ * <p>Runs on the event loop's thread. The state does not survive a restart: a new process starts as
+ * {@link State#REACHABLE}.
  */
 public final class WorkerReachability {
-  /** Invariant: {@link #SUSPECTED} only while a probe of this controller's own workers runs. */
+  /** The state is {@link #SUSPECTED} only while a probe of this controller's own workers runs. */
   private enum State {
-    /** Heartbeats arrive, or have not been missing for long enough. */
+    /** Heartbeats arrive, or have been missing for less than the silence threshold. */
     REACHABLE,
-    /** No heartbeat for the threshold; some of the own workers are being probed. */
+    /** No heartbeat has arrived within the silence threshold; some own workers are being probed. */
     SUSPECTED,
-    /** No heartbeat and no answer to the probe: entities are handed over, workers probed. */
+    /**
+     * No heartbeat has arrived and no probed worker has answered. Entities are handed over, and the
+     * workers continue to be probed.
+     */
     PARTITIONED
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
-  private static final double TICK_SECONDS = 0.5;
+  private static final double CHECK_INTERVAL_SECONDS = 0.5;
 
-  /** Workers send a heartbeat within a quarter more than their interval. */
+  /** Workers send their next heartbeat within at most 1.25 times their interval. */
   private static final double JITTER_FACTOR = 1.25;
 
-  /** On top of that, for delays in the network and on a busy processor. */
+  /** Added to the jittered interval for delays in the network and on a busy processor. */
   private static final double SLACK_SECONDS = 1;
 
   /**
-   * How many own workers one probe asks, sampled at random. If none of so many answers, after the
-   * silence of all, the partition is certain enough.
+   * Number of own workers that one probe asks, sampled at random. If no heartbeat arrives and none
+   * of these workers answers, the evidence of a partition is strong enough.
    */
-  private static final int MAX_PROBES = 3;
+  private static final int MAX_PROBED_WORKERS = 3;
 
   /**
-   * With fewer own workers nothing is probed or concluded: a single silent worker may have failed
-   * itself.
+   * Minimum number of own workers for a probe and for a conclusion: a single silent worker may have
+   * failed itself.
    */
   private static final int MIN_WORKERS = 2;
 
-  /** Workers remembered for probes during a partition; some may be terminated by then. */
+  /** Number of workers remembered for probes during a partition; some may terminate meanwhile. */
   private static final int MAX_REMEMBERED_WORKERS = 24;
 
   /**
-   * The partition is assumed to be over after this time without any answer, since all remembered
-   * workers may be terminated. Doubles with each partition that ends this way, up to the maximum.
+   * Time without any answer after which the partition is assumed to be over, because all remembered
+   * workers may have been terminated. It doubles with each partition that ends this way, up to
+   * {@link #MAX_PARTITION_TIMEOUT_SECONDS}.
    */
-  private static final double INITIAL_GIVE_UP_SECONDS = 60;
+  private static final double INITIAL_PARTITION_TIMEOUT_SECONDS = 60;
 
-  private static final double MAX_GIVE_UP_SECONDS = 600;
+  private static final double MAX_PARTITION_TIMEOUT_SECONDS = 600;
 
   private final EventLoop loop;
   private final Random random;
@@ -75,9 +81,9 @@
   private final List<HostPort> rememberedWorkers = new ArrayList<>();
   private State state = State.REACHABLE;
   private double lastHeartbeatAtSeconds;
-  private double lastTickAtSeconds;
+  private double lastCheckAtSeconds;
   private double partitionedSinceSeconds;
-  private double giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
+  private double partitionTimeoutSeconds = INITIAL_PARTITION_TIMEOUT_SECONDS;
 
   /**
    * Creates a monitor that does nothing before {@link #start}.
@@ -103,55 +109,56 @@
   /** Starts the periodic check of whether workers' heartbeats still arrive. */
   public void start() {
     lastHeartbeatAtSeconds = loop.monotonicSeconds();
-    lastTickAtSeconds = lastHeartbeatAtSeconds;
-    loop.scheduleWithFixedDelay(TICK_SECONDS, this::checkReachability);
+    lastCheckAtSeconds = lastHeartbeatAtSeconds;
+    loop.scheduleWithFixedDelay(CHECK_INTERVAL_SECONDS, this::checkReachability);
   }
 
-  /** Whether this controller is partitioned from its workers. */
   public boolean isPartitionedFromWorkers() {
     return state == State.PARTITIONED;
   }
 
   /**
-   * Whether any worker's heartbeat has arrived lately. A peer that is partitioned from its workers
-   * asks for this before it hands its entities over.
+   * Returns whether this controller has received a heartbeat of any worker within twice the silence
+   * threshold. A peer that is partitioned from its workers asks this before it hands over its
+   * entities.
    */
   public boolean receivesHeartbeats() {
     return state != State.PARTITIONED
         && loop.monotonicSeconds() - lastHeartbeatAtSeconds < 2 * silenceThresholdSeconds;
   }
 
-  /** A worker's heartbeat has arrived, of whichever entity. */
+  /** Records a heartbeat of a worker of any entity, which ends a suspicion or partition. */
   void recordHeartbeat(WorkerReport report) {
     lastHeartbeatAtSeconds = loop.monotonicSeconds();
-    withdrawSuspicion();
+    clearSuspicion();
     if (state == State.PARTITIONED) {
-      endPartition("heartbeat of " + report.machineId());
+      endPartition("received a heartbeat of machine " + report.machineId());
     }
   }
 
   private void checkReachability() {
     double nowSeconds = loop.monotonicSeconds();
-    // After a pause of this process, heartbeats wait unread: their absence means nothing.
-    boolean paused = nowSeconds - lastTickAtSeconds > 2 * TICK_SECONDS;
-    lastTickAtSeconds = nowSeconds;
+    // After a pause of this process, heartbeats that have arrived may still be unread, so their
+    // absence is no evidence of a partition.
+    boolean paused = nowSeconds - lastCheckAtSeconds > 2 * CHECK_INTERVAL_SECONDS;
+    lastCheckAtSeconds = nowSeconds;
     if (paused || !membership.isLeaseValid()) {
       postponeSuspicion(nowSeconds);
-      withdrawSuspicion();
+      clearSuspicion();
     } else if (state == State.PARTITIONED) {
-      continuePartition(nowSeconds);
+      handleOngoingPartition(nowSeconds);
     } else if (nowSeconds - lastHeartbeatAtSeconds > silenceThresholdSeconds) {
       probeOwnWorkers();
     }
   }
 
-  /** Leaves half of the threshold before the silence counts again. */
+  /** Allows at least half of the silence threshold to pass before workers are probed. */
   private void postponeSuspicion(double nowSeconds) {
     lastHeartbeatAtSeconds =
         Math.max(lastHeartbeatAtSeconds, nowSeconds - silenceThresholdSeconds / 2);
   }
 
-  private void withdrawSuspicion() {
+  private void clearSuspicion() {
     if (state == State.SUSPECTED) {
       state = State.REACHABLE;
     }
@@ -165,8 +172,8 @@
     Collections.shuffle(ownWorkers, random);
     state = State.SUSPECTED;
     probe.probe(
-        ownWorkers.subList(0, Math.min(MAX_PROBES, ownWorkers.size())),
-        answeredCount -> judgeProbe(answeredCount, ownWorkers));
+        ownWorkers.subList(0, Math.min(MAX_PROBED_WORKERS, ownWorkers.size())),
+        answeredCount -> evaluateProbe(answeredCount, ownWorkers));
   }
 
   private List<HostPort> findOwnWorkers() {
@@ -184,20 +191,20 @@
     return ownWorkers;
   }
 
-  /** The suspicion stands if it was not withdrawn while the probe ran. */
-  private void judgeProbe(int answeredCount, List<HostPort> ownWorkers) {
-    boolean suspicionStands = state == State.SUSPECTED;
-    withdrawSuspicion();
+  /** Starts a partition if no worker answered and no heartbeat cleared the suspicion meanwhile. */
+  private void evaluateProbe(int answeredCount, List<HostPort> ownWorkers) {
+    boolean stillSuspected = state == State.SUSPECTED;
+    clearSuspicion();
     if (answeredCount > 0) {
       postponeSuspicion(loop.monotonicSeconds());
-    } else if (suspicionStands && membership.isLeaseValid()) {
+    } else if (stillSuspected && membership.isLeaseValid()) {
       beginPartition(ownWorkers);
     }
   }
 
   private void beginPartition(List<HostPort> ownWorkers) {
     LOG.info(
-        "partitioned from workers: no heartbeat arrives and no probe of {} workers is answered",
+        "partitioned from workers: no heartbeat arrived and no probe was answered; {} own workers",
         ownWorkers.size());
     state = State.PARTITIONED;
     partitionedSinceSeconds = loop.monotonicSeconds();
@@ -207,26 +214,27 @@
     handover.handOverEntities(this::isPartitionedFromWorkers);
   }
 
-  private void continuePartition(double nowSeconds) {
+  private void handleOngoingPartition(double nowSeconds) {
     handover.handOverEntities(this::isPartitionedFromWorkers);
-    if (nowSeconds - partitionedSinceSeconds > giveUpAfterSeconds) {
-      giveUpAfterSeconds = Math.min(MAX_GIVE_UP_SECONDS, 2 * giveUpAfterSeconds);
-      endPartition("no probe was answered for too long");
+    if (nowSeconds - partitionedSinceSeconds > partitionTimeoutSeconds) {
+      partitionTimeoutSeconds =
+          Math.min(MAX_PARTITION_TIMEOUT_SECONDS, 2 * partitionTimeoutSeconds);
+      endPartition("time limit reached without an answer to any probe");
     } else if (!probe.isInFlight() && !rememberedWorkers.isEmpty()) {
       HostPort worker = rememberedWorkers.get(random.nextInt(rememberedWorkers.size()));
-      probe.probe(List.of(worker), this::judgeProbeDuringPartition);
+      probe.probe(List.of(worker), this::evaluateProbeDuringPartition);
     }
   }
 
-  private void judgeProbeDuringPartition(int answeredCount) {
+  private void evaluateProbeDuringPartition(int answeredCount) {
     if (answeredCount > 0 && state == State.PARTITIONED) {
-      giveUpAfterSeconds = INITIAL_GIVE_UP_SECONDS;
-      endPartition("a worker answers");
+      partitionTimeoutSeconds = INITIAL_PARTITION_TIMEOUT_SECONDS;
+      endPartition("a worker answered a probe");
     }
   }
 
   private void endPartition(String reason) {
-    LOG.info("partition from workers ended: {}", reason);
+    LOG.info("no longer partitioned from workers: {}", reason);
     state = State.REACHABLE;
     lastHeartbeatAtSeconds = loop.monotonicSeconds();
   }
--- a/src/main/java/io/violetrail/worker/WorkerRouter.java
+++ b/src/main/java/io/violetrail/worker/WorkerRouter.java
@@ -14,17 +14,17 @@
 import java.util.Map;
 
 /**
- * Redirects workers to the owners of their machines, or keeps them reporting here until there is an
- * owner.
+ * Redirects workers to the owners of their machines' entities, or keeps them reporting here until
+ * the entity has an owner.
  *
- * <p>Called on the event loop's thread. Lost with the process: a worker may then be redirected once
- * more to an owner that is dead.
+ * <p>Called on the event loop's thread. The record of redirects is lost with the process: after a
+ * restart a worker may be redirected once more to an owner that has failed.
  */
 public final class WorkerRouter {
-  /** From the expiry of a controller's lease until all others know of it. */
-  private static final double EXPIRY_VISIBLE_SECONDS = 0.5;
+  /** Time from the expiry of a controller's lease until all other controllers know of it. */
+  private static final double EXPIRY_PROPAGATION_SECONDS = 0.5;
 
-  private static final int MAX_REDIRECTED = 2_000;
+  private static final int MAX_REMEMBERED_REDIRECTS = 2_000;
 
   private final Settings settings;
   private final EventLoop loop;
@@ -35,7 +35,7 @@
   /** When each worker was last redirected to its owner. */
   private final Map<MachineId, Double> redirectedAtSeconds = new HashMap<>();
 
-  /** Routes by the owners and the liveness of controllers in the cluster view. */
+  /** Creates a router that takes owners and their liveness from {@code clusterView}. */
   public WorkerRouter(
       Settings settings,
       EventLoop loop,
@@ -50,36 +50,41 @@
   }
 
   /**
-   * The reply to a worker whose machine's entity this controller does not own, or no longer.
+   * Returns the reply to a worker whose entity this controller does not own or is handing over.
    *
-   * @param entity the entity if it is just being handed over; null if it is not owned here
+   * @param entity the entity while it is being handed over; null if it is not owned here
    */
   HeartbeatReply route(MachineRow row, OwnedEntity entity, WorkerReport report) {
     ControllerId owner = clusterView.findLatestOwner(row.entity());
-    boolean elsewhere =
+    boolean ownedByLivePeer =
         owner != null && !owner.equals(settings.self()) && clusterView.isAlive(owner);
-    // While the entity has no owner, its workers stay here, where the next owner is soon known.
-    // Redirected without a name, each would come back only after it had tried all dead controllers,
-    // and a second failure soon after the first would let the leases of a whole fleet expire.
-    boolean ownerMissing =
-        entity == null && membership.isLeaseValid() && (!elsewhere || cameBackFromOwner(row.id()));
-    return ownerMissing
+    // While the entity has no owner, its workers keep reporting to this controller, which soon
+    // learns the next owner. A worker that is redirected without an owner's name would come back
+    // only after it had tried all failed controllers, and a second failure soon after the first
+    // would let the leases of a whole fleet expire.
+    boolean keepHere =
+        entity == null
+            && membership.isLeaseValid()
+            && (!ownedByLivePeer || hasReturnedFromOwner(row.id()));
+    return keepHere
         ? HeartbeatReply.withoutRenewal(report)
-        : HeartbeatReply.redirected(elsewhere ? owner.value() : null);
+        : HeartbeatReply.redirected(ownedByLivePeer ? owner.value() : null);
   }
 
   /**
-   * Whether the worker was redirected to its owner just now and is here again: the owner may be
-   * dead, which is known only when its lease expires.
+   * Returns whether the worker reports here again although it was redirected to its owner a short
+   * time ago. The owner may then have failed, which is known only when its lease expires. If not,
+   * this records that the worker is being redirected now.
    */
-  private boolean cameBackFromOwner(MachineId machine) {
+  private boolean hasReturnedFromOwner(MachineId machine) {
     double nowSeconds = loop.monotonicSeconds();
-    Double redirectedBefore = redirectedAtSeconds.get(machine);
-    if (redirectedBefore != null
-        && nowSeconds - redirectedBefore < leaseTiming.ttlSeconds() + EXPIRY_VISIBLE_SECONDS) {
+    Double lastRedirectAtSeconds = redirectedAtSeconds.get(machine);
+    if (lastRedirectAtSeconds != null
+        && nowSeconds - lastRedirectAtSeconds
+            < leaseTiming.ttlSeconds() + EXPIRY_PROPAGATION_SECONDS) {
       return true;
     }
-    if (redirectedAtSeconds.size() >= MAX_REDIRECTED) {
+    if (redirectedAtSeconds.size() >= MAX_REMEMBERED_REDIRECTS) {
       redirectedAtSeconds.clear();
     }
     redirectedAtSeconds.put(machine, nowSeconds);
--- a/src/test/java/io/violetrail/model/VersionTest.java
+++ b/src/test/java/io/violetrail/model/VersionTest.java
@@ -21,10 +21,10 @@
     for (int owner = 0; owner < Version.INCREMENT; owner++) {
       assertEquals(Version.INCREMENT + owner, Version.firstOwnedBy(owner).value());
       assertTrue(Version.firstOwnedBy(owner).isToken());
-      for (int old = 0; old < Version.INCREMENT; old++) {
-        Version lifted = new Version(old).nextOwnedBy(owner);
-        assertTrue(lifted.isToken());
-        assertEquals(owner, lifted.ownerIndex());
+      for (int reserved = 0; reserved < Version.INCREMENT; reserved++) {
+        Version next = new Version(reserved).nextOwnedBy(owner);
+        assertTrue(next.isToken());
+        assertEquals(owner, next.ownerIndex());
       }
     }
     assertFalse(Version.NONE.isToken());
