--- a/src/main/java/io/violetrail/worker/LastHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/LastHeartbeat.java
@@ -29,7 +29,7 @@
     tokenSeen = report.fencingToken();
   }
 
-  /** The worker's session, also called agent epoch. */
+  /** The worker's session, also called its agent epoch. */
   long session() {
     return session;
   }
--- a/src/main/java/io/violetrail/worker/LastHeartbeats.java
+++ b/src/main/java/io/violetrail/worker/LastHeartbeats.java
@@ -12,9 +12,9 @@
  * The newest report that this controller has received from each worker, of any entity, and its last
  * reply to that worker.
  *
- * <p>The network may deliver a copy of an older report at any later time. Such a copy is not even
- * evidence that its worker is alive. It must neither replace a report whose reply is delayed in a
- * long poll nor mark a silent machine as responsive.
+ * <p>The network may deliver a copy of an older report at any later time. Such a copy must have no
+ * effect, since it is not even evidence that its worker is alive. It must neither replace a report
+ * whose reply is delayed in a long poll nor mark a silent machine as responsive.
  *
  * <p>Called by {@link HeartbeatHandler} on the event loop's thread. The state is lost with the
  * process. After a restart the first report of each worker is accepted, whatever its age; {@link
--- a/src/main/java/io/violetrail/worker/LongPollReplies.java
+++ b/src/main/java/io/violetrail/worker/LongPollReplies.java
@@ -27,7 +27,7 @@
   private final LeaseRenewal leaseRenewal;
   private final CommandWriter commandWriter;
 
-  /** Writes delayed replies through the given collaborators. */
+  /** Creates a writer of delayed replies that uses the given collaborators. */
   public LongPollReplies(
       EventLoop loop,
       ClusterView clusterView,
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -35,7 +35,7 @@
   private final LeaseRenewal leaseRenewal;
   private final CommandWriter commandWriter;
 
-  /** Processes heartbeats through the given collaborators. */
+  /** Creates a processor that uses the given collaborators. */
   public OwnedMachineHeartbeat(
       EventLoop loop,
       LeaseTiming leaseTiming,
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -119,8 +119,8 @@
 
   /**
    * Returns whether this controller has received a heartbeat of any worker within twice the silence
-   * threshold. A peer that is partitioned from its workers asks this before it hands over its
-   * entities.
+   * threshold and is not partitioned from its workers. A peer that is partitioned from its workers
+   * asks this before it hands over its entities.
    */
   public boolean receivesHeartbeats() {
     return state != State.PARTITIONED
