--- a/src/main/java/io/violetrail/peer/JobQueryBatcher.java
+++ b/src/main/java/io/violetrail/peer/JobQueryBatcher.java
@@ -15,23 +15,27 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Questions about jobs to their owners, gathered: while one message is on its way to an owner, what
- * is asked meanwhile waits for the next. Users who ask many times as often then cost a message a
- * round trip, not one a poll.
+ * Batches queries about jobs to their owners. While the allowed messages to an owner are in flight,
+ * further queries wait for the next message. Users who poll many times as often then cost one
+ * message for each round trip, not one for each poll.
  *
- * <p>A question never joins one that is already under way: the answer to that may be older than
+ * <p>A query never joins a message that is already in flight: the reply to that may be older than
  * what another controller has told the same user since.
  */
 final class JobQueryBatcher {
-  /** Jobs in one message, and jobs that may wait for the next ones; beyond that: later. */
+  /** Maximum number of jobs in one message; further jobs wait for the next one. */
   static final int MAX_JOBS_PER_MESSAGE = 200;
 
+  /** Maximum number of jobs that wait for a message to one owner; more are rejected for now. */
   private static final int MAX_WAITING_JOBS = 800;
 
-  /** Messages under way to one owner: a lost one holds up a part only. */
+  /**
+   * Maximum number of messages in flight to one owner. With more than one, a lost message delays
+   * only a part of the queries.
+   */
   private static final int MAX_MESSAGES_IN_FLIGHT = 2;
 
-  /** Sends one message; the answer holds a view for each job that the owner knows. */
+  /** Sends one message. The reply holds a view for each job that the owner knows. */
   interface Sender {
     CompletableFuture<Map<JobId, JobView>> send(ControllerId owner, List<JobId> jobs);
   }
@@ -93,6 +97,6 @@
                         }
                       });
                 }),
-        "ask a peer for jobs' states");
+        "query a peer for the states of jobs");
   }
 }
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -28,8 +28,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends requests to the other controllers: Kryo messages over HTTP. All of them may fail without
- * harm.
+ * Sends requests to the other controllers, as Kryo messages over HTTP. Every request may fail
+ * without harm.
  */
 public final class PeerClient {
   static final String PATH = "/peer";
@@ -41,7 +41,7 @@
   private final HttpClient http;
   private final PeerCodec codec;
 
-  /** Sends to the peers that the settings name. */
+  /** Creates a client for the peers that the settings name. */
   public PeerClient(Settings settings, ClusterView clusterView, HttpClient http, PeerCodec codec) {
     this.settings = settings;
     this.clusterView = clusterView;
@@ -49,7 +49,7 @@
     this.codec = codec;
   }
 
-  /** Writes and reads a message of each form, so that the classes for it are loaded. */
+  /** Encodes and decodes a message of each form, so that the classes needed for it are loaded. */
   public static void exerciseCodec(JobSpec spec) {
     PeerCodec codec = new PeerCodec();
     ArrayList<ResourceRequest> requests =
@@ -62,16 +62,22 @@
         PeerResponse.class);
   }
 
-  /** Asks the owner of jobs for what it knows of them. */
-  CompletableFuture<List<JobViewMessage>> jobStatuses(ControllerId owner, List<JobId> jobs) {
+  /**
+   * Queries an owner for the states of jobs. The reply leaves out jobs that the owner does not
+   * know.
+   */
+  CompletableFuture<List<JobViewMessage>> queryJobViews(ControllerId owner, List<JobId> jobs) {
     String ids = jobs.stream().map(JobId::value).collect(Collectors.joining(" "));
-    return call(owner, request(PeerRequestKind.VIEW, ids, 0), TIMEOUT_SECONDS)
+    return call(owner, newRequest(PeerRequestKind.VIEW, ids, 0), TIMEOUT_SECONDS)
         .thenApply(PeerResponse::views);
   }
 
-  /** Asks the owner of a job to cancel it; fails if the owner does not know the job. */
+  /**
+   * Asks the owner of a job to cancel it. Fails with {@link UnknownJobException} if the owner does
+   * not know the job or if the cancellation failed there.
+   */
   public CompletableFuture<JobView> cancel(ControllerId owner, JobId id) {
-    return call(owner, request(PeerRequestKind.CANCEL, id.value(), 0), CANCEL_TIMEOUT_SECONDS)
+    return call(owner, newRequest(PeerRequestKind.CANCEL, id.value(), 0), CANCEL_TIMEOUT_SECONDS)
         .thenApply(
             reply -> {
               if (!reply.known() || reply.views().isEmpty()) {
@@ -81,59 +87,65 @@
             });
   }
 
-  /** Whether a peer hears workers. */
+  /** Asks whether a peer receives heartbeats from workers. */
   public CompletableFuture<Boolean> receivesHeartbeats(ControllerId peer) {
-    return call(peer, request(PeerRequestKind.HEARS, "", 0), TIMEOUT_SECONDS)
+    return call(peer, newRequest(PeerRequestKind.HEARS, "", 0), TIMEOUT_SECONDS)
         .thenApply(PeerResponse::known);
   }
 
   /**
-   * Every other controller's state of the configuration; one that does not answer, or does not
-   * follow it, has gone by it since never.
+   * Requests the configuration state of every other controller. For one that does not reply, or
+   * that does not follow the configuration, the state has revision 0 and was never confirmed.
    */
   public List<CompletableFuture<ConfigurationState>> configurationStates() {
-    List<CompletableFuture<ConfigurationState>> asked = new ArrayList<>();
+    List<CompletableFuture<ConfigurationState>> states = new ArrayList<>();
     for (ControllerId peer : settings.peers().keySet()) {
-      ConfigurationState none = new ConfigurationState(peer.value(), 0, -1, 0, false);
-      asked.add(
-          call(peer, request(PeerRequestKind.CONFIGURATION, peer.value(), 0), TIMEOUT_SECONDS)
+      ConfigurationState unconfirmed = new ConfigurationState(peer.value(), 0, -1, 0, false);
+      states.add(
+          call(peer, newRequest(PeerRequestKind.CONFIGURATION, peer.value(), 0), TIMEOUT_SECONDS)
               .thenApply(
-                  reply -> reply.configuration().isEmpty() ? none : reply.configuration().get(0))
-              .exceptionally(failure -> none));
+                  reply ->
+                      reply.configuration().isEmpty() ? unconfirmed : reply.configuration().get(0))
+              .exceptionally(failure -> unconfirmed));
     }
-    return asked;
+    return states;
   }
 
   /** Asks the current owner of this controller's own entity to hand it back. */
   public void askBack(ControllerId owner) {
     Futures.logFailure(
         call(
-            owner, request(PeerRequestKind.HAND_BACK, settings.self().value(), 0), TIMEOUT_SECONDS),
-        "ask for the own entity back");
+            owner,
+            newRequest(PeerRequestKind.HAND_BACK, settings.self().value(), 0),
+            TIMEOUT_SECONDS),
+        "request the handback of the own entity");
   }
 
   /**
-   * Tells all peers what is owned here, so that a former owner whose lease is uncertain stops at
-   * once.
+   * Announces the entities that are owned here to all peers, so that a former owner whose lease is
+   * uncertain stops at once.
    */
   public void announce(Collection<OwnedEntity> entities) {
     entities.forEach(this::announce);
   }
 
-  /** Tells all peers of one entity that is owned here. */
+  /** Announces one entity that is owned here to all peers. */
   public void announce(OwnedEntity entity) {
-    PeerRequest moved =
-        request(PeerRequestKind.MOVED, entity.id().value(), entity.row().version().value());
+    PeerRequest announcement =
+        newRequest(PeerRequestKind.MOVED, entity.id().value(), entity.row().version().value());
     settings
         .peers()
         .keySet()
         .forEach(
-            peer -> Futures.logFailure(call(peer, moved, TIMEOUT_SECONDS), "announce an entity"));
+            peer ->
+                Futures.logFailure(
+                    call(peer, announcement, TIMEOUT_SECONDS),
+                    "announce the ownership of an entity"));
   }
 
-  /** Asks all peers for machines or quota shares that an entity owned here lacks. */
+  /** Asks all live peers for machines or quota shares that an entity owned here lacks. */
   public void askFor(ControllerId entity, List<ResourceRequest> requests) {
-    callAllAlive(
+    callLivePeers(
         new PeerRequest(
             PeerRequestKind.RESOURCES,
             settings.self().value(),
@@ -142,25 +154,30 @@
             new ArrayList<>(requests)));
   }
 
-  /** Saves the peers a call to the cloud. */
+  /**
+   * Tells all live peers that the cloud has no machines of this offering for now, which saves them
+   * a call to the cloud.
+   */
   public void soldOut(String type, String zone, boolean spot) {
-    callAllAlive(request(PeerRequestKind.SOLD_OUT, type + " " + zone + " " + spot, 0));
+    callLivePeers(newRequest(PeerRequestKind.SOLD_OUT, type + " " + zone + " " + spot, 0));
   }
 
-  /** Asks a peer to lend a part of its budget; completes with what it lends. */
+  /**
+   * Asks a peer to lend a part of its write budget; completes with the units that the peer lends.
+   */
   CompletableFuture<Long> borrowBudget(ControllerId peer, long units) {
-    return call(peer, request(PeerRequestKind.BUDGET, "", units), TIMEOUT_SECONDS)
+    return call(peer, newRequest(PeerRequestKind.BUDGET, "", units), TIMEOUT_SECONDS)
         .thenApply(PeerResponse::number);
   }
 
-  private PeerRequest request(PeerRequestKind kind, String subject, long number) {
+  private PeerRequest newRequest(PeerRequestKind kind, String subject, long number) {
     return new PeerRequest(kind, settings.self().value(), subject, number);
   }
 
-  private void callAllAlive(PeerRequest request) {
+  private void callLivePeers(PeerRequest request) {
     settings.peers().keySet().stream()
         .filter(clusterView::isAlive)
-        .forEach(peer -> Futures.logFailure(call(peer, request, TIMEOUT_SECONDS), "tell a peer"));
+        .forEach(peer -> Futures.logFailure(call(peer, request, TIMEOUT_SECONDS), "notify a peer"));
   }
 
   private CompletableFuture<PeerResponse> call(
--- a/src/main/java/io/violetrail/peer/PeerCodec.java
+++ b/src/main/java/io/violetrail/peer/PeerCodec.java
@@ -11,21 +11,21 @@
 import java.util.ArrayList;
 
 /**
- * The form of controllers' messages to each other on the wire. Not thread-safe: each user has its
- * own.
+ * Encodes and decodes the messages between controllers. Not thread-safe: each user has its own
+ * instance.
  *
- * <p>Names in code decide this form. Kryo writes a record's components in the alphabetical order of
- * their names, without the names; a class as the position at which it is registered here; an enum
- * constant as its ordinal. During a rolling restart, controllers of two versions talk to each
- * other. If a component is renamed so that the order changes, a class is registered elsewhere in
- * the list or a constant is moved, then values of the same type are swapped silently, and other
- * messages are refused. {@code PeerMessagesCompatibilityTest} holds recorded bytes of every
- * message.
+ * <p>Names in the code determine the wire format. Kryo writes a record's components in the
+ * alphabetical order of their names, without the names; a class as the position at which it is
+ * registered here; an enum constant as its ordinal. During a rolling restart, controllers of two
+ * versions exchange messages. If a component is renamed so that the order changes, a class is
+ * registered elsewhere in the list or a constant is moved, then values of the same type are swapped
+ * silently, and other messages are rejected. {@code PeerMessagesCompatibilityTest} holds recorded
+ * bytes of every message.
  */
 public final class PeerCodec {
-  private static final int MAX_MESSAGE = 64 * 1024;
-  private static final int INITIAL_BUFFER = 256;
-  private static final int MAX_DEPTH = 8;
+  private static final int MAX_MESSAGE_BYTES = 64 * 1024;
+  private static final int INITIAL_BUFFER_BYTES = 256;
+  private static final int MAX_OBJECT_DEPTH = 8;
 
   private Kryo kryo;
 
@@ -34,7 +34,7 @@
       kryo = new Kryo();
       kryo.setRegistrationRequired(true);
       kryo.setReferences(false);
-      kryo.setMaxDepth(MAX_DEPTH);
+      kryo.setMaxDepth(MAX_OBJECT_DEPTH);
       kryo.register(ArrayList.class);
       kryo.register(ResourceRequest.class);
       kryo.register(PeerRequestKind.class);
@@ -46,14 +46,14 @@
     return kryo;
   }
 
-  /** Writes a message. */
+  /** Encodes a message. */
   public byte[] encode(Object message) {
-    Output output = new Output(INITIAL_BUFFER, MAX_MESSAGE);
+    Output output = new Output(INITIAL_BUFFER_BYTES, MAX_MESSAGE_BYTES);
     kryo().writeObject(output, message);
     return output.toBytes();
   }
 
-  /** Reads a message; throws a {@code KryoException} if it is unclear. */
+  /** Decodes a message; throws a {@code KryoException} if it is malformed. */
   public <T> T decode(byte[] bytes, Class<T> type) {
     return kryo().readObject(new Input(bytes), type);
   }
--- a/src/main/java/io/violetrail/peer/PeerJobViews.java
+++ b/src/main/java/io/violetrail/peer/PeerJobViews.java
@@ -10,37 +10,37 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Asks peers for the states of jobs, many in one message, and remembers what cannot change. */
+/** Queries peers for the states of jobs, many in one message, and records what cannot change. */
 public final class PeerJobViews {
   private final PeerClient peerClient;
   private final KnownJobs knownJobs;
-  private final JobQueryBatcher batcher = new JobQueryBatcher(this::ask);
+  private final JobQueryBatcher batcher = new JobQueryBatcher(this::queryOwner);
 
-  /** Lets the jobs learn what peers answer. */
+  /** Creates a client that records the peers' replies in {@code knownJobs}. */
   public PeerJobViews(PeerClient peerClient, KnownJobs knownJobs) {
     this.peerClient = peerClient;
     this.knownJobs = knownJobs;
   }
 
-  /** Asks the owner of a job for its current state; fails if the owner does not know it. */
+  /** Queries the owner of a job for its current state; fails if the owner does not know the job. */
   public CompletableFuture<JobView> view(ControllerId owner, JobId id) {
     return batcher.query(owner, id);
   }
 
-  private CompletableFuture<Map<JobId, JobView>> ask(ControllerId owner, List<JobId> ids) {
-    return peerClient.jobStatuses(owner, ids).thenApply(this::learn);
+  private CompletableFuture<Map<JobId, JobView>> queryOwner(ControllerId owner, List<JobId> ids) {
+    return peerClient.queryJobViews(owner, ids).thenApply(this::recordViews);
   }
 
-  private Map<JobId, JobView> learn(List<JobViewMessage> statuses) {
-    Map<JobId, JobView> known = new HashMap<>();
-    for (JobViewMessage status : statuses) {
-      JobId id = new JobId(status.id());
-      JobView view = status.toView();
-      known.put(id, view);
-      if (!status.entity().isEmpty()) {
-        knownJobs.recordFromPeer(id, new ControllerId(status.entity()), view);
+  private Map<JobId, JobView> recordViews(List<JobViewMessage> messages) {
+    Map<JobId, JobView> viewById = new HashMap<>();
+    for (JobViewMessage message : messages) {
+      JobId id = new JobId(message.id());
+      JobView view = message.toView();
+      viewById.put(id, view);
+      if (!message.entity().isEmpty()) {
+        knownJobs.recordFromPeer(id, new ControllerId(message.entity()), view);
       }
     }
-    return known;
+    return viewById;
   }
 }
--- a/src/main/java/io/violetrail/peer/PeerMessages.java
+++ b/src/main/java/io/violetrail/peer/PeerMessages.java
@@ -7,35 +7,38 @@
 import java.util.List;
 
 /**
- * The messages between controllers. The names of their components and the order of the constants
- * are part of the form on the wire, see {@link PeerCodec}.
+ * The messages between controllers. The names of their components and the order of the enum
+ * constants are part of the wire format, see {@link PeerCodec}.
  */
 public final class PeerMessages {
   private PeerMessages() {}
 
-  /** What is asked. */
+  /** The kind of a request, which decides what its subject and number mean. */
   public enum PeerRequestKind {
-    /** The states of jobs, their ids in the subject. */
+    /** Asks for the states of the jobs whose ids are in the subject, separated by spaces. */
     VIEW,
-    /** To cancel the job in the subject. */
+    /** Asks to cancel the job in the subject. */
     CANCEL,
-    /** To hand the entity in the subject back to its home controller, which asks. */
+    /** Asks to hand the entity in the subject back to its home controller, which is the sender. */
     HAND_BACK,
-    /** Tells that the sender owns the entity in the subject under the version in the number. */
+    /** Announces that the sender owns the entity in the subject under the version in the number. */
     MOVED,
-    /** For machines or parts of limits for the entity in the subject. */
+    /** Asks for machines or quota shares for the entity in the subject. */
     RESOURCES,
-    /** Tells that the cloud has none of a type, zone and kind for now. */
+    /**
+     * Announces that the cloud has no machines for now of the type, zone and kind (spot or not) in
+     * the subject.
+     */
     SOLD_OUT,
-    /** Whether workers are heard there. */
+    /** Asks whether the receiver receives heartbeats from workers. */
     HEARS,
-    /** Which revision of the configuration the controller goes by. */
+    /** Asks which revision of the configuration the receiver follows. */
     CONFIGURATION,
-    /** A part of the peer's budget for changes. */
+    /** Asks to borrow a part of the receiver's write budget; the number holds the units. */
     BUDGET
   }
 
-  /** A request about a job or an entity. */
+  /** A request about a job, an entity or the receiver itself. */
   public record PeerRequest(
       PeerRequestKind kind,
       String from,
@@ -47,14 +50,17 @@
     }
   }
 
-  /** A reply: whether it is known, and the states of the jobs asked for that are. */
+  /**
+   * A reply: whether the subject is known or the answer is yes, and the states of those requested
+   * jobs that the peer knows.
+   */
   public record PeerResponse(
       boolean known,
       ArrayList<JobViewMessage> views,
       ArrayList<ConfigurationState> configuration,
       long number) {
-    static final PeerResponse UNKNOWN = new PeerResponse(false, new ArrayList<>());
-    static final PeerResponse YES = new PeerResponse(true, new ArrayList<>());
+    static final PeerResponse NEGATIVE = new PeerResponse(false, new ArrayList<>());
+    static final PeerResponse POSITIVE = new PeerResponse(true, new ArrayList<>());
 
     PeerResponse(boolean known, ArrayList<JobViewMessage> views) {
       this(known, views, new ArrayList<>(), 0);
@@ -73,16 +79,19 @@
     }
   }
 
-  /** A job's state, and the entity that it is bound to (empty if that was not asked for). */
+  /**
+   * A job's state, and the entity that it belongs to (empty if that is not known or was not asked
+   * for).
+   */
   public record JobViewMessage(String id, String status, int done, int running, String entity) {
     static JobViewMessage of(JobView view) {
       return of(view, null);
     }
 
     static JobViewMessage of(JobView view, ControllerId entity) {
-      String bound = entity == null ? "" : entity.value();
+      String entityText = entity == null ? "" : entity.value();
       return new JobViewMessage(
-          view.id(), view.status().name(), view.doneCount(), view.runningCount(), bound);
+          view.id(), view.status().name(), view.doneCount(), view.runningCount(), entityText);
     }
 
     JobView toView() {
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -29,7 +29,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the other controllers' requests. Called on the event loop's thread; it owns no state. */
+/** Answers the other controllers' requests. Stateless. Called on the event loop's thread. */
 public final class PeerService implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerService.class);
 
@@ -44,7 +44,7 @@
   private final WriteBudgetLending lending;
   private final PeerCodec codec;
 
-  /** Answers from the given parts. */
+  /** Creates a service that answers from the given components. */
   public PeerService(
       Membership membership,
       Configuration configuration,
@@ -78,7 +78,7 @@
     try {
       request = codec.decode(body, PeerRequest.class);
     } catch (KryoException exception) {
-      LOG.info("a peer's message is unclear: {}", exception.getMessage());
+      LOG.info("rejected a malformed message from a peer: {}", exception.getMessage());
       respond.accept(HttpAnswer.empty(400));
       return;
     }
@@ -91,70 +91,73 @@
 
   private void handle(PeerRequest request, Consumer<PeerResponse> respond) {
     switch (request.kind()) {
-      case VIEW -> respond.accept(jobStatuses(request.subject()));
+      case VIEW -> respond.accept(jobViews(request.subject()));
       case CANCEL -> cancel(new JobId(request.subject()), respond);
       case HEARS ->
           respond.accept(
-              workerReachability.receivesHeartbeats() ? PeerResponse.YES : PeerResponse.UNKNOWN);
+              workerReachability.receivesHeartbeats()
+                  ? PeerResponse.POSITIVE
+                  : PeerResponse.NEGATIVE);
       case BUDGET -> respond.accept(PeerResponse.of(lending.lend(request.number())));
       case CONFIGURATION -> respond.accept(configurationState());
       default -> {
         handleNotice(request);
-        respond.accept(PeerResponse.UNKNOWN);
+        respond.accept(PeerResponse.NEGATIVE);
       }
     }
   }
 
-  /** Handles a notice, which is answered without content. */
+  /** Handles a notice. The reply to it has no content. */
   private void handleNotice(PeerRequest request) {
     switch (request.kind()) {
-      case HAND_BACK -> handBack(request);
-      case SOLD_OUT -> soldOut(request.subject());
+      case HAND_BACK -> handOver(request);
+      case SOLD_OUT -> markSoldOut(request.subject());
       case RESOURCES ->
           transferRequests.handleRequests(new ControllerId(request.subject()), request.requests());
       case MOVED ->
           membership.onOwnershipAnnounced(
               new ControllerId(request.subject()), new Version(request.number()));
-      default -> throw new IllegalArgumentException("not a notice: " + request.kind());
+      default -> throw new IllegalArgumentException("not a kind of notice: " + request.kind());
     }
   }
 
-  private void handBack(PeerRequest request) {
+  private void handOver(PeerRequest request) {
     OwnedEntity entity = membership.findOwnedEntity(new ControllerId(request.subject()));
     if (entity != null && request.subject().equals(request.from())) {
       membership.handBack(entity, new ControllerId(request.from()));
     }
   }
 
-  private void soldOut(String subject) {
-    String[] offer = subject.split(" ", 3);
-    if (offer.length == 3) {
+  private void markSoldOut(String subject) {
+    String[] offeringFields = subject.split(" ", 3);
+    if (offeringFields.length == 3) {
       scaleOutRequests.markSoldOut(
-          new MachineOffering(offer[0], offer[1], Boolean.parseBoolean(offer[2])));
+          new MachineOffering(
+              offeringFields[0], offeringFields[1], Boolean.parseBoolean(offeringFields[2])));
     }
   }
 
   private PeerResponse configurationState() {
     ConfigurationState state = configuration.findState();
-    return state == null ? PeerResponse.UNKNOWN : PeerResponse.of(state);
+    return state == null ? PeerResponse.NEGATIVE : PeerResponse.of(state);
   }
 
-  private PeerResponse jobStatuses(String ids) {
-    ArrayList<JobViewMessage> known = new ArrayList<>();
-    for (String text : Splitter.on(' ').limit(JobQueryBatcher.MAX_JOBS_PER_MESSAGE).split(ids)) {
-      JobId id = new JobId(text);
+  private PeerResponse jobViews(String ids) {
+    ArrayList<JobViewMessage> knownViews = new ArrayList<>();
+    for (String idText : Splitter.on(' ').limit(JobQueryBatcher.MAX_JOBS_PER_MESSAGE).split(ids)) {
+      JobId id = new JobId(idText);
       JobView view = jobStates.knownView(id);
       if (view != null) {
-        known.add(JobViewMessage.of(view, knownJobs.findEntityOf(id)));
+        knownViews.add(JobViewMessage.of(view, knownJobs.findEntityOf(id)));
       }
     }
-    return new PeerResponse(true, known);
+    return new PeerResponse(true, knownViews);
   }
 
   private void cancel(JobId id, Consumer<PeerResponse> respond) {
     Optional<CompletableFuture<JobView>> cancellation = localCancellation.tryCancel(id);
     if (cancellation.isEmpty()) {
-      respond.accept(PeerResponse.UNKNOWN);
+      respond.accept(PeerResponse.NEGATIVE);
       return;
     }
     Futures.logFailure(
@@ -162,7 +165,8 @@
             .get()
             .whenComplete(
                 (view, failure) ->
-                    respond.accept(failure == null ? PeerResponse.of(view) : PeerResponse.UNKNOWN)),
+                    respond.accept(
+                        failure == null ? PeerResponse.of(view) : PeerResponse.NEGATIVE)),
         "cancel a job for a peer");
   }
 }
--- a/src/main/java/io/violetrail/peer/ResourceRequest.java
+++ b/src/main/java/io/violetrail/peer/ResourceRequest.java
@@ -6,11 +6,18 @@
 import java.util.List;
 
 /**
- * What an entity lacks for a waiting job: machines for {@code tasks} more tasks, or so much more of
- * the team's limit ({@code slice}, with amounts in all). Types are joined by commas; empty: any.
- * {@code worth}: how many times the cheapest ordinary price a machine may cost for each task.
- * {@code donor}: the only entity that is to give it; empty: any. {@code starving}: the job has
- * waited so long that room is to be made for it; {@code mayEvict}: not even a part of it runs.
+ * What an entity lacks for a waiting job: machines for more of its tasks, or a larger share of the
+ * team's quota.
+ *
+ * @param slice whether a share of the team's quota is requested, with total amounts; otherwise
+ *     machines are requested, with amounts for each task
+ * @param types the allowed machine types, joined by commas; empty for any
+ * @param zone the only allowed zone; empty for any
+ * @param tasks how many more tasks machines are requested for
+ * @param worth how many times the cheapest on-demand price a machine may cost for each task
+ * @param starving whether the job has waited so long that capacity is to be freed for it
+ * @param mayEvict whether not even a part of the job runs, so that tasks may be evicted for it
+ * @param donor the only entity that is asked; empty for any
  */
 public record ResourceRequest(
     boolean slice,
@@ -34,7 +41,10 @@
     return create(false, spec, spec.taskResources(), tasks, arrivedMs, worth, starving, mayEvict);
   }
 
-  /** All that is lacking, whatever part of it is a whole task. */
+  /**
+   * Returns a request for all of the lacking quota, regardless of how many whole tasks it is enough
+   * for.
+   */
   public static ResourceRequest forQuotaShare(JobSpec spec, Resources lacking, long arrivedMs) {
     return create(true, spec, lacking, 1, arrivedMs, 0, false, false);
   }
@@ -68,7 +78,7 @@
         "");
   }
 
-  /** A part of it, to be given by one entity alone. */
+  /** Returns a request for a part of the amounts, which asks only one entity. */
   public ResourceRequest fromDonor(ControllerId donorEntity, Resources part) {
     return new ResourceRequest(
         slice,
@@ -89,17 +99,17 @@
         donorEntity.value());
   }
 
-  /** Whether every entity is asked for all of it. */
+  /** Returns whether every entity is asked for the full amounts. */
   public boolean isForAllDonors() {
     return donor.isEmpty();
   }
 
-  /** Whether the entity is asked. */
+  /** Returns whether {@code entity} is asked. */
   public boolean isForDonor(ControllerId entity) {
     return donor.isEmpty() || donor.equals(entity.value());
   }
 
-  /** The same in one zone alone. */
+  /** Returns the same request restricted to one zone. */
   public ResourceRequest withZone(String onlyZone) {
     return new ResourceRequest(
         slice, job, team, cpus, gpus, memoryGb, types, onlyZone, spot, tasks, priority, arrivedMs,
--- a/src/main/java/io/violetrail/peer/WriteBudgetLending.java
+++ b/src/main/java/io/violetrail/peer/WriteBudgetLending.java
@@ -9,22 +9,22 @@
 import java.util.List;
 
 /**
- * Lends parts of the state service's budget for changes to peers that have more to write than their
- * own part allows.
+ * Lends parts of this controller's write budget for the state service to peers that have more to
+ * write than their own share allows.
  *
- * <p>The budget is divided evenly, and what one controller does not use of its part in a second was
- * lost to the others: with seven of them, each one's bursts waited while the rest had changes left.
- * A lender takes what it lends out of its own bucket before it answers, so the sum of all buckets
- * never grows; what is lost on the way is spent.
+ * <p>The budget is divided evenly, and without lending, the writes that one controller does not use
+ * in a second are lost to the others: with seven controllers, bursts at each one waited while the
+ * others had writes left. A lender takes what it lends out of its own bucket before it replies, so
+ * the sum of all buckets never grows; writes that are lost on the way count as spent.
  */
 public final class WriteBudgetLending {
   private static final double CHECK_INTERVAL_SECONDS = 0.25;
 
-  /** Less than this is not worth a message. */
-  private static final double MIN_SHORTAGE = 0.25;
+  /** A smaller shortfall is not worth a message. */
+  private static final double MIN_SHORTFALL_WRITES = 0.25;
 
-  /** A message carries an amount as an integer. */
-  private static final double UNITS_PER_WRITE = 1_000;
+  /** Messages carry amounts as integers, in units of a thousandth of a write. */
+  private static final double LENDING_UNITS_PER_WRITE = 1_000;
 
   private final Settings settings;
   private final EventLoop loop;
@@ -32,7 +32,7 @@
   private final ClusterView clusterView;
   private final PeerClient peerClient;
 
-  /** Lends and borrows what the store may write. */
+  /** Creates the lending of the store's write budget; borrowing begins with {@link #start}. */
   public WriteBudgetLending(
       Settings settings,
       EventLoop loop,
@@ -46,35 +46,40 @@
     this.peerClient = peerClient;
   }
 
-  /** Begins to ask peers whenever there is more to write than this controller's part allows. */
+  /**
+   * Starts to borrow from peers whenever there is more to write than this controller's share
+   * allows.
+   */
   public void start() {
-    loop.scheduleWithFixedDelay(CHECK_INTERVAL_SECONDS, this::requestIfShort);
+    loop.scheduleWithFixedDelay(CHECK_INTERVAL_SECONDS, this::borrowIfShort);
   }
 
-  private void requestIfShort() {
-    double shortage = store.missingWrites();
+  private void borrowIfShort() {
+    double shortfall = store.writeShortfall();
     List<ControllerId> peers =
         settings.peers().keySet().stream().filter(clusterView::isAlive).toList();
-    if (shortage < MIN_SHORTAGE || peers.isEmpty()) {
+    if (shortfall < MIN_SHORTFALL_WRITES || peers.isEmpty()) {
       return;
     }
-    long units = (long) Math.ceil(UNITS_PER_WRITE * Math.max(1, shortage / peers.size()));
+    long unitsPerPeer =
+        (long) Math.ceil(LENDING_UNITS_PER_WRITE * Math.max(1, shortfall / peers.size()));
     peers.forEach(
         peer ->
             Futures.logFailure(
-                peerClient.borrowBudget(peer, units).thenAccept(this::addBorrowed),
-                "borrow a part of a peer's budget"));
+                peerClient.borrowBudget(peer, unitsPerPeer).thenAccept(this::addBorrowedUnits),
+                "borrow write budget from a peer"));
   }
 
-  /** A peer asks; returns what it is given. */
+  /** Lends to a peer that asks for {@code units}, and returns the units that it gets. */
   long lend(long units) {
-    return (long) (UNITS_PER_WRITE * store.lendWrites(Math.max(0, units) / UNITS_PER_WRITE));
+    return (long)
+        (LENDING_UNITS_PER_WRITE * store.lendWrites(Math.max(0, units) / LENDING_UNITS_PER_WRITE));
   }
 
-  /** A peer has given so much. */
-  private void addBorrowed(long units) {
+  /** Adds units that a peer has lent. */
+  private void addBorrowedUnits(long units) {
     if (units > 0) {
-      store.addBorrowedWrites(units / UNITS_PER_WRITE);
+      store.addBorrowedWrites(units / LENDING_UNITS_PER_WRITE);
     }
   }
 }
--- a/src/main/java/io/violetrail/state/ChangeWatcher.java
+++ b/src/main/java/io/violetrail/state/ChangeWatcher.java
@@ -9,14 +9,14 @@
 import java.util.function.Consumer;
 
 /**
- * Waits for changes of rows by long polls, one for each call; whoever called begins the next. It
- * keeps no state. Called on the event loop's thread.
+ * Waits for changes of rows by long polling. Each call is one poll; the caller starts the next.
+ * Stateless. Called on the event loop's thread.
  */
 final class ChangeWatcher {
-  private static final int GONE = 410;
+  private static final int HTTP_GONE = 410;
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** What an answer may take beyond the time that the state service waits for changes. */
+  /** Time allowed for the reply beyond the time that the state service waits for changes. */
   private static final double TIMEOUT_MARGIN_SECONDS = 3;
 
   private final RequestBudget budget;
@@ -47,7 +47,7 @@
                   if (changes.isPresent()) {
                     onChanges.accept(changes.get());
                   } else {
-                    onFailure.onWatchFailed(failure == null && reply.status() == GONE);
+                    onFailure.onWatchFailed(failure == null && reply.status() == HTTP_GONE);
                   }
                 }),
         "watch for changes");
@@ -62,7 +62,10 @@
         + Math.round(waitSeconds * MILLIS_PER_SECOND);
   }
 
-  /** The answer's body; empty if it is an error or cannot be read, which are treated alike. */
+  /**
+   * Returns the reply's body, or empty if the reply is an error or cannot be parsed; both count as
+   * a failed watch.
+   */
   private static Optional<ObjectNode> parseChanges(ClientReply reply) {
     if (!reply.isOk()) {
       return Optional.empty();
--- a/src/main/java/io/violetrail/state/CommitLane.java
+++ b/src/main/java/io/violetrail/state/CommitLane.java
@@ -1,32 +1,37 @@
 package io.violetrail.state;
 
-/** Which waiting transactions go first when the budget is short: the lanes in their order. */
+/**
+ * Priorities of waiting transactions, in the order in which they are sent when the budget is short.
+ */
 enum CommitLane {
-  /** Submissions, cancellations and ends of jobs: users wait for them. */
+  /** Submissions, cancellations and ends of jobs, which users wait for. */
   USERS(0, Double.POSITIVE_INFINITY),
-  /** Machines: requested, started, transferred, terminated. */
+  /** Changes of machines: requested, started, transferred, terminated. */
   MACHINES(0.25, 0.7),
-  /** Progress of jobs, which nobody waits for. */
+  /** Progress of jobs, which nothing waits for. */
   PROGRESS(0.5, 1.4);
 
   private final double reservedBurstFraction;
-  private final double starvationSeconds;
+  private final double overdueAfterSeconds;
 
-  CommitLane(double reservedBurstFraction, double starvationSeconds) {
+  CommitLane(double reservedBurstFraction, double overdueAfterSeconds) {
     this.reservedBurstFraction = reservedBurstFraction;
-    this.starvationSeconds = starvationSeconds;
+    this.overdueAfterSeconds = overdueAfterSeconds;
   }
 
   /**
-   * The part of a second's writes that this lane leaves to submissions that are yet to come, unless
+   * Returns the fraction of one second's writes that this lane leaves to future submissions, unless
    * it is overdue.
    */
   double reservedBurstFraction() {
     return reservedBurstFraction;
   }
 
-  /** After so long a wait of its first transaction the lane is overdue and has its turn. */
-  double starvationSeconds() {
-    return starvationSeconds;
+  /**
+   * Returns how long the lane's first transaction may wait, in seconds, before the lane is overdue
+   * and served first.
+   */
+  double overdueAfterSeconds() {
+    return overdueAfterSeconds;
   }
 }
--- a/src/main/java/io/violetrail/state/CommitLanes.java
+++ b/src/main/java/io/violetrail/state/CommitLanes.java
@@ -9,15 +9,16 @@
 import java.util.Optional;
 
 /**
- * The transactions that wait, in a queue for each lane, and whose turn it is.
+ * The waiting transactions, in one queue for each lane, and the order in which the lanes are
+ * served.
  *
- * <p>Called on the event loop's thread by {@link GroupCommit} alone.
+ * <p>Called on the event loop's thread, only by {@link GroupCommit}.
  */
 final class CommitLanes {
   private final Map<CommitLane, ArrayDeque<PendingTransaction>> queueByLane =
       new EnumMap<>(CommitLane.class);
 
-  /** The lane that the last request began with; null before the first one. */
+  /** The lane that the last request started with; null before the first request. */
   private CommitLane lastServedLane;
 
   CommitLanes() {
@@ -30,8 +31,8 @@
     queueByLane.get(pending.lane()).addLast(pending);
   }
 
-  /** Puts transactions that were under way back to where they came from, in the same order. */
-  void putBack(List<PendingTransaction> transactions) {
+  /** Returns transactions that were in flight to the head of their lanes, in the same order. */
+  void requeueAtHead(List<PendingTransaction> transactions) {
     for (int i = transactions.size() - 1; i >= 0; i--) {
       queueByLane.get(transactions.get(i).lane()).addFirst(transactions.get(i));
     }
@@ -41,12 +42,18 @@
     return queueByLane.values().stream().allMatch(ArrayDeque::isEmpty);
   }
 
-  /** A lane's transactions in their order; those that go into a request are removed through it. */
+  /**
+   * Returns a lane's transactions in order. The caller removes those that go into a request through
+   * the iterator.
+   */
   Iterator<PendingTransaction> iterator(CommitLane lane) {
     return queueByLane.get(lane).iterator();
   }
 
-  /** Writes that users and machines wait for; progress is not counted, nobody waits for it. */
+  /**
+   * Returns the number of writes that users and machines wait for. Progress is not counted, since
+   * nothing waits for it.
+   */
   double waitingWriteCount() {
     double count = 0;
     for (CommitLane lane : List.of(CommitLane.USERS, CommitLane.MACHINES)) {
@@ -58,23 +65,24 @@
   }
 
   /**
-   * The first lane that has waited for too long and did not begin the last request. It goes before
-   * its place then: submissions without end would keep machines from ever coming into use.
+   * Returns the first lane that is overdue and that the last request did not start with. It is
+   * served ahead of its priority; otherwise an endless stream of submissions would keep machines
+   * from ever coming into use.
    */
   Optional<CommitLane> findOverdueLane(double nowSeconds) {
     for (CommitLane lane : CommitLane.values()) {
       PendingTransaction head = queueByLane.get(lane).peekFirst();
       if (lane != lastServedLane
           && head != null
-          && nowSeconds - head.queuedAtSeconds() > lane.starvationSeconds()) {
+          && nowSeconds - head.queuedAtSeconds() > lane.overdueAfterSeconds()) {
         return Optional.of(lane);
       }
     }
     return Optional.empty();
   }
 
-  /** All lanes in their order, but the overdue one first. */
-  static List<CommitLane> inOrder(Optional<CommitLane> overdueLane) {
+  /** Returns all lanes in the order of priority, but the overdue one first. */
+  static List<CommitLane> servingOrder(Optional<CommitLane> overdueLane) {
     List<CommitLane> order = new ArrayList<>(List.of(CommitLane.values()));
     overdueLane.ifPresent(
         lane -> {
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -15,30 +15,35 @@
 import java.util.function.Supplier;
 
 /**
- * Puts conditional transactions that wait into as few requests as their limits allow, the lanes in
- * their order, and retries each until it has a certain answer. A retry after a lost answer
- * completes as not applied if the first try was applied: its caller looks at the rows, see
- * StateStore.
+ * Combines waiting conditional transactions into as few requests as the limits allow, in the order
+ * of the lanes, and retries each until its outcome is certain. If an attempt was applied but its
+ * reply was lost, the retry completes as not applied; the caller then reads the rows, see {@link
+ * StateStore#commit}.
  *
- * <p>Transactions that share a request stand or fall together only in that request: one whose
- * conditions do not hold completes as not applied, and the others are sent again without it.
+ * <p>Transactions that share a request are applied or rejected together only within that request:
+ * one whose conditions do not hold completes as not applied, and the others are sent again without
+ * it.
  *
- * <p>Owns the transactions that wait and the number of requests under way. Called on the event
- * loop's thread. Nothing survives a crash: a transaction under way may then be applied all the
- * same, which its conditions must allow for.
+ * <p>Owns the waiting transactions and the number of requests in flight. Called on the event loop's
+ * thread. No state survives a crash: a transaction in flight may still be applied, and its
+ * conditions must allow for that.
  */
 final class GroupCommit {
-  private static final double GATHER_SECONDS = 0.004;
+  private static final double LINGER_SECONDS = 0.004;
   private static final double RETRY_SECONDS = 0.3;
-  private static final double BUDGET_WAIT_SECONDS = 0.05;
+  private static final double BUDGET_RETRY_SECONDS = 0.05;
 
   /**
-   * A transaction is sent once the budget has this many writes, or its own number if that is lower,
-   * beyond what is reserved; what it takes beyond is a debt.
+   * Number of writes that the budget must have beyond the reserved ones before a transaction is
+   * sent; a transaction with fewer writes needs only its own number. Its writes beyond this number
+   * become a debt.
    */
   private static final int ADMISSION_WRITES = 2;
 
-  /** Requests under way at the same time: one may be slow without holding up the next. */
+  /**
+   * Maximum number of requests in flight. With more than one, a slow request does not hold up the
+   * next.
+   */
   private static final int MAX_REQUESTS_IN_FLIGHT = 3;
 
   private final EventLoop loop;
@@ -52,7 +57,7 @@
   /**
    * Creates a group commit with empty lanes.
    *
-   * @param sender sends one request that is paid for already
+   * @param sender sends one request that has already been taken from the budget
    */
   GroupCommit(
       EventLoop loop,
@@ -71,8 +76,9 @@
   }
 
   /**
-   * Adds a transaction that is drafted only when its turn has come, so that what it rests on is as
-   * new as can be: one drafted before a wait for the budget would fail on conditions gone stale.
+   * Adds a transaction that is drafted only when its turn comes, so that it is based on the latest
+   * state. If it were drafted before it waits for the budget, it would fail on conditions that have
+   * become stale.
    *
    * @return fails with {@link NothingToWriteException} if the draft is null
    */
@@ -83,23 +89,23 @@
 
   private CompletableFuture<TransactionOutcome> add(PendingTransaction pending) {
     lanes.addLast(pending);
-    flushTimer.schedule(GATHER_SECONDS);
+    flushTimer.schedule(LINGER_SECONDS);
     return pending.outcome();
   }
 
-  /** Writes that users and machines wait for. */
+  /** Returns the number of writes that users and machines wait for. */
   double waitingWriteCount() {
     return lanes.waitingWriteCount();
   }
 
-  /** Sends what the budget allows without waiting: there is more of it now. */
-  void flushNow() {
+  /** Schedules an immediate flush, for when the budget has grown. */
+  void scheduleImmediateFlush() {
     flushTimer.schedule(0);
   }
 
   private void flush() {
     while (requestsInFlight < MAX_REQUESTS_IN_FLIGHT) {
-      TransactionBatch batch = gatherBatch();
+      TransactionBatch batch = assembleBatch();
       if (batch.isEmpty()) {
         break;
       }
@@ -107,22 +113,25 @@
       send(batch);
     }
     if (!lanes.isEmpty() && requestsInFlight < MAX_REQUESTS_IN_FLIGHT) {
-      flushTimer.schedule(BUDGET_WAIT_SECONDS);
+      flushTimer.schedule(BUDGET_RETRY_SECONDS);
     }
   }
 
-  /** Takes what goes into one request out of the lanes and the budget; empty if nothing may go. */
-  private TransactionBatch gatherBatch() {
+  /**
+   * Takes the transactions for one request out of the lanes, and the request out of the budget.
+   * Returns an empty batch if nothing may be sent now.
+   */
+  private TransactionBatch assembleBatch() {
     double nowSeconds = loop.monotonicSeconds();
     TransactionBatch batch = new TransactionBatch(maxWritesPerRequest);
-    if (!budget.hasRequest(nowSeconds)) {
+    if (!budget.canTakeRequest(nowSeconds)) {
       return batch;
     }
     Optional<CommitLane> overdueLane = lanes.findOverdueLane(nowSeconds);
-    for (CommitLane lane : CommitLanes.inOrder(overdueLane)) {
+    for (CommitLane lane : CommitLanes.servingOrder(overdueLane)) {
       boolean overdue = overdueLane.isPresent() && overdueLane.get() == lane;
       double reservedWrites = overdue ? 0 : budget.writesPerSecond() * lane.reservedBurstFraction();
-      gatherFromLane(lane, reservedWrites, batch, nowSeconds);
+      addFromLane(lane, reservedWrites, batch, nowSeconds);
     }
     if (!batch.isEmpty()) {
       lanes.recordServed(batch.transactions().get(0).lane());
@@ -131,18 +140,21 @@
     return batch;
   }
 
-  /** Adds a lane's transactions in their order, as far as the budget goes; skips what conflicts. */
-  private void gatherFromLane(
+  /**
+   * Adds a lane's transactions in order as far as the budget allows, and skips those that conflict.
+   */
+  private void addFromLane(
       CommitLane lane, double reservedWrites, TransactionBatch batch, double nowSeconds) {
     for (var queue = lanes.iterator(lane); queue.hasNext() && !batch.isClosed(); ) {
       PendingTransaction pending = queue.next();
-      // A wide transaction goes when a narrow one could, and those after it pay: one that had to
-      // find its whole need in the bucket would never go while submissions keep that low.
+      // A wide transaction is admitted as soon as a narrow one would be, and later transactions
+      // make up for the debt. If the bucket had to hold all its writes, it would never be sent
+      // while submissions keep the bucket low.
       double neededWrites =
           batch.writeCount()
               + Math.min(pending.knownWriteCount(), ADMISSION_WRITES)
               + reservedWrites;
-      if (!budget.hasWrites(neededWrites, nowSeconds)
+      if (!budget.canTakeWrites(neededWrites, nowSeconds)
           || (pending.isSentAlone() && !batch.isEmpty())) {
         return;
       }
@@ -173,8 +185,9 @@
   }
 
   /**
-   * Only a refusal as malformed is final, and only for a transaction that was alone in its request.
-   * After any other failure the request may have been applied, or may be later: repeats find out.
+   * Retries the transactions of a failed request. Only a refusal as malformed is final, and only
+   * for a transaction that was alone in its request. After any other failure the request may have
+   * been applied, or may still be; retries determine the outcome.
    */
   private void handleFailure(List<PendingTransaction> transactions, Throwable failure) {
     if (!RequestFailedException.from(failure).isRefusedAsMalformed()) {
@@ -182,7 +195,7 @@
     } else if (transactions.size() == 1) {
       transactions.get(0).fail(failure);
     } else {
-      transactions.forEach(PendingTransaction::sendAlone);
+      transactions.forEach(PendingTransaction::markAsSentAlone);
       requeue(transactions);
     }
   }
@@ -191,14 +204,15 @@
     List<PendingTransaction> undecided = new ArrayList<>();
     List<PendingTransaction> decided = new ArrayList<>();
     for (PendingTransaction pending : transactions) {
-      (outcome.applied() || pending.isRefusedBy(outcome) ? decided : undecided).add(pending);
+      (outcome.applied() || pending.hasFailedConditionIn(outcome) ? decided : undecided)
+          .add(pending);
     }
     requeue(undecided);
     decided.forEach(pending -> pending.complete(outcome));
   }
 
   private void requeue(List<PendingTransaction> transactions) {
-    lanes.putBack(transactions);
+    lanes.requeueAtHead(transactions);
     flushTimer.schedule(0);
   }
 }
--- a/src/main/java/io/violetrail/state/InitialListing.java
+++ b/src/main/java/io/violetrail/state/InitialListing.java
@@ -5,10 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * The rows of a prefix, read once as a whole before anything is done on their account.
+ * Reads all rows of a prefix once, before the caller acts on any of them.
  *
- * <p>Owns only how far the reading is; the rows are the caller's. A failed reading returns to the
- * beginning, and the caller's next try starts it again. Called on the event loop's thread. Nothing
+ * <p>Owns only the progress of the read; the rows belong to the caller. A failed read resets the
+ * progress, and the caller's next attempt starts again. Called on the event loop's thread. No state
  * survives a crash: a restarted controller reads again.
  */
 public final class InitialListing {
@@ -20,16 +20,16 @@
 
   private State state = State.NOT_READ;
 
-  /** Whether all rows have been given to the caller. */
+  /** Returns whether all rows have been passed to the caller. */
   public boolean isComplete() {
     return state == State.COMPLETE;
   }
 
   /**
-   * Reads the rows unless that is under way or done.
+   * Starts to read the rows unless a read is in flight or complete.
    *
-   * @param entryConsumer gets the rows one after the other, after all were read
-   * @param onComplete is run after the last of them, when the listing is complete
+   * @param entryConsumer receives the rows one by one, after all of them were read
+   * @param onComplete runs after the last row was passed on, when the listing is complete
    */
   public void startReading(
       StateStore store, String prefix, Consumer<Entry> entryConsumer, Runnable onComplete) {
@@ -49,6 +49,6 @@
                     onComplete.run();
                   }
                 }),
-        "list rows for the first time");
+        "read the initial listing of a prefix");
   }
 }
--- a/src/main/java/io/violetrail/state/LeaseClient.java
+++ b/src/main/java/io/violetrail/state/LeaseClient.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Requests and renews leases, whatever the budget says: a renewal that waited for it could come
- * after the lease's expiry. It keeps no state; the caller keeps the lease's id and its time. Called
- * on the event loop's thread.
+ * Requests and renews leases, regardless of the budget: a renewal that waited for the budget could
+ * arrive after the lease has expired. Stateless; the caller keeps the lease's id and expiry time.
+ * Called on the event loop's thread.
  */
 final class LeaseClient {
   private static final double MILLIS_PER_SECOND = 1000;
--- a/src/main/java/io/violetrail/state/PendingTransaction.java
+++ b/src/main/java/io/violetrail/state/PendingTransaction.java
@@ -8,13 +8,14 @@
 import java.util.function.Supplier;
 
 /**
- * A transaction that waits in a lane or is under way, with the future of whoever waits for it.
+ * A transaction that waits in a lane or is in flight, with the future that its caller waits for.
  *
- * <p>Once drafted it stays the same through all its retries: only so can its outcome be certain.
+ * <p>A drafted transaction never changes between retries. Its outcome can be determined only
+ * because all attempts are identical.
  */
 final class PendingTransaction {
-  /** What a transaction that is yet to be drafted is taken to write: a job and its segment. */
-  private static final int UNDRAFTED_WRITES_ESTIMATE = 3;
+  /** Assumed number of writes of a transaction that is not drafted yet: a job and its segment. */
+  private static final int UNDRAFTED_WRITE_COUNT_ESTIMATE = 3;
 
   private final CommitLane lane;
   private final double queuedAtSeconds;
@@ -35,7 +36,7 @@
     this.sentAlone = sentAlone;
   }
 
-  /** A transaction that is complete already. */
+  /** Creates an entry for a transaction that is already complete. */
   static PendingTransaction of(Transaction transaction, CommitLane lane, double queuedAtSeconds) {
     PendingTransaction pending =
         new PendingTransaction(lane, queuedAtSeconds, () -> transaction, false);
@@ -43,7 +44,10 @@
     return pending;
   }
 
-  /** A transaction that is drafted when it is about to be sent; it is always sent alone. */
+  /**
+   * Creates an entry whose transaction is drafted when it is about to be sent; it is always sent
+   * alone.
+   */
   static PendingTransaction deferred(
       Supplier<Transaction> drafter, CommitLane lane, double queuedAtSeconds) {
     return new PendingTransaction(lane, queuedAtSeconds, drafter, true);
@@ -54,7 +58,7 @@
     sizeBytes = drafted.encode().length;
   }
 
-  /** Drafts a deferred transaction; false if there is nothing left to write. */
+  /** Drafts a deferred transaction; returns false if there is nothing left to write. */
   boolean draftIfNeeded() {
     if (transaction == null) {
       Transaction drafted = drafter.get();
@@ -66,8 +70,11 @@
     return true;
   }
 
-  /** Refused as malformed together with others: sent alone, to find out which one it was. */
-  void sendAlone() {
+  /**
+   * Marks this transaction to be sent alone. After a request with several transactions was refused
+   * as malformed, this identifies the malformed one.
+   */
+  void markAsSentAlone() {
     sentAlone = true;
   }
 
@@ -87,33 +94,39 @@
     return outcome;
   }
 
-  /** The transaction; null until it is drafted. */
+  /** Returns the transaction, or null until it is drafted. */
   Transaction transaction() {
     return transaction;
   }
 
-  /** The encoded size; 0 until it is drafted. */
+  /** Returns the encoded size in bytes; 0 until the transaction is drafted. */
   int sizeBytes() {
     return sizeBytes;
   }
 
-  /** The writes that it is known to need: at least one until it is drafted. */
+  /** Returns the number of writes, or 1 as the lower bound until the transaction is drafted. */
   int knownWriteCount() {
     return transaction == null ? 1 : transaction.writeCount();
   }
 
-  /** The writes that it is likely to need. */
+  /** Returns the number of writes, or an estimate until the transaction is drafted. */
   int expectedWriteCount() {
-    return transaction == null ? UNDRAFTED_WRITES_ESTIMATE : transaction.writeCount();
+    return transaction == null ? UNDRAFTED_WRITE_COUNT_ESTIMATE : transaction.writeCount();
   }
 
-  /** Whether the request that it was part of failed by a condition of its own. */
-  boolean isRefusedBy(TransactionOutcome requestOutcome) {
+  /**
+   * Returns whether one of this transaction's own conditions failed in the request that contained
+   * it.
+   */
+  boolean hasFailedConditionIn(TransactionOutcome requestOutcome) {
     return transaction.expectedRevisions().keySet().stream()
         .anyMatch(requestOutcome.failedKeys()::contains);
   }
 
-  /** Completes with the outcome of the request that it was part of, as far as it concerns it. */
+  /**
+   * Completes the future with the outcome of the request that contained this transaction, limited
+   * to its own failed keys.
+   */
   void complete(TransactionOutcome requestOutcome) {
     Set<String> ownFailedKeys = new HashSet<>(requestOutcome.failedKeys());
     ownFailedKeys.retainAll(transaction.expectedRevisions().keySet());
--- a/src/main/java/io/violetrail/state/PrefixWatcher.java
+++ b/src/main/java/io/violetrail/state/PrefixWatcher.java
@@ -11,15 +11,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All rows of a prefix and every change of them, in the state service's order.
+ * Follows all rows of a prefix and every change of them, in the state service's order.
  *
- * <p>Begins with a listing and then watches from its revision on. When the state service no longer
- * keeps the changes after the last revision seen, it begins anew with a listing: changes may have
- * been missed, and until the listing is there {@link #isReady()} is false.
+ * <p>Starts with a listing and then watches from its revision on. When the state service no longer
+ * keeps the changes after the last revision seen, changes may have been missed. The watcher then
+ * starts over with a listing, and {@link #isReady()} returns false until it is complete.
  *
- * <p>Owns the revision up to which the listener knows the rows; the rows themselves are the
- * listener's. Called on the event loop's thread, and calls the listener there. Nothing survives a
- * crash.
+ * <p>Owns the revision up to which the listener knows the rows; the rows themselves belong to the
+ * listener. Called on the event loop's thread, on which it also calls the listener. No state
+ * survives a crash.
  */
 public final class PrefixWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(PrefixWatcher.class);
@@ -33,12 +33,18 @@
   private long revision;
   private boolean ready;
 
-  /** Gets the rows and their changes. */
+  /** Receives the rows and their changes. */
   public interface RowListener {
-    /** The rows as of a revision: at the start, and again after changes have been missed. */
-    void onListing(List<Entry> all, long revision);
+    /**
+     * Called with all rows as of a revision: at the start, and again after changes have been
+     * missed.
+     */
+    void onListing(List<Entry> entries, long revision);
 
-    /** Changes after the last revision, up to this one. */
+    /**
+     * Called with the changes after the last reported revision, up to and including {@code
+     * revision}.
+     */
     void onChanges(List<RowChange> changes, long revision);
   }
 
@@ -50,17 +56,20 @@
     this.listener = listener;
   }
 
-  /** Lists all rows and then watches for changes, without end; called once. */
+  /** Lists all rows and then watches for changes indefinitely; called once. */
   public void start() {
     readListing();
   }
 
-  /** Whether the listener has the rows as of {@link #revision()}. */
+  /** Returns whether the listener has the rows as of {@link #revision()}. */
   public boolean isReady() {
     return ready;
   }
 
-  /** The revision up to which the listener has got all changes; 0 before the first listing. */
+  /**
+   * Returns the revision up to which the listener has received all changes; 0 before the first
+   * listing.
+   */
   public long revision() {
     return revision;
   }
@@ -80,21 +89,24 @@
                   listener.onListing(listing.entries(), revision);
                   watch();
                 }),
-        "list the rows of a feed");
+        "list the rows of a watched prefix");
   }
 
   private void watch() {
     store.watch(prefix, revision, WATCH_SECONDS, this::handleChanges, this::handleWatchFailure);
   }
 
-  /** An answer may repeat changes that the listing or an earlier answer had: they are left out. */
+  /**
+   * Passes on a reply's changes, without those that the listing or an earlier reply already
+   * contained.
+   */
   private void handleChanges(ObjectNode body) {
-    long upToRevision = StateStoreMessages.parseRevision(body);
+    long replyRevision = StateStoreMessages.parseRevision(body);
     List<RowChange> newChanges =
         StateStoreMessages.parseChanges(body).stream()
             .filter(change -> change.modRevision() > revision)
             .toList();
-    revision = Math.max(revision, upToRevision);
+    revision = Math.max(revision, replyRevision);
     listener.onChanges(newChanges, revision);
     watch();
   }
@@ -104,7 +116,10 @@
       loop.schedule(RETRY_SECONDS, this::watch);
       return;
     }
-    LOG.info("changes of {} after revision {} are no longer kept", prefix, revision);
+    LOG.info(
+        "state service no longer keeps changes of {} after revision {}; listing all rows again",
+        prefix,
+        revision);
     ready = false;
     readListing();
   }
--- a/src/main/java/io/violetrail/state/RequestBudget.java
+++ b/src/main/java/io/violetrail/state/RequestBudget.java
@@ -7,35 +7,39 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * This controller's share of the state service's rate limits: requests, writes, and the reads that
- * users cause.
+ * This controller's share of the state service's rate limits: requests, writes, and reads on behalf
+ * of users.
  *
- * <p>Owns the three token buckets; nothing else takes from them. Called on the event loop's thread.
- * Nothing survives a crash: a restarted controller begins with one request and one write.
+ * <p>Owns the three token buckets; no other class takes from them. Called on the event loop's
+ * thread. No state survives a crash: a restarted controller starts with one request and one write.
  */
 final class RequestBudget {
   /**
-   * The rest is left unused, since a failover and late requests of a dead controller come on top.
+   * Fraction of the rate limits that the controllers share. The remainder stays unused, since
+   * failovers and late requests of a failed controller come on top.
    */
   private static final double BUDGET_FRACTION_USED = 0.9;
 
-  /** A submission behind more seconds' worth of writes than this is turned away at once. */
-  private static final double MAX_BACKLOG_SECONDS = 1.5;
+  /**
+   * A submission is rejected at once if it would wait behind more than this many seconds' worth of
+   * writes.
+   */
+  private static final double MAX_SUBMISSION_BACKLOG_SECONDS = 1.5;
 
   /**
-   * The part of the requests that users' questions about jobs may take: lease renewals and
-   * handovers need the rest.
+   * Fraction of the requests that users' queries about jobs may take; lease renewals and handovers
+   * need the remainder.
    */
   private static final double USER_READ_FRACTION = 0.4;
 
   /**
-   * Writes per submission at most: its claim, and half of an open-job segment when the budget is
-   * short.
+   * Maximum number of writes per submission: its claim, and half of an open-job segment when the
+   * budget is short.
    */
   private static final double WRITES_PER_SUBMISSION = 1.5;
 
-  /** The part of a second's writes that a lender keeps for what comes next. */
-  private static final double RESERVED_BURST_FRACTION = 0.5;
+  /** Fraction of one second's writes that a lender keeps for its own next transactions. */
+  private static final double LENDER_RESERVED_BURST_FRACTION = 0.5;
 
   private final EventLoop loop;
   private final StateStoreLimits limits;
@@ -44,7 +48,7 @@
   private final RateLimiter userReadLimiter;
   private int activeControllerCount;
 
-  /** Creates an equal share of the limits among so many controllers. */
+  /** Creates an equal share of the limits among {@code controllerCount} controllers. */
   RequestBudget(EventLoop loop, StateStoreLimits limits, int controllerCount) {
     this.loop = loop;
     this.limits = limits;
@@ -56,8 +60,8 @@
   }
 
   /**
-   * Divides the limits among so many controllers from now on: the share of a dead one goes to its
-   * survivors.
+   * Divides the limits among {@code newCount} controllers from now on, so that the survivors take
+   * over the share of a failed controller.
    */
   void setActiveControllerCount(int newCount) {
     if (newCount == activeControllerCount) {
@@ -72,34 +76,40 @@
         limits.requestsPerSecond() * shareOfBudget * USER_READ_FRACTION, loop.monotonicSeconds());
   }
 
-  /** Whether a request may be sent now; takes nothing. */
-  boolean hasRequest() {
-    return hasRequest(loop.monotonicSeconds());
+  /** Returns whether the budget allows a request now, without taking it. */
+  boolean canTakeRequest() {
+    return canTakeRequest(loop.monotonicSeconds());
   }
 
-  /** Whether a request may be sent at this time; takes nothing. */
-  boolean hasRequest(double nowSeconds) {
+  /** Returns whether the budget allows a request at {@code nowSeconds}, without taking it. */
+  boolean canTakeRequest(double nowSeconds) {
     return requestLimiter.canAcquire(1, nowSeconds);
   }
 
-  /** Whether so many writes may be sent at this time; more than a burst count as a burst. */
-  boolean hasWrites(double writeCount, double nowSeconds) {
+  /**
+   * Returns whether the budget allows {@code writeCount} writes at {@code nowSeconds}, without
+   * taking them. More writes than the burst need only a full bucket.
+   */
+  boolean canTakeWrites(double writeCount, double nowSeconds) {
     return writeLimiter.canAcquire(writeCount, nowSeconds);
   }
 
-  /** Takes one request if the budget has it. */
+  /** Takes one request if the budget allows it, and returns whether it did. */
   boolean tryTakeRequest() {
     return requestLimiter.tryAcquire(1, loop.monotonicSeconds());
   }
 
-  /** Takes so many of the reads that users may cause, if the budget has them. */
+  /**
+   * Takes {@code readCount} reads from the user-read budget if it allows them, and returns whether
+   * it did.
+   */
   boolean tryTakeUserReads(int readCount) {
     return userReadLimiter.tryAcquire(readCount, loop.monotonicSeconds());
   }
 
   /**
-   * Takes one request with so many writes if the budget has both. Where it lacks only the writes,
-   * the request is taken all the same.
+   * Takes one request with {@code writeCount} writes if the budget allows both, and returns whether
+   * it does. If only the writes are lacking, the request is taken nevertheless.
    */
   boolean tryTakeTransaction(int writeCount) {
     double nowSeconds = loop.monotonicSeconds();
@@ -107,40 +117,50 @@
         && writeLimiter.tryAcquire(writeCount, nowSeconds);
   }
 
-  /** The answer to a request that the budget does not allow now: nothing is sent. */
-  static <T> CompletableFuture<T> reject() {
+  /**
+   * Returns a future that failed with {@link OverBudgetException}, for a request that the budget
+   * does not allow now and that is not sent.
+   */
+  static <T> CompletableFuture<T> failOverBudget() {
     return CompletableFuture.failedFuture(
         new OverBudgetException(OverBudgetException.Limit.STATE_STORE_BUDGET));
   }
 
-  /** Takes one request whatever the budget says; later ones pay for it. */
+  /** Takes one request regardless of the budget; later requests make up for a debt. */
   void takeRequest() {
     requestLimiter.acquireUnconditionally(1, loop.monotonicSeconds());
   }
 
-  /** Takes one request with so many writes whatever the budget says; later ones pay for it. */
+  /**
+   * Takes one request with {@code writeCount} writes regardless of the budget; later ones make up
+   * for a debt.
+   */
   void takeTransaction(int writeCount, double nowSeconds) {
     requestLimiter.acquireUnconditionally(1, nowSeconds);
     writeLimiter.acquireUnconditionally(writeCount, nowSeconds);
   }
 
-  /** This controller's share of the writes per second, which is its burst too. */
+  /**
+   * Returns this controller's share of the write rate limit in writes per second, which is also its
+   * burst.
+   */
   double writesPerSecond() {
     return writeLimiter.burst();
   }
 
-  /** How many of so many writes the budget does not allow now. */
-  double missingWrites(double waitingWrites) {
+  /** Returns how many of {@code waitingWrites} the budget does not allow now. */
+  double writeShortfall(double waitingWrites) {
     return writeLimiter.shortfall(waitingWrites, loop.monotonicSeconds());
   }
 
-  /** Gives up as many of the wanted writes as can be spared; returns their number. */
+  /** Gives up as many of the wanted writes as can be spared, and returns their number. */
   double lendWrites(double wantedWrites) {
     double nowSeconds = loop.monotonicSeconds();
     double lentWrites =
         Math.min(
             wantedWrites,
-            writeLimiter.surplusAbove(RESERVED_BURST_FRACTION * writeLimiter.burst(), nowSeconds));
+            writeLimiter.surplusAbove(
+                LENDER_RESERVED_BURST_FRACTION * writeLimiter.burst(), nowSeconds));
     writeLimiter.acquireUnconditionally(lentWrites, nowSeconds);
     return lentWrites;
   }
@@ -150,9 +170,9 @@
     writeLimiter.addPermits(borrowedWrites, loop.monotonicSeconds());
   }
 
-  /** Whether so many submissions wait that one more would not be stored in time. */
+  /** Returns whether so many submissions wait that a further one would not be stored in time. */
   boolean isOverloaded(int waitingSubmissions) {
     return waitingSubmissions * WRITES_PER_SUBMISSION
-        > MAX_BACKLOG_SECONDS * writeLimiter.burst() + 1;
+        > MAX_SUBMISSION_BACKLOG_SECONDS * writeLimiter.burst() + 1;
   }
 }
--- a/src/main/java/io/violetrail/state/RowReader.java
+++ b/src/main/java/io/violetrail/state/RowReader.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads single rows and listings from the state service, each kind of read on its own terms with
- * the budget; {@link StateStore} says what the kinds are for. It keeps no state. Called on the
- * event loop's thread.
+ * Reads single rows and listings from the state service. Each kind of read uses the budget in its
+ * own way; {@link StateStore} describes what the kinds are for. Stateless. Called on the event
+ * loop's thread.
  */
 final class RowReader {
   private static final int PAGE_SIZE = 500;
@@ -28,7 +28,7 @@
   }
 
   CompletableFuture<Entry> get(String key) {
-    return budget.hasRequest() ? getUrgent(key) : RequestBudget.reject();
+    return budget.canTakeRequest() ? getUrgent(key) : RequestBudget.failOverBudget();
   }
 
   CompletableFuture<Entry> getUrgent(String key) {
@@ -45,12 +45,12 @@
   }
 
   CompletableFuture<Entry> getForUser(String key, int readCount) {
-    return budget.tryTakeUserReads(readCount) ? get(key) : RequestBudget.reject();
+    return budget.tryTakeUserReads(readCount) ? get(key) : RequestBudget.failOverBudget();
   }
 
   CompletableFuture<ListPage> pageForUser(String prefix, String afterKey, int maxEntries) {
     if (!budget.tryTakeUserReads(1) || !budget.tryTakeRequest()) {
-      return RequestBudget.reject();
+      return RequestBudget.failOverBudget();
     }
     return connection
         .call(
@@ -66,11 +66,11 @@
     return readPage(prefix, "")
         .thenCompose(
             first ->
-                addWithFollowingPages(prefix, first, entries)
+                collectRemainingPages(prefix, first, entries)
                     .thenApply(nothing -> new Listing(entries, first.revision())));
   }
 
-  private CompletableFuture<Void> addWithFollowingPages(
+  private CompletableFuture<Void> collectRemainingPages(
       String prefix, ListPage page, List<Entry> entries) {
     entries.addAll(page.entries());
     if (!page.more() || page.entries().isEmpty()) {
@@ -78,7 +78,7 @@
     }
     String lastKey = page.entries().get(page.entries().size() - 1).key();
     return readPage(prefix, lastKey)
-        .thenCompose(next -> addWithFollowingPages(prefix, next, entries));
+        .thenCompose(next -> collectRemainingPages(prefix, next, entries));
   }
 
   private CompletableFuture<ListPage> readPage(String prefix, String afterKey) {
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -16,17 +16,17 @@
 import java.util.function.Supplier;
 
 /**
- * The state service's client, within this controller's share of the common rate limits.
+ * Client of the state service. It stays within this controller's share of the common rate limits.
  *
- * <p>Owns the budget and the queues of transactions that wait; the requests themselves are made by
- * a class for each kind. Plain reads and transactions fail at once with {@link
- * io.violetrail.errors.OverBudgetException} when the share is used up; what leases and handovers
- * depend on always goes. All futures that fail do so with a {@link RequestFailedException}, perhaps
- * wrapped: see {@link RequestFailedException#from}.
+ * <p>Owns the request budget and the queues of waiting transactions; a separate class sends each
+ * kind of request. Plain reads and single-attempt transactions fail at once with {@link
+ * io.violetrail.errors.OverBudgetException} when the share is used up. Requests that leases and
+ * handovers depend on are always sent. All futures that fail do so with a {@link
+ * RequestFailedException}, possibly wrapped: see {@link RequestFailedException#from}.
  *
- * <p>Called on the event loop's thread, on which the futures complete too. Nothing here survives a
- * crash: transactions that wait are lost with those who wait for them, and one that was under way
- * may still be applied, which its conditions must allow for.
+ * <p>Called on the event loop's thread, on which the futures also complete. No state survives a
+ * crash: waiting transactions are lost together with their callers. A transaction that was in
+ * flight may still be applied, and its conditions must allow for that.
  */
 public final class StateStore {
   private final RequestBudget budget;
@@ -49,118 +49,120 @@
     this.changeWatcher = new ChangeWatcher(budget, connection);
   }
 
-  /** A whole listing with the revision it is as of. */
+  /** All rows of a prefix, and the revision that the listing is as of. */
   public record Listing(List<Entry> entries, long revision) {}
 
-  /** Learns that a watch has ended without changes. */
+  /** Handles the end of a watch that did not return changes. */
   @FunctionalInterface
   public interface WatchFailureListener {
     /**
-     * Called once for a watch, instead of its changes.
+     * Called once for a failed watch, instead of its change consumer.
      *
-     * @param revisionTooOld whether the changes after the revision are no longer kept, so that only
-     *     a new listing helps; otherwise the same watch may be tried again
+     * @param revisionTooOld true if the state service no longer keeps the changes after the
+     *     requested revision, so that a new listing is needed; false if the same watch may be
+     *     retried
      */
     void onWatchFailed(boolean revisionTooOld);
   }
 
-  /** Reads a row; absent: its value is null and its revision 0. */
+  /** Reads a row. If the row is absent, the entry's value is null and its revision is 0. */
   public CompletableFuture<Entry> get(String key) {
     return reader.get(key);
   }
 
-  /** Like {@link #get}, for what a failover waits for: sent whatever the budget says. */
+  /** Like {@link #get}, for reads that a failover waits for: sent regardless of the budget. */
   public CompletableFuture<Entry> getUrgent(String key) {
     return reader.getUrgent(key);
   }
 
   /**
-   * Like {@link #get}, on behalf of whoever asks, known to us or not, within a bounded part of the
-   * budget: many questions about jobs that nobody submitted must not use up what lease renewals and
-   * handovers need.
+   * Like {@link #get}, on behalf of any client, known or unknown. Such reads may use only a bounded
+   * part of the budget, so that a flood of queries about jobs that do not exist cannot use up the
+   * requests that lease renewals and handovers need.
    */
   public CompletableFuture<Entry> getForUser(String key) {
     return reader.getForUser(key, 1);
   }
 
   /**
-   * The first of so many reads that follow from one question, all paid for here. Where each had to
-   * find its own in the budget, a rush of questions would use it up with first reads, and hardly
-   * any question would be answered.
+   * Reads the first row for a query that needs {@code readCount} reads, and takes all of them from
+   * the user-read budget at once. If each read were admitted separately, a burst of queries would
+   * use up the budget with first reads, and hardly any query would be answered.
    */
   public CompletableFuture<Entry> getForUser(String key, int readCount) {
     return reader.getForUser(key, readCount);
   }
 
   /**
-   * Reads a page of a prefix's rows on behalf of whoever asks, like {@link #getForUser}.
+   * Reads one page of a prefix's rows on behalf of any client, like {@link #getForUser}.
    *
-   * @param afterKey the key after which the page begins; empty: with the first
+   * @param afterKey the key after which the page starts; empty to start with the first row
    */
   public CompletableFuture<ListPage> pageForUser(String prefix, String afterKey, int maxEntries) {
     return reader.pageForUser(prefix, afterKey, maxEntries);
   }
 
   /**
-   * Reads all rows of a prefix, whatever the budget says.
+   * Reads all rows of a prefix, regardless of the budget.
    *
-   * <p>The pages are read one after the other and rows change meanwhile, so the listing is as of
-   * the <em>first</em> page's revision: what was changed since may be in it, but a watch from there
-   * reports it in any case. As of the last page's revision, a row that was created while the
-   * listing went on, in the part already read, would be taken for deleted, and no watch would
-   * report it any more.
+   * <p>The pages are read one after the other while rows may change, so the listing is as of the
+   * <em>first</em> page's revision. It may already contain later changes, but a watch from that
+   * revision reports them in any case. If the listing were as of the last page's revision, a row
+   * that was created during the listing, in the part already read, would be taken for deleted, and
+   * no watch would report it.
    */
   public CompletableFuture<Listing> list(String prefix) {
     return reader.list(prefix);
   }
 
-  /** Tries a transaction once, within the budget. */
+  /** Sends a transaction once, within the budget. */
   public CompletableFuture<TransactionOutcome> tryTransaction(Transaction transaction) {
     return sender.trySend(transaction);
   }
 
-  /** Like {@link #tryTransaction}, for leases and handovers: sent whatever the budget says. */
+  /** Like {@link #tryTransaction}, for leases and handovers: sent regardless of the budget. */
   public CompletableFuture<TransactionOutcome> tryUrgentTransaction(Transaction transaction) {
     return sender.trySendUrgent(transaction);
   }
 
-  /** Repeats a transaction that cannot wait for the budget until its outcome is certain. */
+  /** Retries a transaction that cannot wait for the budget until its outcome is certain. */
   public CompletableFuture<TransactionOutcome> commitUrgent(Transaction transaction) {
     return sender.sendUrgent(transaction);
   }
 
   /**
-   * Repeats a conditional transaction until it is certain whether it was applied. The conditions
-   * must be such that it cannot apply twice: each written key is among them. An outcome of "not
-   * applied" can then mean that an earlier try was; the caller reads to find out.
+   * Retries a conditional transaction until it is certain whether it was applied. Every key that it
+   * writes must be among its conditions, so that it cannot be applied twice. An outcome of "not
+   * applied" can therefore mean that an earlier attempt was applied; the caller reads the rows to
+   * find out.
    */
   public CompletableFuture<TransactionOutcome> commit(Transaction transaction) {
     return groupCommit.add(transaction, CommitLane.MACHINES);
   }
 
   /**
-   * Like {@link #commit}, but drafted only when it is about to be sent.
+   * Like {@link #commit}, but the transaction is drafted only when it is about to be sent.
    *
-   * @param drafter gives null if there is nothing left to write; the future then fails with {@link
-   *     NothingToWriteException}
+   * @param drafter returns null if there is nothing left to write; the future then fails with
+   *     {@link NothingToWriteException}
    */
   public CompletableFuture<TransactionOutcome> commitDeferred(Supplier<Transaction> drafter) {
     return groupCommit.addDeferred(drafter, CommitLane.MACHINES);
   }
 
-  /** Like {@link #commitDeferred}, before all else: users wait for it. */
+  /** Like {@link #commitDeferred}, with the highest priority, since users wait for it. */
   public CompletableFuture<TransactionOutcome> commitDeferredForUser(
       Supplier<Transaction> drafter) {
     return groupCommit.addDeferred(drafter, CommitLane.USERS);
   }
 
-  /** Like {@link #commit}, after all else: nobody waits for it. */
+  /** Like {@link #commit}, with the lowest priority, since nothing waits for it. */
   public CompletableFuture<TransactionOutcome> commitInBackground(Transaction transaction) {
     return groupCommit.add(transaction, CommitLane.PROGRESS);
   }
 
   /**
-   * Requests a new lease and returns its id.
+   * Requests a new lease and completes with its id.
    *
    * @param ttlSeconds time to live in seconds
    */
@@ -168,17 +170,17 @@
     return leases.grant(ttlSeconds);
   }
 
-  /** Renews a lease; true if renewed, false if it has expired. */
+  /** Renews a lease. Completes with true if it was renewed, and with false if it has expired. */
   public CompletableFuture<Boolean> renewLease(long leaseId) {
     return leases.renew(leaseId);
   }
 
   /**
-   * Waits for changes of a prefix's rows, whatever the budget says. Exactly one of the listeners is
-   * called, once.
+   * Waits for changes of a prefix's rows, regardless of the budget. Exactly one of the two
+   * callbacks is called, once.
    *
-   * @param waitSeconds how long the state service waits for a change before it answers with none
-   * @param onChanges gets the answer's body
+   * @param waitSeconds how long the state service waits for a change before it replies with none
+   * @param onChanges receives the body of the reply
    */
   public void watch(
       String prefix,
@@ -190,35 +192,44 @@
   }
 
   /**
-   * Divides the rate limits among so many controllers from now on: the share of a dead one goes to
-   * its survivors.
+   * Divides the rate limits among {@code newCount} controllers from now on, so that the survivors
+   * take over the share of a failed controller.
    */
   public void setActiveControllerCount(int newCount) {
     budget.setActiveControllerCount(newCount);
   }
 
-  /** Writes that wait and that this controller's share of the budget does not allow now. */
-  public double missingWrites() {
-    return budget.missingWrites(groupCommit.waitingWriteCount());
+  /**
+   * Returns how many of the waiting writes this controller's share of the budget does not allow
+   * now.
+   */
+  public double writeShortfall() {
+    return budget.writeShortfall(groupCommit.waitingWriteCount());
   }
 
-  /** Gives up so many writes of this controller's share, or what it can spare of them. */
+  /**
+   * Gives up to {@code wantedWrites} writes of this controller's share to another controller and
+   * returns how many it gives. Gives none while writes wait here.
+   */
   public double lendWrites(double wantedWrites) {
     return groupCommit.waitingWriteCount() > 0 ? 0 : budget.lendWrites(wantedWrites);
   }
 
-  /** Another controller has given up so many writes of its share for this one. */
+  /**
+   * Adds writes that another controller has given up from its share, and schedules an immediate
+   * flush.
+   */
   public void addBorrowedWrites(double borrowedWrites) {
     budget.addBorrowedWrites(borrowedWrites);
-    groupCommit.flushNow();
+    groupCommit.scheduleImmediateFlush();
   }
 
-  /** This controller's share of the writes. */
+  /** Returns this controller's share of the write rate limit, in writes per second. */
   public double writesPerSecond() {
     return budget.writesPerSecond();
   }
 
-  /** Whether so many submissions wait that one more would not be stored in time. */
+  /** Returns whether so many submissions wait that a further one would not be stored in time. */
   public boolean isOverloaded(int waitingSubmissions) {
     return budget.isOverloaded(waitingSubmissions);
   }
--- a/src/main/java/io/violetrail/state/StateStoreConnection.java
+++ b/src/main/java/io/violetrail/state/StateStoreConnection.java
@@ -13,17 +13,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Sends single requests to the state service and turns what is no answer into typed failures.
+ * Sends single requests to the state service and turns missing, unexpected and malformed replies
+ * into typed failures.
  *
- * <p>It keeps no state and knows no budget: who calls it has paid for the request.
+ * <p>Stateless. The caller has already taken the request from the budget.
  */
 final class StateStoreConnection {
-  /** Two timeouts fit into a user's patience of 5 s. */
+  /** Two timeouts fit into the 5 s for which a user waits. */
   static final double TIMEOUT_SECONDS = 1.5;
 
-  private static final int OK = 200;
-  private static final int NOT_FOUND = 404;
-  private static final int CONFLICT = 409;
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_NOT_FOUND = 404;
+  private static final int HTTP_CONFLICT = 409;
 
   private final HttpClient http;
   private final HostPort address;
@@ -33,7 +34,7 @@
     this.address = address;
   }
 
-  /** Reads a part of an answer's body. */
+  /** Reads a value from the body of a reply. */
   interface BodyReader<T> {
     T read(ObjectNode body) throws MalformedMessageException;
   }
@@ -42,8 +43,8 @@
    * Sends a request.
    *
    * @param body null for none
-   * @return the answer with status 200, 404 or 409; fails with {@link RequestRejectedException} for
-   *     any other status and with {@link RequestUndecidedException} if there is no answer
+   * @return the reply with status 200, 404 or 409; fails with {@link RequestRejectedException} for
+   *     any other status and with {@link RequestUndecidedException} if there is no reply
    */
   CompletableFuture<ClientReply> call(
       String method, String path, byte[] body, double timeoutSeconds) {
@@ -55,7 +56,7 @@
                   if (failure != null) {
                     result.completeExceptionally(
                         RequestUndecidedException.noAnswer(Receiver.STATE_STORE, failure));
-                  } else if (hasMeaning(reply.status())) {
+                  } else if (isExpectedStatus(reply.status())) {
                     result.complete(reply);
                   } else {
                     result.completeExceptionally(
@@ -66,30 +67,33 @@
     return result;
   }
 
-  /** Sends a request whose answer's status the caller judges itself. */
+  /** Sends a request and completes with a reply of any status, which the caller interprets. */
   CompletableFuture<ClientReply> callForAnyStatus(
       String method, String path, double timeoutSeconds) {
     return http.call(address, method, path, null, timeoutSeconds);
   }
 
-  private static boolean hasMeaning(int status) {
-    return status == OK || status == NOT_FOUND || status == CONFLICT;
+  private static boolean isExpectedStatus(int status) {
+    return status == HTTP_OK || status == HTTP_NOT_FOUND || status == HTTP_CONFLICT;
   }
 
   static boolean isNotFound(ClientReply reply) {
-    return reply.status() == NOT_FOUND;
+    return reply.status() == HTTP_NOT_FOUND;
   }
 
   static boolean isConflict(ClientReply reply) {
-    return reply.status() == CONFLICT;
+    return reply.status() == HTTP_CONFLICT;
   }
 
-  /** The body as a map; throws {@link RequestUndecidedException} if it is not one. */
+  /** Returns the body as a map; throws {@link RequestUndecidedException} if it is not a map. */
   static ObjectNode parseBody(ClientReply reply) {
     return parse(reply, body -> body);
   }
 
-  /** What the reader finds in the body; throws {@link RequestUndecidedException} if it cannot. */
+  /**
+   * Returns the value that the reader finds in the body; throws {@link RequestUndecidedException}
+   * if the body is malformed.
+   */
   static <T> T parse(ClientReply reply, BodyReader<T> reader) {
     try {
       return reader.read(Cbor.parse(reply.body()));
--- a/src/main/java/io/violetrail/state/TransactionBatch.java
+++ b/src/main/java/io/violetrail/state/TransactionBatch.java
@@ -10,16 +10,17 @@
 import java.util.Set;
 
 /**
- * Transactions that share a request, while it is put together.
+ * Transactions that are being combined into one request.
  *
- * <p>No key is written by one of them and written or expected by another, and all expect the same
- * revision of a key: so their order does not matter, and a failed condition tells whose it is.
+ * <p>No key that one transaction writes is written or expected by another, and all transactions
+ * that expect a key expect the same revision of it. Their order therefore does not matter, and a
+ * failed condition identifies the transactions it belongs to.
  */
 final class TransactionBatch {
-  /** Below the protocol's 64 KiB, with room for what surrounds the transactions. */
+  /** Below the protocol's limit of 64 KiB, with room for what surrounds the transactions. */
   private static final int MAX_REQUEST_BYTES = 48 * 1024;
 
-  /** Conditions that a request may have for each write that it may have. */
+  /** Maximum number of conditions in a request, for each write that it may have. */
   private static final int MAX_CONDITIONS_PER_WRITE = 4;
 
   private final int maxWrites;
@@ -30,12 +31,15 @@
   private int sizeBytes;
   private boolean closed;
 
-  /** Creates an empty batch for a request of at most so many writes. */
+  /** Creates an empty batch for a request of at most {@code maxWrites} writes. */
   TransactionBatch(int maxWrites) {
     this.maxWrites = maxWrites;
   }
 
-  /** Adds the transaction if it fits and does not conflict with the others. */
+  /**
+   * Adds the transaction if it fits and does not conflict with the others, and returns whether it
+   * did.
+   */
   boolean tryAdd(PendingTransaction pending) {
     if (closed || !fits(pending) || conflicts(pending.transaction())) {
       return false;
@@ -49,7 +53,10 @@
     return true;
   }
 
-  /** The first one always fits: what is too large by itself is for the state service to refuse. */
+  /**
+   * Returns whether the limits allow the transaction. The first one always fits: a transaction that
+   * is too large by itself is left for the state service to refuse.
+   */
   private boolean fits(PendingTransaction pending) {
     if (transactions.isEmpty()) {
       return true;
@@ -69,16 +76,16 @@
       }
     }
     for (var condition : transaction.expectedRevisions().entrySet()) {
-      Long otherRevision = expectedRevisions.get(condition.getKey());
+      Long batchRevision = expectedRevisions.get(condition.getKey());
       if (writtenKeys.contains(condition.getKey())
-          || (otherRevision != null && !otherRevision.equals(condition.getValue()))) {
+          || (batchRevision != null && !batchRevision.equals(condition.getValue()))) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether it holds a transaction that is sent alone, and takes no more. */
+  /** Returns whether the batch holds a transaction that is sent alone, and so accepts no others. */
   boolean isClosed() {
     return closed;
   }
@@ -95,7 +102,7 @@
     return Collections.unmodifiableList(transactions);
   }
 
-  /** The request: all conditions and all writes. */
+  /** Returns the request with all conditions and all writes. */
   Transaction combined() {
     Transaction combined = new Transaction();
     transactions.forEach(pending -> combined.merge(pending.transaction()));
--- a/src/main/java/io/violetrail/state/TransactionSender.java
+++ b/src/main/java/io/violetrail/state/TransactionSender.java
@@ -10,10 +10,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Sends transactions, each as a request of its own; {@link GroupCommit} makes one of many first.
+ * Sends each transaction as a request of its own; {@link GroupCommit} first combines several into
+ * one.
  *
- * <p>Called on the event loop's thread. It keeps no state: a transaction that was under way when
- * this controller crashed may still be applied.
+ * <p>Called on the event loop's thread. Stateless: a transaction that was in flight when this
+ * controller crashed may still be applied.
  */
 final class TransactionSender {
   private static final double URGENT_RETRY_SECONDS = 0.3;
@@ -28,27 +29,27 @@
     this.connection = connection;
   }
 
-  /** One try, within the budget. */
+  /** Sends the transaction once, within the budget. */
   CompletableFuture<TransactionOutcome> trySend(Transaction transaction) {
     return budget.tryTakeTransaction(transaction.writeCount())
         ? send(transaction)
-        : RequestBudget.reject();
+        : RequestBudget.failOverBudget();
   }
 
-  /** One try, whatever the budget says. */
+  /** Sends the transaction once, regardless of the budget. */
   CompletableFuture<TransactionOutcome> trySendUrgent(Transaction transaction) {
     budget.takeTransaction(transaction.writeCount(), loop.monotonicSeconds());
     return send(transaction);
   }
 
-  /** Tries until the outcome is certain, whatever the budget says; does not fail. */
+  /** Retries until the outcome is certain, regardless of the budget; the future never fails. */
   CompletableFuture<TransactionOutcome> sendUrgent(Transaction transaction) {
     CompletableFuture<TransactionOutcome> result = new CompletableFuture<>();
-    sendUrgentUntilCertain(transaction, result);
+    retryUrgentUntilCertain(transaction, result);
     return result;
   }
 
-  private void sendUrgentUntilCertain(
+  private void retryUrgentUntilCertain(
       Transaction transaction, CompletableFuture<TransactionOutcome> result) {
     Futures.logFailure(
         trySendUrgent(transaction)
@@ -58,13 +59,13 @@
                     result.complete(outcome);
                   } else {
                     loop.schedule(
-                        URGENT_RETRY_SECONDS, () -> sendUrgentUntilCertain(transaction, result));
+                        URGENT_RETRY_SECONDS, () -> retryUrgentUntilCertain(transaction, result));
                   }
                 }),
         "commit an urgent transaction");
   }
 
-  /** One try of a transaction that the caller has paid for. */
+  /** Sends a transaction once that the caller has already taken from the budget. */
   CompletableFuture<TransactionOutcome> send(Transaction transaction) {
     return connection
         .call("POST", "/txn", transaction.encode(), StateStoreConnection.TIMEOUT_SECONDS)
--- a/src/test/java/io/violetrail/state/CommitLanesTest.java
+++ b/src/test/java/io/violetrail/state/CommitLanesTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Whose turn it is among the transactions that wait. */
+/** Tests the order in which waiting transactions are served. */
 final class CommitLanesTest {
   private final CommitLanes lanes = new CommitLanes();
 
@@ -24,38 +24,38 @@
   }
 
   @Test
-  void lanesAreServedInTheirOrder() {
-    assertEquals(List.of(CommitLane.values()), CommitLanes.inOrder(Optional.empty()));
+  void lanesAreServedInPriorityOrder() {
+    assertEquals(List.of(CommitLane.values()), CommitLanes.servingOrder(Optional.empty()));
     assertEquals(
         List.of(CommitLane.PROGRESS, CommitLane.USERS, CommitLane.MACHINES),
-        CommitLanes.inOrder(Optional.of(CommitLane.PROGRESS)));
+        CommitLanes.servingOrder(Optional.of(CommitLane.PROGRESS)));
   }
 
   @Test
-  void usersAreNeverOverdue() {
+  void usersLaneIsNeverOverdue() {
     add(CommitLane.USERS, 0);
     assertEquals(Optional.empty(), lanes.findOverdueLane(1e9));
   }
 
   @Test
-  void laterLanesAreOverdueAfterTheirTime() {
+  void lowerLanesAreOverdueAfterTheirLimit() {
     add(CommitLane.MACHINES, 0);
     add(CommitLane.PROGRESS, 0);
     assertEquals(Optional.empty(), lanes.findOverdueLane(0.7));
     assertEquals(Optional.of(CommitLane.MACHINES), lanes.findOverdueLane(0.71));
     lanes.recordServed(CommitLane.MACHINES);
-    assertEquals(Optional.empty(), lanes.findOverdueLane(1.4), "its turn was just now");
+    assertEquals(Optional.empty(), lanes.findOverdueLane(1.4), "the machines lane was served last");
     assertEquals(Optional.of(CommitLane.PROGRESS), lanes.findOverdueLane(1.41));
   }
 
   @Test
-  void whatIsPutBackGoesFirstAndInItsOrder() {
+  void requeuedTransactionsGoFirstInTheirOrder() {
     final PendingTransaction last = add(CommitLane.MACHINES, 2);
     PendingTransaction first =
         PendingTransaction.of(new Transaction().put("a", Cbor.newMap()), CommitLane.MACHINES, 0);
     PendingTransaction second =
         PendingTransaction.of(new Transaction().put("b", Cbor.newMap()), CommitLane.MACHINES, 1);
-    lanes.putBack(List.of(first, second));
+    lanes.requeueAtHead(List.of(first, second));
     List<PendingTransaction> queue = new ArrayList<>();
     lanes.iterator(CommitLane.MACHINES).forEachRemaining(queue::add);
     assertEquals(3, queue.size());
@@ -65,13 +65,14 @@
   }
 
   @Test
-  void progressIsNotAmongTheWritesThatOthersWaitFor() {
+  void progressWritesAreNotCountedAsWaiting() {
     assertTrue(lanes.isEmpty());
     add(CommitLane.PROGRESS, 0);
     assertFalse(lanes.isEmpty());
     assertEquals(0, lanes.waitingWriteCount());
     add(CommitLane.MACHINES, 0);
     lanes.addLast(PendingTransaction.deferred(() -> null, CommitLane.USERS, 0));
-    assertEquals(4, lanes.waitingWriteCount(), "one write, and three for what is not drafted yet");
+    assertEquals(
+        4, lanes.waitingWriteCount(), "one write, and an estimate of three for the undrafted one");
   }
 }
--- a/src/test/java/io/violetrail/state/StateStoreListingTest.java
+++ b/src/test/java/io/violetrail/state/StateStoreListingTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** Listings of several pages, between which rows change, and answers that lack a part. */
+/** Tests listings of several pages between which rows change, and replies that lack a field. */
 class StateStoreListingTest {
   private final ClusterSimulation simulation = new ClusterSimulation(1, 1);
   private final Queue<ObjectNode> replies = new ArrayDeque<>();
@@ -37,7 +37,7 @@
     return message;
   }
 
-  private Listing listingOfTwoPages() {
+  private Listing listTwoPages() {
     replies.add(pageMessage(10, true, StateSchema.LIVENESS_PREFIX + "c1", 4));
     replies.add(pageMessage(12, false, StateSchema.LIVENESS_PREFIX + "c9", 5));
     return store.list(StateSchema.COMMON_PREFIX).join();
@@ -45,7 +45,7 @@
 
   @Test
   void listingHasTheRevisionOfItsFirstPage() {
-    Listing listing = listingOfTwoPages();
+    Listing listing = listTwoPages();
     assertEquals(2, listing.entries().size());
     assertEquals(10, listing.revision());
   }
@@ -55,10 +55,10 @@
     ClusterView clusterView = new ClusterView(simulation.settings("c0"));
     clusterView.apply(
         new RowChange(StateSchema.LIVENESS_PREFIX + "c0", StateSchema.encodeLiveness("z"), 11));
-    Listing listing = listingOfTwoPages();
+    Listing listing = listTwoPages();
     clusterView.replaceWithListing(listing.entries(), listing.revision());
     assertEquals(11, clusterView.livenessRevision(new ControllerId("c0")));
-    assertEquals(10, clusterView.revision(), "the watch goes on from there");
+    assertEquals(10, clusterView.revision(), "the watch continues from the listing's revision");
   }
 
   @Test
