--- a/src/main/java/io/violetrail/errors/EntityMovedException.java
+++ b/src/main/java/io/violetrail/errors/EntityMovedException.java
@@ -2,15 +2,15 @@
 
 import io.violetrail.model.ControllerId;
 
-/** The entity is owned by another controller now: its fencing token here is outdated. */
+/** Another controller owns the entity now, so this controller's fencing token is outdated. */
 public final class EntityMovedException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
   private final transient ControllerId entity;
 
-  /** The entity that is not owned here any more. */
+  /** Creates a failure for an entity that is no longer owned here. */
   public EntityMovedException(ControllerId entity) {
-    super("entity " + entity + " has moved");
+    super("entity " + entity + " is now owned by another controller");
     this.entity = entity;
   }
 
--- a/src/main/java/io/violetrail/errors/InconsistentRowsException.java
+++ b/src/main/java/io/violetrail/errors/InconsistentRowsException.java
@@ -1,6 +1,6 @@
 package io.violetrail.errors;
 
-/** Rows that were read do not fit together: some were read before and some after a change. */
+/** Rows that were read are inconsistent: some were read before and some after a change. */
 public final class InconsistentRowsException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
@@ -10,11 +10,13 @@
 
   /** A row that the configuration's head refers to is absent. */
   public static InconsistentRowsException configurationPartMissing() {
-    return new InconsistentRowsException("a part of the configuration is missing");
+    return new InconsistentRowsException(
+        "the stored configuration is inconsistent: a row that its head refers to is missing");
   }
 
-  /** The configuration's content has not the digest that its head gives. */
+  /** The digest of the configuration's content differs from the one in its head. */
   public static InconsistentRowsException configurationDigestDiffers() {
-    return new InconsistentRowsException("the stored configuration is not what its head says");
+    return new InconsistentRowsException(
+        "the stored configuration is inconsistent: content does not match the digest in its head");
   }
 }
--- a/src/main/java/io/violetrail/errors/MalformedDataException.java
+++ b/src/main/java/io/violetrail/errors/MalformedDataException.java
@@ -1,17 +1,17 @@
 package io.violetrail.errors;
 
 /**
- * Data from outside this program that cannot be read: a message, a request, an expression or a
- * stored block. Its subclasses, beside the code that reads the data, say which and carry the place
- * of the fault where it is known.
+ * Data from outside this process that cannot be parsed: a message, a request, an expression or a
+ * stored block. The subclasses are declared beside the code that parses the data. They say which
+ * data it is, and carry the position of the error where it is known.
  *
- * <p>Checked, since whoever reads such data must say what becomes of it; without a stack trace,
- * since a peer or a user may send any amount of it.
+ * <p>Checked, since each caller must decide how to handle such data; without a stack trace, since a
+ * peer or a user may send any amount of it.
  */
 public abstract class MalformedDataException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure that says what is wrong with the data. */
+  /** Creates a failure with a description of what is wrong with the data. */
   protected MalformedDataException(String reason) {
     super(reason, null, false, false);
   }
--- a/src/main/java/io/violetrail/errors/NothingToWriteException.java
+++ b/src/main/java/io/violetrail/errors/NothingToWriteException.java
@@ -1,11 +1,11 @@
 package io.violetrail.errors;
 
-/** A deferred transaction had nothing left to write when its turn came: nothing was sent. */
+/** A deferred transaction had nothing left to write when its turn came, and was not sent. */
 public final class NothingToWriteException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure of one deferred transaction. */
+  /** Creates a failure for one deferred transaction. */
   public NothingToWriteException() {
-    super("nothing to write");
+    super("deferred transaction has nothing left to write");
   }
 }
--- a/src/main/java/io/violetrail/errors/OverBudgetException.java
+++ b/src/main/java/io/violetrail/errors/OverBudgetException.java
@@ -1,15 +1,16 @@
 package io.violetrail.errors;
 
-/** A limit of this controller's own is reached: nothing was sent. */
+/** One of this controller's own limits is reached, and the request was not sent. */
 public final class OverBudgetException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
-  /** Which limit. */
+  /** The limit that is reached. */
   public enum Limit {
-    /** This controller's share of the state service's requests or writes. */
-    STATE_STORE_BUDGET("the budget is used up"),
-    /** Jobs that may wait for a message to the same owner. */
-    WAITING_JOB_QUERIES("too many questions");
+    /** This controller's share of the state service's rate limits for requests or writes. */
+    STATE_STORE_BUDGET(
+        "this controller's share of the state service's rate limits is used up; retry later"),
+    /** The number of jobs that may wait for a message to the same owner. */
+    WAITING_JOB_QUERIES("too many job queries wait for a message to the same owner; retry later");
 
     private final String message;
 
@@ -20,7 +21,7 @@
 
   private final Limit limit;
 
-  /** The limit that leaves no room for the request now. */
+  /** Creates a failure for the limit that leaves no room for the request now. */
   public OverBudgetException(Limit limit) {
     super(limit.message);
     this.limit = limit;
--- a/src/main/java/io/violetrail/errors/PeerUnavailableException.java
+++ b/src/main/java/io/violetrail/errors/PeerUnavailableException.java
@@ -3,17 +3,17 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 
-/** There is no peer that could answer: nothing was sent, or none that was asked has an answer. */
+/** No peer could answer: nothing was sent, or none of the peers that were asked has an answer. */
 public final class PeerUnavailableException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
-  /** Why no peer can answer. */
+  /** Why no peer could answer. */
   public enum Reason {
-    /** The settings name no such peer. */
+    /** The settings do not name the peer. */
     NOT_CONFIGURED,
     /** No live peer is known as the owner of the entity. */
     NO_LIVE_OWNER,
-    /** None of the live peers knows the job, or none answered. */
+    /** None of the live peers knows the job, or none replied. */
     NONE_KNOWS_JOB
   }
 
@@ -24,20 +24,21 @@
     this.reason = reason;
   }
 
-  /** The settings do not name this peer. */
+  /** Creates a failure for a peer that the settings do not name. */
   public static PeerUnavailableException notConfigured(ControllerId peer) {
-    return new PeerUnavailableException(Reason.NOT_CONFIGURED, "no such peer as " + peer);
+    return new PeerUnavailableException(
+        Reason.NOT_CONFIGURED, "the settings do not name a peer " + peer);
   }
 
-  /** No live peer is known as the owner of this entity. */
+  /** Creates a failure for an entity of which no live peer is known as the owner. */
   public static PeerUnavailableException noLiveOwner(ControllerId entity) {
     return new PeerUnavailableException(
-        Reason.NO_LIVE_OWNER, "no live owner of entity " + entity + " to ask");
+        Reason.NO_LIVE_OWNER, "no live peer is known as the owner of entity " + entity);
   }
 
-  /** No live peer has answered with a state of this job. */
+  /** Creates a failure for a job whose state none of the live peers has reported. */
   public static PeerUnavailableException noneKnows(JobId jobId) {
-    return new PeerUnavailableException(Reason.NONE_KNOWS_JOB, "no peer knows job " + jobId);
+    return new PeerUnavailableException(Reason.NONE_KNOWS_JOB, "no live peer knows job " + jobId);
   }
 
   public Reason reason() {
--- a/src/main/java/io/violetrail/errors/Receiver.java
+++ b/src/main/java/io/violetrail/errors/Receiver.java
@@ -1,6 +1,6 @@
 package io.violetrail.errors;
 
-/** Who a request was sent to, as it is named in messages. */
+/** The receiver of a request, as named in error messages. */
 public enum Receiver {
   STATE_STORE("state service"),
   PEER("peer"),
--- a/src/main/java/io/violetrail/errors/RequestFailedException.java
+++ b/src/main/java/io/violetrail/errors/RequestFailedException.java
@@ -3,22 +3,22 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A request to the state service, to a peer or to a part of this controller that did not succeed.
+ * A request to the state service, to a peer or to a part of this controller failed.
  *
- * <p>The subclasses are the causes, and carry what belongs to them as fields; the message is made
- * from the fields in the subclass. They are ordinary outcomes of a cluster in which requests get
- * lost and owners change, and under load there are many of them: none has a stack trace.
+ * <p>Each subclass represents one cause, carries its details as fields and builds the message from
+ * them. These failures are ordinary in a cluster in which requests are lost and owners change, and
+ * under load there are many of them: none has a stack trace.
  */
 public abstract class RequestFailedException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure without cause, suppression and stack trace. */
+  /** Creates a failure without a cause, suppressed exceptions and a stack trace. */
   protected RequestFailedException(String message) {
     super(message, null, false, false);
   }
 
   /**
-   * The cause of a failed future, whatever it is wrapped in.
+   * Returns the cause of a failed future, unwrapped from a {@link CompletionException}.
    *
    * @return the failure itself; a {@link RequestUndecidedException} if it has another type
    */
@@ -30,13 +30,17 @@
   }
 
   /**
-   * Whether the request was refused because there were too many: it would succeed later, unchanged.
+   * Returns whether the request was refused because there were too many. The same request can
+   * succeed later.
    */
   public boolean isRateLimited() {
     return false;
   }
 
-  /** Whether the receiver refused the request as malformed: a repeat would fail just the same. */
+  /**
+   * Returns whether the receiver refused the request as malformed. A retry would fail in the same
+   * way.
+   */
   public boolean isRefusedAsMalformed() {
     return false;
   }
--- a/src/main/java/io/violetrail/errors/RequestRejectedException.java
+++ b/src/main/java/io/violetrail/errors/RequestRejectedException.java
@@ -1,8 +1,9 @@
 package io.violetrail.errors;
 
 /**
- * The receiver answered with an error. The state service has then not carried the request out, nor
- * will it. Of other receivers that is certain only for the statuses for which the protocol says so.
+ * The receiver replied with an error. The state service has then not carried out the request and
+ * never will. For other receivers, that is certain only for the statuses for which the protocol
+ * says so.
  */
 public final class RequestRejectedException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
@@ -19,30 +20,41 @@
     this.httpStatus = httpStatus;
   }
 
-  /** The receiver answered a request with this status. */
+  /** Creates a failure for a request that the receiver answered with this status. */
   public static RequestRejectedException answered(Receiver receiver, int httpStatus) {
     String subject =
         receiver == Receiver.STATE_STORE ? receiver.label() : "the " + receiver.label();
-    return new RequestRejectedException(receiver, httpStatus, subject + " answered " + httpStatus);
+    return new RequestRejectedException(
+        receiver, httpStatus, subject + " replied with HTTP status " + httpStatus);
   }
 
-  /** The state service answered a transaction with a status that the protocol has no use for. */
+  /**
+   * Creates a failure for a transaction that the state service answered with a status that the
+   * protocol does not define for it.
+   */
   public static RequestRejectedException transactionAnswered(int httpStatus) {
     return new RequestRejectedException(
-        Receiver.STATE_STORE, httpStatus, "txn answered " + httpStatus);
+        Receiver.STATE_STORE,
+        httpStatus,
+        "state service replied to a transaction with HTTP status " + httpStatus);
   }
 
-  /** The state service answered a listing with a status that the protocol has no use for. */
+  /**
+   * Creates a failure for a listing that the state service answered with a status that the protocol
+   * does not define for it.
+   */
   public static RequestRejectedException listingAnswered(int httpStatus) {
     return new RequestRejectedException(
-        Receiver.STATE_STORE, httpStatus, "list answered " + httpStatus);
+        Receiver.STATE_STORE,
+        httpStatus,
+        "state service replied to a listing with HTTP status " + httpStatus);
   }
 
   public Receiver receiver() {
     return receiver;
   }
 
-  /** The status of the receiver's answer, 4xx or 5xx. */
+  /** Returns the HTTP status of the receiver's reply, 4xx or 5xx. */
   public int httpStatus() {
     return httpStatus;
   }
--- a/src/main/java/io/violetrail/errors/RequestUndecidedException.java
+++ b/src/main/java/io/violetrail/errors/RequestUndecidedException.java
@@ -1,8 +1,8 @@
 package io.violetrail.errors;
 
 /**
- * There was no answer, or none that says what became of the request: it may have been carried out,
- * or may still be.
+ * The outcome of the request is unknown: there was no reply, or none that states the outcome. The
+ * request may have been carried out, or may still be.
  */
 public final class RequestUndecidedException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
@@ -11,22 +11,29 @@
     super(message);
   }
 
-  /** The receiver did not answer, or could not be reached. */
+  /**
+   * Creates a failure for a request to which the receiver did not reply, or that could not reach
+   * it.
+   */
   public static RequestUndecidedException noAnswer(Receiver receiver, Throwable failure) {
-    return new RequestUndecidedException(receiver.label() + ": " + failure.getMessage());
+    return new RequestUndecidedException(
+        "no reply from the " + receiver.label() + ": " + failure.getMessage());
   }
 
-  /** The receiver's answer cannot be parsed. */
+  /** Creates a failure for a reply that cannot be parsed. */
   public static RequestUndecidedException unclearAnswer(Receiver receiver) {
-    return new RequestUndecidedException("the " + receiver.label() + "'s answer is unclear");
+    return new RequestUndecidedException("the " + receiver.label() + "'s reply is malformed");
   }
 
-  /** The change was made here, but is not stored for certain. */
+  /**
+   * Creates a failure for a change that was made in this controller, but is not certain to be
+   * stored.
+   */
   public static RequestUndecidedException notStored() {
-    return new RequestUndecidedException("not stored");
+    return new RequestUndecidedException("the change is not certain to be stored");
   }
 
-  /** The request ended with an exception of another kind. */
+  /** Creates a failure for a request that ended with an exception of another type. */
   static RequestUndecidedException causedBy(Throwable cause) {
     return new RequestUndecidedException(String.valueOf(cause));
   }
--- a/src/main/java/io/violetrail/errors/UnknownJobException.java
+++ b/src/main/java/io/violetrail/errors/UnknownJobException.java
@@ -3,14 +3,14 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 
-/** The controller that was asked about a job as its owner does not know it. */
+/** The controller that was queried as the owner of a job does not know the job. */
 public final class UnknownJobException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
   private final transient ControllerId owner;
   private final transient JobId jobId;
 
-  /** The controller that was asked, and the job. */
+  /** Creates a failure that names the queried controller and the job. */
   public UnknownJobException(ControllerId owner, JobId jobId) {
     super("owner " + owner + " does not know job " + jobId);
     this.owner = owner;
--- a/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
+++ b/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** What is decided by the kind of a failure, and the messages that users get. */
+/** Tests how failures are classified, and the messages that users see. */
 final class RequestFailedExceptionTest {
   @Test
   void causeOfFailedFutureIsUnwrapped() {
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void onlyLimitsCountAsRateLimited() {
+  void onlyReachedLimitsAreRateLimited() {
     for (OverBudgetException.Limit limit : OverBudgetException.Limit.values()) {
       assertTrue(new OverBudgetException(limit).isRateLimited());
     }
@@ -51,21 +51,22 @@
   }
 
   @Test
-  void messagesThatUsersGetStayAsTheyWere() {
+  void messagesNameReceiverStatusAndCause() {
     assertEquals(
-        "state service answered 503",
+        "state service replied with HTTP status 503",
         RequestRejectedException.answered(Receiver.STATE_STORE, 503).getMessage());
     assertEquals(
-        "txn answered 404", RequestRejectedException.transactionAnswered(404).getMessage());
+        "state service replied to a transaction with HTTP status 404",
+        RequestRejectedException.transactionAnswered(404).getMessage());
     assertEquals(
-        "state service: no route",
+        "no reply from the state service: no route",
         RequestUndecidedException.noAnswer(Receiver.STATE_STORE, new Exception("no route"))
             .getMessage());
     assertEquals(
-        "the state service's answer is unclear",
+        "the state service's reply is malformed",
         RequestUndecidedException.unclearAnswer(Receiver.STATE_STORE).getMessage());
     assertEquals(
-        "the budget is used up",
+        "this controller's share of the state service's rate limits is used up; retry later",
         new OverBudgetException(OverBudgetException.Limit.STATE_STORE_BUDGET).getMessage());
   }
 }
