--- a/src/main/java/io/violetrail/tracing/JobTracer.java
+++ b/src/main/java/io/violetrail/tracing/JobTracer.java
@@ -5,11 +5,11 @@
 import io.violetrail.model.MachineId;
 
 /**
- * Records a job's way from the request to its end, at one controller. Called on the event loop's
- * thread; nothing recorded survives a restart.
+ * Traces a job from its submission to its end, at one controller. Called on the event loop's
+ * thread; no trace survives a restart.
  */
 public interface JobTracer {
-  /** Records nothing. */
+  /** A tracer that records nothing. */
   JobTracer NO_OP =
       new JobTracer() {
         @Override
@@ -35,22 +35,25 @@
         }
       };
 
-  /** A request to take the job begins to be decided. */
+  /** Records that the decision on a request to accept the job has begun. */
   void submissionStarted(JobId id);
 
-  /** It is decided, and stored if it was accepted. */
+  /** Records the decision on the submission, which is stored if the job was accepted. */
   void submissionDecided(JobId id, String verdict);
 
-  /** The command to launch one of its tasks leaves; only the first one counts. */
+  /**
+   * Records that the command to launch one of the job's tasks is sent; only the first call for a
+   * job counts.
+   */
   void taskLaunched(JobId id, MachineId machine);
 
-  /** Its end is stored. */
+  /** Records that the job's end is stored. */
   void jobEnded(JobId id, JobStatus status);
 
-  /** The newest finished spans, one JSON object a line; empty if there are none. */
+  /** Returns the newest finished spans, one JSON object per line; empty if there are none. */
   String finishedSpansAsJsonLines();
 
-  /** Whether anything is recorded at all. */
+  /** Returns whether this tracer records anything. */
   default boolean isEnabled() {
     return true;
   }
--- a/src/main/java/io/violetrail/tracing/OpenTelemetryJobTracer.java
+++ b/src/main/java/io/violetrail/tracing/OpenTelemetryJobTracer.java
@@ -23,9 +23,10 @@
 import java.util.Collection;
 
 /**
- * Spans of OpenTelemetry, kept in this process: one for a job as a whole, and under it one until it
- * is stored, one until its first task is launched, and one until it is over. Jobs under way and
- * spans that are over are each bounded; the oldest make way. Nothing leaves the process by itself.
+ * Records OpenTelemetry spans in this process: one for the whole job, and as its children one until
+ * the job is stored, one until its first task is launched, and one until the job has ended. The
+ * numbers of open jobs and of finished spans are each bounded; the oldest are dropped. Nothing is
+ * sent out of the process on its own.
  */
 public final class OpenTelemetryJobTracer implements JobTracer {
   private static final AttributeKey<String> JOB_ATTRIBUTE =
@@ -39,17 +40,17 @@
   private final Cache<JobId, JobSpans> openSpansByJob;
   private final Tracer tracer;
 
-  /** One job's spans that are open. */
+  /** The open spans of one job. */
   private static final class JobSpans {
     Span jobSpan;
-    Span stepSpan;
+    Span phaseSpan;
     boolean taskLaunched;
   }
 
   /**
-   * Creates a recorder of job traces that holds a bounded number of spans.
+   * Creates a tracer that holds a bounded number of spans.
    *
-   * @param maxSpans spans that are kept once they are over, and jobs under way
+   * @param maxSpans maximum number of finished spans that are kept, and of open jobs
    */
   public OpenTelemetryJobTracer(EventLoop loop, int maxSpans) {
     this.openSpansByJob = CacheBuilder.newBuilder().maximumSize(maxSpans).build();
@@ -112,21 +113,21 @@
     }
     JobSpans openSpans = new JobSpans();
     openSpans.jobSpan = startSpan("job", null, id);
-    openSpans.stepSpan = startSpan("store", openSpans.jobSpan, id);
+    openSpans.phaseSpan = startSpan("store", openSpans.jobSpan, id);
     openSpansByJob.put(id, openSpans);
   }
 
   @Override
   public void submissionDecided(JobId id, String verdict) {
     JobSpans openSpans = openSpansByJob.getIfPresent(id);
-    if (openSpans == null || openSpans.stepSpan == null || openSpans.taskLaunched) {
+    if (openSpans == null || openSpans.phaseSpan == null || openSpans.taskLaunched) {
       return;
     }
-    openSpans.stepSpan.setAttribute(VERDICT_ATTRIBUTE, verdict).end();
+    openSpans.phaseSpan.setAttribute(VERDICT_ATTRIBUTE, verdict).end();
     if (verdict.equals("ACCEPTED")) {
-      openSpans.stepSpan = startSpan("wait", openSpans.jobSpan, id);
+      openSpans.phaseSpan = startSpan("wait", openSpans.jobSpan, id);
     } else {
-      openSpans.stepSpan = null;
+      openSpans.phaseSpan = null;
       openSpans.jobSpan.setStatus(StatusCode.ERROR, verdict).end();
       openSpansByJob.invalidate(id);
     }
@@ -137,8 +138,8 @@
     JobSpans openSpans = openSpansByJob.getIfPresent(id);
     if (openSpans != null && !openSpans.taskLaunched) {
       openSpans.taskLaunched = true;
-      openSpans.stepSpan.setAttribute(MACHINE_ATTRIBUTE, machine.value()).end();
-      openSpans.stepSpan = startSpan("run", openSpans.jobSpan, id);
+      openSpans.phaseSpan.setAttribute(MACHINE_ATTRIBUTE, machine.value()).end();
+      openSpans.phaseSpan = startSpan("run", openSpans.jobSpan, id);
     }
   }
 
@@ -146,7 +147,7 @@
   public void jobEnded(JobId id, JobStatus status) {
     JobSpans openSpans = openSpansByJob.getIfPresent(id);
     if (openSpans != null) {
-      openSpans.stepSpan.end();
+      openSpans.phaseSpan.end();
       openSpans.jobSpan.setAttribute(VERDICT_ATTRIBUTE, status.name()).end();
       openSpansByJob.invalidate(id);
     }
