--- a/src/main/java/io/violetrail/evidence/EvidenceLog.java
+++ b/src/main/java/io/violetrail/evidence/EvidenceLog.java
@@ -8,13 +8,14 @@
 import java.util.function.Consumer;
 
 /**
- * The lines and counters from which an operator learns later why a task was started, and who kept
- * which worker's lease. Lines are bounded in rate, counters are complete.
+ * Log lines and counters that show an operator afterwards why a task was started, and which
+ * controller kept a worker's lease alive. Lines are rate-limited; counters are complete.
  *
- * <p>Called under the controller's lock; nothing of it survives a restart but the log.
+ * <p>Must be called under the controller's lock. The counters are lost in a restart; only the
+ * written log lines remain.
  */
 public final class EvidenceLog {
-  /** Lines a second, and at once; a controller's log is read by people and costs its processor. */
+  /** Log lines are limited because people read them and because they cost CPU time. */
   private static final double LINES_PER_SECOND = 20;
 
   private static final double LINE_BURST = 60;
@@ -23,7 +24,7 @@
   private final Consumer<String> sink;
   private final RateLimiter lineLimiter;
 
-  /** By the ordinals of their kinds: one is counted with each report. */
+  /** Indexed by the ordinal of the reply's kind. Every reply to a report is counted. */
   private final long[] replyCounts = new long[HeartbeatReplyKind.values().length];
 
   private final long[] startElsewhereCounts = new long[TerminationEvidence.values().length];
@@ -38,27 +39,30 @@
     this.lineLimiter = new RateLimiter(LINES_PER_SECOND, LINE_BURST, loop.monotonicSeconds());
   }
 
-  /** An answer to a report. */
+  /** Counts a reply to a worker's report. */
   public void countReply(HeartbeatReplyKind kind) {
     replyCounts[kind.ordinal()]++;
   }
 
-  /** A worker is answered otherwise than before, or is here for the first time or again. */
+  /**
+   * Logs a reply that differs from the previous reply to the same worker, or that is the first
+   * reply to a new or returning worker.
+   */
   public void logReplyChange(
       MachineId worker,
       long session,
-      Version seenToken,
+      Version workerToken,
       HeartbeatReplyKind kind,
       Version token,
-      String replyBefore) {
+      String previousReply) {
     writeLine(
         "worker=%s reply=%s token=%s worker_token=%s session=%d before=%s"
-            .formatted(worker, kind, token, seenToken, session, replyBefore));
+            .formatted(worker, kind, token, workerToken, session, previousReply));
   }
 
   /**
-   * A task is launched that was on a machine before. What its worker itself reported as ended is
-   * counted only.
+   * Records the launch of a task that was on a machine before. If the worker itself reported that
+   * the previous attempt had ended, the launch is only counted and not logged.
    */
   public void recordStartElsewhere(
       TaskId task, long attempt, MachineId machine, TaskDeparture departure) {
@@ -78,15 +82,18 @@
                 departure.attempt(),
                 departure.evidence(),
                 nowSeconds - departure.knownAtSeconds(),
-                nowSeconds - departure.lastAnsweredAtSeconds()));
+                nowSeconds - departure.latestRenewalAtSeconds()));
   }
 
-  /** A report in a session whose lease was counted as over: held back, or somebody renewed it. */
-  public void recordOutlivedLease(MachineId worker, long session, int haltedTaskCount) {
+  /**
+   * Records a report in a session whose lease was considered expired. Either the report was delayed
+   * in the network, or another controller has renewed the lease.
+   */
+  public void recordOutlivedLease(MachineId worker, long session, int stoppedTaskCount) {
     outlivedLeaseCount++;
     writeLine(
         "worker=%s session=%d reports after its lease was counted as over tasks_halted=%d"
-            .formatted(worker, session, haltedTaskCount));
+            .formatted(worker, session, stoppedTaskCount));
   }
 
   private void writeLine(String line) {
--- a/src/main/java/io/violetrail/evidence/HeartbeatReplyKind.java
+++ b/src/main/java/io/violetrail/evidence/HeartbeatReplyKind.java
@@ -1,16 +1,16 @@
 package io.violetrail.evidence;
 
-/** What an answer to a worker's report does to the worker. */
+/** The kinds of replies to a worker's report, by their effect on the worker. */
 public enum HeartbeatReplyKind {
-  /** Its lease is renewed, by the token of its machine's owner. */
+  /** Renews the worker's lease, under the fencing token of the machine's owner. */
   RENEWED,
 
-  /** It goes on reporting here, and its lease runs on. */
+  /** Keeps the worker reporting to this controller without renewing its lease. */
   STAY,
 
-  /** It is to report to another controller. */
+  /** Redirects the worker to another controller. */
   SENT_ELSEWHERE,
 
-  /** It is not answered for now and tries the next controller. */
+  /** Refuses the report for now, so that the worker tries the next controller. */
   REFUSED
 }
--- a/src/main/java/io/violetrail/evidence/TaskDeparture.java
+++ b/src/main/java/io/violetrail/evidence/TaskDeparture.java
@@ -3,15 +3,18 @@
 import io.violetrail.model.MachineId;
 
 /**
- * A task's last place that it has left.
+ * A task's most recent removal from a machine.
  *
- * @param knownAtSeconds when that became known, on this controller's steady clock in seconds
- * @param lastAnsweredAtSeconds when its machine's worker was last answered with a token, on the
- *     same clock
+ * @param machine the machine that the task was on
+ * @param attempt the number of the task's attempt on that machine
+ * @param evidence the evidence that the attempt no longer runs on the machine
+ * @param knownAtSeconds when this controller obtained the evidence, in seconds of its steady clock
+ * @param latestRenewalAtSeconds when the machine's worker was last sent a reply with a fencing
+ *     token, which may have renewed its lease, on the same clock
  */
 public record TaskDeparture(
     MachineId machine,
     long attempt,
     TerminationEvidence evidence,
     double knownAtSeconds,
-    double lastAnsweredAtSeconds) {}
+    double latestRenewalAtSeconds) {}
--- a/src/main/java/io/violetrail/ownership/ClusterRowsFollower.java
+++ b/src/main/java/io/violetrail/ownership/ClusterRowsFollower.java
@@ -9,11 +9,12 @@
 import java.util.List;
 
 /**
- * Keeps the cluster view up to date with the common rows: lists them, then watches what changes
- * from that revision on, and lists them again when the watch has fallen too far behind or when
- * somebody has reason to think that the view is stale.
+ * Keeps the cluster view up to date with the common rows. It lists them, then watches the changes
+ * from the listing's revision on. It lists them again when the watch has fallen too far behind, or
+ * when a caller has reason to believe that the view is outdated.
  *
- * <p>Used on the event loop's thread. One watch is open at a time, and one listing under way.
+ * <p>Must be used on the event loop's thread. At most one watch and one listing are in progress at
+ * a time.
  */
 final class ClusterRowsFollower {
   private static final double WATCH_SECONDS = 20;
@@ -28,13 +29,13 @@
   private boolean watchInProgress;
   private boolean listingInProgress;
 
-  /** Those who asked for a listing that has not begun. */
+  /** The callbacks of the requests for a listing that has not started. */
   private List<Runnable> waitingCallbacks = new ArrayList<>();
 
   /**
-   * Creates a follower that does nothing before it is asked to.
+   * Creates a follower that is inactive until it is asked to watch or list.
    *
-   * @param onRowsRead called whenever rows were read into the cluster view
+   * @param onRowsRead called after each read of rows into the cluster view
    */
   ClusterRowsFollower(
       EventLoop loop, StateStore store, ClusterView clusterView, Runnable onRowsRead) {
@@ -44,7 +45,7 @@
     this.onRowsRead = onRowsRead;
   }
 
-  /** Watches the rows from the view's revision on, unless they are watched already. */
+  /** Starts to watch the rows from the view's revision on, unless a watch is in progress. */
   void watch() {
     if (watchInProgress) {
       return;
@@ -71,15 +72,15 @@
     loop.schedule(RETRY_WATCH_SECONDS, tooOld ? this::relist : this::watch);
   }
 
-  /** Reads all common rows afresh. */
+  /** Reads all common rows again, and retries until it succeeds. */
   void relist() {
     relistThen(() -> {});
   }
 
   /**
-   * Reads all common rows afresh, and repeats that until it succeeds.
+   * Reads all common rows again, and retries until it succeeds.
    *
-   * @param callback called once the rows were read by a listing that began after this call
+   * @param callback called once the rows were read by a listing that started after this call
    */
   void relistThen(Runnable callback) {
     waitingCallbacks.add(callback);
@@ -89,7 +90,7 @@
     }
   }
 
-  /** One listing serves all who asked before it began; who asks meanwhile gets the next one. */
+  /** One listing serves all requests made before it started; later requests get the next one. */
   private void readListing() {
     List<Runnable> callbacks = waitingCallbacks;
     waitingCallbacks = new ArrayList<>();
--- a/src/main/java/io/violetrail/ownership/ClusterView.java
+++ b/src/main/java/io/violetrail/ownership/ClusterView.java
@@ -18,15 +18,15 @@
 import java.util.Set;
 
 /**
- * What this controller knows of the common rows: controllers that are alive, entities and their
- * owners, machines, quota shares, machine types and the configuration in force.
+ * This controller's cached copy of the common rows in the state service: liveness of controllers,
+ * entities and their owners, machines, quota shares, machine types and the active configuration.
  *
- * <p>It may lag. Every write names the revisions of the rows it was decided on, so a view that is
- * out of date costs a refused transaction and never a wrong one. Of each key the newest state known
- * stands: changes come from the watch, from listings and from this controller's own writes, in any
- * order.
+ * <p>The view may lag behind the state service. Every write is conditional on the revisions of the
+ * rows that its decision was based on. An outdated view can therefore cause a refused transaction,
+ * but never a wrong one. Changes arrive in any order from the watch, from listings and from this
+ * controller's own writes; for each key the view keeps the newest state that it has seen.
  *
- * <p>Used on the event loop's thread. Nothing of it survives a crash: it is read afresh.
+ * <p>Must be used on the event loop's thread. After a crash the rows are read again.
  */
 public final class ClusterView {
   private final Settings settings;
@@ -36,7 +36,7 @@
   private final MachineRowIndex machineRows = new MachineRowIndex();
   private final Map<String, Entry> quotaShares = new HashMap<>();
 
-  /** When each key was last deleted, so that an older change cannot bring it back. */
+  /** The revision of each key's latest deletion, so that an older change cannot restore the row. */
   private final Map<String, Long> deletionRevisions = new HashMap<>();
 
   private JsonNode machineTypes;
@@ -44,15 +44,14 @@
   private long machineAdditionsRevision;
   private long revision;
 
-  /** A row that records many machines of an entity. */
+  /** A row that holds the records of many machines of one entity. */
   public record MachineBlock(long modRevision, Map<MachineId, MachineRow> rows) {}
 
-  /** Creates a view in which no row is known. */
   public ClusterView(Settings settings) {
     this.settings = settings;
   }
 
-  /** Applies a whole listing of the common rows: what it lacks was deleted. */
+  /** Applies a complete listing of the common rows. Known rows that it lacks were deleted. */
   public void replaceWithListing(List<Entry> entries, long asOfRevision) {
     Set<String> presentKeys = new HashSet<>();
     for (Entry entry : entries) {
@@ -68,17 +67,17 @@
     deletionRevisions.values().removeIf(deletedAt -> deletedAt < asOfRevision);
   }
 
-  /** All changes up to that revision were applied. */
+  /** Records that all changes up to the given revision have been applied. */
   public void advanceRevision(long upToRevision) {
     revision = Math.max(revision, upToRevision);
   }
 
-  /** All changes up to this revision are known here; some later ones may be. */
+  /** Returns the revision up to which all changes are known. Some later ones may be known too. */
   public long revision() {
     return revision;
   }
 
-  /** Applies one change, unless something newer is known of its key. */
+  /** Applies one change, unless a newer state of its key is already known. */
   public void apply(RowChange change) {
     if (change.modRevision() <= knownModRevision(change.key())
         || change.modRevision() <= deletionRevisions.getOrDefault(change.key(), 0L)) {
@@ -112,7 +111,7 @@
       case MACHINE_TYPES -> machineTypes = value;
       case CONFIGURATION -> configurationEntry = new Entry(key, value, modRevision);
       default -> {
-        // Written by another release, and of no use to this one.
+        // A row of another release, which this release does not use.
       }
     }
   }
@@ -135,7 +134,7 @@
     }
   }
 
-  /** The revision of what is known of the key; 0 if nothing is, or if that does not matter. */
+  /** Returns the revision of the key's known row; 0 if there is none or changes always apply. */
   private long knownModRevision(String key) {
     return switch (CommonRowKind.of(key)) {
       case LIVENESS -> livenessRevision(StateSchema.controllerOfLiveness(key));
@@ -160,7 +159,7 @@
     return entry == null ? 0 : entry.modRevision();
   }
 
-  /** The keys of all rows known that may be deleted. */
+  /** Returns the keys of all known rows of the kinds that can be deleted. */
   private List<String> knownKeys() {
     Set<String> keys = new HashSet<>(quotaShares.keySet());
     livenessRows.keySet().forEach(controller -> keys.add(StateSchema.livenessKey(controller)));
@@ -169,47 +168,47 @@
     return List.copyOf(keys);
   }
 
-  /** Whether the controller's lease stands, as far as is known. */
+  /** Returns whether a liveness row of the controller is known, so that its lease is unexpired. */
   public boolean isAlive(ControllerId controller) {
     return livenessRows.containsKey(controller);
   }
 
-  /** The revision of the controller's liveness row; 0 if it has none. */
+  /** Returns the revision of the controller's liveness row; 0 if it has none. */
   public long livenessRevision(ControllerId controller) {
     LivenessRow row = livenessRows.get(controller);
     return row == null ? 0 : row.modRevision();
   }
 
   /**
-   * Whether some controller's program may answer workers without a token, as during an upgrade from
-   * an earlier release. The lease of a worker that has seen no token above "none" may be renewed by
-   * that, whoever owns its machine.
+   * Returns whether any controller that is alive may reply to workers without a fencing token, as
+   * earlier releases do during an upgrade. Such a reply may renew the lease of a worker that has
+   * not yet seen a token above "none", even if another controller owns its machine.
    */
   public boolean anyControllerRepliesWithoutToken() {
     return livenessRows.values().stream().anyMatch(row -> !row.tokenInEveryReply());
   }
 
-  /** The entity's row; null if none is known. */
+  /** Returns the entity's row; null if none is known. */
   public EntityRow findEntityRow(ControllerId entity) {
     return entityRows.get(entity);
   }
 
-  /** A snapshot of all entities' rows. */
+  /** Returns a snapshot of all entity rows. */
   public Collection<EntityRow> entityRows() {
     return List.copyOf(entityRows.values());
   }
 
   /**
-   * A peer owns an entity under that version. Its row may not be readable here, or not yet. Where
-   * workers and questions are routed follows the highest version known; what is taken over or
-   * written follows the row alone.
+   * Records a peer's announcement that it owns an entity under the given version. The entity's row
+   * may not be readable from here, or not yet. Routing of workers and queries follows the highest
+   * known version, read or announced. Failover and writes rely on the row alone.
    */
   public void recordAnnouncement(ControllerId entity, Version version) {
     announcedVersions.merge(
         entity, version, (known, announced) -> known.compareTo(announced) >= 0 ? known : announced);
   }
 
-  /** The owner by the highest version known, announced or read; null if there is none. */
+  /** Returns the owner by the highest version announced or read; null if it is not known. */
   public ControllerId findLatestOwner(ControllerId entity) {
     EntityRow row = entityRows.get(entity);
     Version announcedVersion = announcedVersions.get(entity);
@@ -220,7 +219,7 @@
     return row == null ? null : findOwnerIn(row);
   }
 
-  /** The owner that the row names; null if the settings have no such controller. */
+  /** Returns the owner that the row's version names; null if the settings do not list it. */
   public ControllerId findOwnerIn(EntityRow row) {
     return findOwnerIn(row.version());
   }
@@ -230,50 +229,54 @@
     return version.ownerIndex() < controllers.size() ? controllers.get(version.ownerIndex()) : null;
   }
 
-  /** The machine's row, its own or in a block; null if none is known. */
+  /** Returns the machine's record, from its own row or from a block; null if none is known. */
   public MachineRow findMachineRow(MachineId id) {
     return machineRows.find(id);
   }
 
   /**
-   * Whether the machine is known to be gone for good. Heartbeats of it that still come were held
-   * back in the network: a machine adopted because of them would never be heard of again.
+   * Returns whether the machine's record was removed recently, which happens only after the cloud
+   * has certainly deleted the machine. Heartbeats that still arrive from it were delayed in the
+   * network. If the machine were adopted because of them, it would never report again.
    */
   public boolean wasTerminated(MachineId id) {
     return machineRows.wasTerminated(id);
   }
 
-  /** A snapshot of the rows of an entity's machines. */
+  /** Returns a snapshot of the records of an entity's machines. */
   public List<MachineRow> machineRowsOf(ControllerId entity) {
     return machineRows.rowsOf(entity);
   }
 
-  /** An entity's blocks by number, as they are and will be known; not to be changed. */
+  /**
+   * Returns an entity's blocks by number. The map reflects later changes of the view, unless no
+   * block of the entity was known at the time of the call. Callers must not modify it.
+   */
   public Map<Integer, MachineBlock> blocks(ControllerId entity) {
     return machineRows.blocks(entity);
   }
 
-  /** The revision of the row that every addition of a machine rewrites. */
+  /** Returns the revision of the row that every addition of a machine rewrites. */
   public long machineAdditionsRevision() {
     return machineAdditionsRevision;
   }
 
-  /** How many controllers' leases stand, as far as is known. */
+  /** Returns the number of controllers with a known liveness row. */
   public int aliveControllerCount() {
     return livenessRows.size();
   }
 
-  /** The row of a team's quota shares; null if none is known. */
+  /** Returns the row of a team's quota shares; null if none is known. */
   public Entry findQuotaShare(String team) {
     return quotaShares.get(StateSchema.QUOTA_SHARE_PREFIX + team);
   }
 
-  /** The row that says which configuration is in force; null if there is none. */
+  /** Returns the row that names the active configuration revision; null if there is none. */
   public Entry configurationEntry() {
     return configurationEntry;
   }
 
-  /** The value of the row of machine types; null if none is known. */
+  /** Returns the value of the row of machine types; null if none is known. */
   public JsonNode machineTypes() {
     return machineTypes;
   }
--- a/src/main/java/io/violetrail/ownership/CommonRowKind.java
+++ b/src/main/java/io/violetrail/ownership/CommonRowKind.java
@@ -1,6 +1,6 @@
 package io.violetrail.ownership;
 
-/** What a common row holds, by its key. */
+/** The kinds of common rows, which are told apart by their keys. */
 enum CommonRowKind {
   LIVENESS,
   ENTITY,
@@ -10,10 +10,10 @@
   MACHINE_ADDITIONS,
   MACHINE_TYPES,
   CONFIGURATION,
-  /** A row of another release. */
+  /** A row that another release has written and this release does not use. */
   UNKNOWN;
 
-  /** The kind of the row with that key. */
+  /** Returns the kind of the row with the given key. */
   static CommonRowKind of(String key) {
     if (key.startsWith(StateSchema.LIVENESS_PREFIX)) {
       return LIVENESS;
--- a/src/main/java/io/violetrail/ownership/ControllerLease.java
+++ b/src/main/java/io/violetrail/ownership/ControllerLease.java
@@ -6,26 +6,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease in the state service, and until when it certainly stands.
+ * This controller's lease in the state service, and the time until which it is certainly valid.
  *
- * <p>Two things are kept apart. The {@link State} says whether there is a lease to renew; it
- * changes with the state service's answers. {@link #isValid()} says whether this controller may act
- * for its entities; it is a matter of time alone, always counted from the <em>sending</em> of the
- * last grant or renewal that succeeded, less a margin for drift. The state service counts from the
- * arrival of that request, so it never removes the controller's liveness row before {@code isValid}
- * has turned false. A lease that has ended leaves the validity as it is: it has run out by then.
+ * <p>State and validity are tracked separately. The {@link State} shows whether there is a lease to
+ * renew; it changes with the replies of the state service. {@link #isValid()} shows whether this
+ * controller may act for its entities; it depends on time alone. The validity period starts when
+ * the last successful grant or renewal request was <em>sent</em>, and is shorter than the lease's
+ * time to live by a margin for clock drift. The state service counts from the arrival of the same
+ * request. Therefore {@code isValid} turns false before the state service can remove the
+ * controller's liveness row. {@link #end} does not change the validity, because it has already run
+ * out by then.
  *
- * <p>Used on the event loop's thread. Nothing of it survives a crash: a controller that starts
- * again acquires a lease anew.
+ * <p>Must be used on the event loop's thread. The state is lost in a crash: a restarted controller
+ * acquires a new lease.
  */
 final class ControllerLease {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
   /** Whether there is a lease that can be renewed. */
   enum State {
-    /** None has been registered yet, or the last one has ended: one is to be acquired. */
+    /** No lease has been registered yet, or the last one has ended. A new one must be acquired. */
     ABSENT,
-    /** The liveness row is attached to it, and it is renewed periodically. */
+    /** The liveness row is attached to the lease, which is renewed periodically. */
     REGISTERED
   }
 
@@ -43,87 +45,89 @@
     this.clusterView = clusterView;
   }
 
-  /** Whether this controller is certainly entitled to act for its entities. */
+  /** Returns whether the lease is certainly valid, so that the controller may act as an owner. */
   boolean isValid() {
     return loop.monotonicSeconds() < validUntilSeconds;
   }
 
-  /** For how many seconds the lease certainly stands; not positive if that is uncertain. */
+  /** Returns how many seconds the lease is certainly valid for; 0 or less if it is uncertain. */
   double remainingSeconds() {
     return validUntilSeconds - loop.monotonicSeconds();
   }
 
-  /** Whether the validity ended at most the keep-alive grace period ago. */
+  /** Returns whether the lease is valid, or became uncertain within the keep-alive grace period. */
   boolean isWithinKeepAliveGrace() {
     return loop.monotonicSeconds() < validUntilSeconds + leaseTiming.keepAliveGraceSeconds();
   }
 
-  /** The lease to renew; empty while there is none. */
+  /** Returns the id of the lease to renew; empty while there is none. */
   OptionalLong leaseId() {
     return leaseId;
   }
 
-  /** Whether that lease is still the one to renew. */
+  /** Returns whether the given lease is still the one to renew. */
   boolean isCurrent(long id) {
     return state == State.REGISTERED && leaseId.getAsLong() == id;
   }
 
   /**
-   * A new lease was granted and the liveness row was attached to it.
+   * Records that a new lease was granted and the liveness row was attached to it.
    *
-   * @param grantSentAtSeconds when the request for the grant was sent, by the steady clock
-   * @throws IllegalStateException if there is a lease already
+   * @param grantSentAtSeconds when the grant request was sent, in seconds of the steady clock
+   * @throws IllegalStateException if the previous lease has not ended
    */
   void register(long newLeaseId, double grantSentAtSeconds) {
     if (state != State.ABSENT) {
-      throw new IllegalStateException("lease " + leaseId.getAsLong() + " has not ended");
+      throw new IllegalStateException(
+          "cannot register a new lease: lease " + leaseId.getAsLong() + " has not ended");
     }
     state = State.REGISTERED;
     leaseId = OptionalLong.of(newLeaseId);
-    validUntilSeconds = validUntilWhenSentAt(grantSentAtSeconds);
+    validUntilSeconds = validUntilForRequestSentAt(grantSentAtSeconds);
   }
 
   /**
-   * The current lease was renewed. Answers may arrive in another order than their requests were
-   * sent, so the validity never becomes shorter by one.
+   * Records that the current lease was renewed. Replies may arrive in a different order than their
+   * requests were sent, so a reply never shortens the validity.
    *
-   * @param sentAtSeconds when the renewal was sent, by the steady clock
+   * @param sentAtSeconds when the renewal request was sent, in seconds of the steady clock
+   * @throws IllegalStateException if there is no lease
    */
   void extend(double sentAtSeconds) {
     if (state != State.REGISTERED) {
-      throw new IllegalStateException("there is no lease to extend");
+      throw new IllegalStateException("cannot extend the lease: no lease is registered");
     }
-    validUntilSeconds = Math.max(validUntilSeconds, validUntilWhenSentAt(sentAtSeconds));
+    validUntilSeconds = Math.max(validUntilSeconds, validUntilForRequestSentAt(sentAtSeconds));
   }
 
-  /** The state service does not know the lease any more. */
+  /** Records that the lease no longer exists in the state service. */
   void end() {
     if (state != State.REGISTERED) {
-      throw new IllegalStateException("there is no lease to end");
+      throw new IllegalStateException("cannot end the lease: no lease is registered");
     }
     state = State.ABSENT;
     leaseId = OptionalLong.empty();
   }
 
-  private double validUntilWhenSentAt(double sentAtSeconds) {
+  private double validUntilForRequestSentAt(double sentAtSeconds) {
     return sentAtSeconds + leaseTiming.ttlSeconds() - leaseTiming.safetyMarginSeconds();
   }
 
-  /** Logs that the lease has become uncertain or valid since the last call. */
+  /** Logs if the lease has become uncertain or valid since the last call. */
   void logValidityChange() {
     boolean isUncertain = !isValid();
     if (loggedAsUncertain != isUncertain) {
       loggedAsUncertain = isUncertain;
       LOG.info(
           "{}; {}",
-          isUncertain ? "lease uncertain: no task is launched" : "lease valid",
+          isUncertain ? "lease may have expired: task launches are suspended" : "lease is valid",
           describe());
     }
   }
 
-  /** What decisions on ownership rest on at this moment, for log messages. */
+  /** Returns the remaining validity and the known revision of the common rows, for log messages. */
   String describe() {
-    return "lease valid for %.1f s, rows read as of revision %d"
+    return "lease valid for %.1f s, common rows known up to revision %d"
         .formatted(remainingSeconds(), clusterView.revision());
   }
 }
--- a/src/main/java/io/violetrail/ownership/ControllerLeaseRenewal.java
+++ b/src/main/java/io/violetrail/ownership/ControllerLeaseRenewal.java
@@ -9,11 +9,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acquires this controller's lease, registers the controller under it, and renews it. A lease that
- * has ended is replaced by a new one.
+ * Acquires this controller's lease, registers the controller under it, and renews it periodically.
+ * Replaces a lease that has expired by a new one.
  *
- * <p>Runs on the event loop's thread. At most one acquisition is under way, since renewals pause
- * until it has succeeded. After a crash the former process's lease runs out by itself.
+ * <p>Runs on the event loop's thread. At most one acquisition is in progress, because renewals
+ * pause until it has succeeded. After a crash, the lease of the previous process expires by itself.
  */
 final class ControllerLeaseRenewal {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLeaseRenewal.class);
@@ -48,7 +48,7 @@
     loop.scheduleWithFixedDelay(leaseTiming.renewIntervalSeconds(), this::renew);
   }
 
-  /** Requests a new lease, and reads the common rows meanwhile: the registration rests on them. */
+  /** Requests a new lease and reads the common rows, which the registration is drafted from. */
   private void acquire() {
     double sentAtSeconds = loop.monotonicSeconds();
     Futures.logFailure(
@@ -96,7 +96,7 @@
       ControllerRegistration.Draft draft,
       TransactionOutcome outcome) {
     lease.register(newLeaseId, sentAtSeconds);
-    LOG.info("lease {} begins, revision {}", newLeaseId, outcome.revision());
+    LOG.info("lease {} registered at revision {}", newLeaseId, outcome.revision());
     registration.onApplied(draft, outcome.revision());
   }
 
@@ -118,7 +118,7 @@
                   if (renewed) {
                     lease.extend(sentAtSeconds);
                   } else {
-                    LOG.info("lease {} has ended", renewedLeaseId);
+                    LOG.info("lease {} has expired; acquiring a new lease", renewedLeaseId);
                     lease.end();
                     acquire();
                   }
--- a/src/main/java/io/violetrail/ownership/ControllerRegistration.java
+++ b/src/main/java/io/violetrail/ownership/ControllerRegistration.java
@@ -9,10 +9,11 @@
 import java.util.Set;
 
 /**
- * Registers this controller as alive under a new lease. One transaction writes the liveness row,
- * moves the home entity to a new version if it is this controller's or nobody's, and demands that
- * the entities that are still owned here have not moved: between two leases there was no liveness
- * row, so a survivor may have taken them over.
+ * Registers this controller as alive under a new lease, by one transaction. It writes the liveness
+ * row. If this controller does not hold the home entity in memory, and the stored row names this
+ * controller or no row exists, it also moves the home entity to a new version. It is conditional on
+ * the unchanged rows of all entities that this controller still owns, because a survivor may have
+ * taken them over while there was no liveness row between two leases.
  *
  * <p>Called by {@link ControllerLeaseRenewal} on the event loop's thread.
  */
@@ -37,14 +38,14 @@
   }
 
   /**
-   * A registration that is to be written.
+   * A registration to be written.
    *
-   * @param homeRow the row by which the home entity is taken in the same step; empty if it is owned
-   *     here already or by another controller
+   * @param homeRow the new row of the home entity; empty if this controller already owns the home
+   *     entity or another controller owns it
    */
   record Draft(Transaction transaction, Optional<EntityRow> homeRow) {}
 
-  /** Works out the registration under a lease, on the rows as they are known. */
+  /** Drafts the registration under the given lease, based on the currently known rows. */
   Draft draft(long leaseId) {
     ControllerId self = settings.self();
     Transaction transaction =
@@ -80,12 +81,12 @@
     if (!self.equals(clusterView.findOwnerIn(formerRow))) {
       return Optional.empty();
     }
-    // The former process of this controller is gone. If that one had taken the entity over, the
-    // owner before it may still be in its grace period: the row goes on saying so.
+    // The previous process of this controller has ended. If it had taken the entity over, the owner
+    // before it may still be in its keep-alive grace period, so the row keeps acquiredGracefully.
     return Optional.of(succession.nextRow(formerRow, self, formerRow.acquiredGracefully(), false));
   }
 
-  /** The transaction was applied at that revision. */
+  /** Updates the local state after the transaction was applied at the given revision. */
   void onApplied(Draft draft, long revision) {
     clusterView.apply(
         new RowChange(
@@ -100,12 +101,12 @@
     rowsFollower.watch();
   }
 
-  /** The transaction was refused, as the rows with these keys have changed. */
+  /** Gives up the owned entities whose rows' changes caused the transaction to be refused. */
   void onRefused(Set<String> failedKeys) {
     failedKeys.forEach(
         key ->
             ownedEntities.all().stream()
                 .filter(entity -> StateSchema.entityKey(entity.id()).equals(key))
-                .forEach(entity -> ownedEntities.giveUp(entity, "its row has changed")));
+                .forEach(entity -> ownedEntities.giveUp(entity, "its stored row has changed")));
   }
 }
--- a/src/main/java/io/violetrail/ownership/EntityFailover.java
+++ b/src/main/java/io/violetrail/ownership/EntityFailover.java
@@ -15,25 +15,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the entities' rows with what is owned here, and acts on the difference: gives up what
- * has moved, takes up what was handed over, takes over what belonged to a controller whose lease
- * has expired, and asks for the home entity while another controller owns it.
+ * Compares the entity rows in the cluster view with the entities that this controller owns, and
+ * acts on the differences:
  *
- * <p>An entity is taken over from another owner only by a transaction that demands the absence of
- * that owner's liveness row. Survivors take turns by rank, so that they do not all try at once;
- * that is for economy, the transaction for correctness.
+ * <ul>
+ *   <li>It gives up an owned entity if the entity's row is newer than the one it is owned under.
+ *   <li>It starts to own an entity whose row names this controller, for example after a handover.
+ *   <li>It takes over an entity whose owner's lease has expired (failover).
+ *   <li>It asks for this controller's home entity to be handed back while another controller that
+ *       is alive owns it.
+ * </ul>
  *
- * <p>Called by {@link Membership} on the event loop's thread. What it remembers is lost in a crash
- * without harm.
+ * <p>A failover is one transaction on the conditions that the entity's row has not changed and that
+ * the former owner's liveness row does not exist. The state service removes the liveness row when
+ * the lease expires, so the former owner no longer acts for the entity by then. In addition, each
+ * survivor delays its attempt according to its rank among the controllers that are alive. The delay
+ * only avoids simultaneous attempts; correctness does not depend on it.
+ *
+ * <p>Called by {@link Membership} on the event loop's thread. The state of this class is lost in a
+ * crash, which is harmless.
  */
 final class EntityFailover {
   private static final Logger LOG = LoggerFactory.getLogger(EntityFailover.class);
 
-  /** A later-ranked survivor gives each earlier one this long to take a lapsed entity. */
+  /** How much longer each survivor waits than the one ranked before it, to avoid contention. */
   private static final double RANK_DELAY_SECONDS = 0.6;
 
   /**
-   * After its own start a controller lets the others come up too: often all were restarted at once.
+   * A controller takes over no entities for this long after its own start, because often all
+   * controllers are restarted at once and the others may not have registered yet.
    */
   private static final double STARTUP_GRACE_SECONDS = 2;
 
@@ -48,7 +58,7 @@
   private final OwnedEntities ownedEntities;
   private final ClusterRowsFollower rowsFollower;
   private final Membership.Listener listener;
-  private final Set<ControllerId> movesInProgress = new HashSet<>();
+  private final Set<ControllerId> acquisitionsInProgress = new HashSet<>();
   private final Map<ControllerId, Double> ownerAbsentSinceSeconds = new HashMap<>();
   private double startedAtSeconds;
   private double handbackRequestedAtSeconds = Double.NEGATIVE_INFINITY;
@@ -74,29 +84,29 @@
     this.listener = listener;
   }
 
-  /** Begins the grace period that other controllers get to come up. */
+  /** Starts the period in which the other controllers may register before any failover. */
   void start() {
     startedAtSeconds = loop.monotonicSeconds();
   }
 
-  /** Acts on each entity's row as it is known now. */
+  /** Compares each known entity row with the owned entities and acts on the differences. */
   void checkEntities() {
     for (EntityRow row : clusterView.entityRows()) {
       ControllerId owner = clusterView.findOwnerIn(row);
-      if (keepUnlessRowIsNewer(row, owner)) {
+      if (checkStillOwned(row, owner)) {
         continue;
       }
-      if (owner != null && lease.isValid() && !movesInProgress.contains(row.entity())) {
-        checkNotOwnedHere(row, owner);
+      if (owner != null && lease.isValid() && !acquisitionsInProgress.contains(row.entity())) {
+        tryToAcquire(row, owner);
       }
     }
   }
 
   /**
-   * Whether the entity is owned here under that row; gives it up if the row is newer than the one
-   * under which it is owned here.
+   * Returns whether this controller owns the entity under this row or a newer one. Gives the entity
+   * up first if the row is newer than the one it is owned under.
    */
-  private boolean keepUnlessRowIsNewer(EntityRow row, ControllerId owner) {
+  private boolean checkStillOwned(EntityRow row, ControllerId owner) {
     OwnedEntity ownedEntity = ownedEntities.find(row.entity());
     if (ownedEntity == null) {
       return false;
@@ -104,11 +114,16 @@
     if (row.modRevision() <= ownedEntity.row().modRevision()) {
       return true;
     }
-    ownedEntities.giveUp(ownedEntity, "version " + row.version() + " belongs to " + owner);
+    ownedEntities.giveUp(
+        ownedEntity, "superseded by version " + row.version() + " of owner " + owner);
     return false;
   }
 
-  private void checkNotOwnedHere(EntityRow row, ControllerId owner) {
+  /**
+   * Handles an entity that this controller does not own: starts to own it if its row names this
+   * controller, requests the handback of the home entity, or tries a failover.
+   */
+  private void tryToAcquire(EntityRow row, ControllerId owner) {
     if (owner.equals(settings.self())) {
       resumeOwnership(row);
     } else if (clusterView.isAlive(owner)) {
@@ -117,20 +132,21 @@
         requestHandback(owner);
       }
     } else if (isTurnToTakeOver(owner)) {
-      moveHere(row, false, owner);
+      acquireOwnership(row, false, owner);
     }
   }
 
   /**
-   * Takes up an entity whose row names this controller. If it was not handed over, a former process
-   * of this controller may have commanded its workers under that version, and a program of before
-   * may have written a version that is no fencing token: then it moves on to a new version.
+   * Starts to own an entity whose row already names this controller. The entity first moves to a
+   * new version in two cases. If it was not acquired gracefully, a previous process of this
+   * controller may have sent commands to its workers under the row's version. If an earlier release
+   * wrote the row, its version may be too low to serve as a fencing token.
    */
   private void resumeOwnership(EntityRow row) {
     if (row.acquiredGracefully() && row.version().isToken()) {
       ownedEntities.startOwning(row, true);
     } else {
-      moveHere(row, row.acquiredGracefully(), settings.self());
+      acquireOwnership(row, row.acquiredGracefully(), settings.self());
     }
   }
 
@@ -144,7 +160,7 @@
     listener.requestHandback(owner);
   }
 
-  /** Whether it is this controller's turn to take over what an absent owner had. */
+  /** Returns whether this controller may now try to take over the entities of an absent owner. */
   private boolean isTurnToTakeOver(ControllerId owner) {
     if (listener.isCutOffFromWorkers() && clusterView.aliveControllerCount() > 1) {
       return false;
@@ -156,7 +172,7 @@
         && nowSeconds - startedAtSeconds >= STARTUP_GRACE_SECONDS;
   }
 
-  /** How many controllers that are alive stand before this one in the settings. */
+  /** Returns how many of the controllers listed before this one in the settings are alive. */
   private int rankAmongAlive() {
     int rank = 0;
     for (ControllerId controller : settings.controllers()) {
@@ -169,15 +185,17 @@
   }
 
   /**
-   * Moves an entity here by one conditional transaction.
+   * Makes this controller the owner of an entity by one conditional transaction.
    *
-   * @param gracefully whether its former owner has handed it over; otherwise it is a failover
-   * @param formerOwner the owner that the row names, maybe this controller itself
+   * @param acquiredGracefully whether the former owner handed the entity over; if false, the move
+   *     counts as a failover
+   * @param formerOwner the owner that the row names, which may be this controller itself
    */
-  private void moveHere(EntityRow row, boolean gracefully, ControllerId formerOwner) {
-    movesInProgress.add(row.entity());
+  private void acquireOwnership(
+      EntityRow row, boolean acquiredGracefully, ControllerId formerOwner) {
+    acquisitionsInProgress.add(row.entity());
     ControllerId self = settings.self();
-    EntityRow nextRow = succession.nextRow(row, self, gracefully, !gracefully);
+    EntityRow nextRow = succession.nextRow(row, self, acquiredGracefully, !acquiredGracefully);
     String key = StateSchema.entityKey(row.entity());
     Transaction transaction =
         new Transaction()
@@ -191,15 +209,15 @@
             .tryUrgentTransaction(transaction)
             .whenComplete(
                 (outcome, failure) -> {
-                  movesInProgress.remove(row.entity());
+                  acquisitionsInProgress.remove(row.entity());
                   if (failure == null && outcome.applied()) {
                     LOG.info(
-                        "entity {} taken from {} with version {}",
+                        "entity {} acquired from {} with version {}",
                         row.entity(),
                         formerOwner,
                         nextRow.version());
                     ownedEntities.startOwning(
-                        nextRow.withModRevision(outcome.revision()), gracefully);
+                        nextRow.withModRevision(outcome.revision()), acquiredGracefully);
                   } else {
                     rowsFollower.relist();
                   }
--- a/src/main/java/io/violetrail/ownership/EntityHandover.java
+++ b/src/main/java/io/violetrail/ownership/EntityHandover.java
@@ -9,10 +9,10 @@
 import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
 
 /**
- * Hands an owned entity over to another controller, by one transaction that demands that the entity
- * has not moved and that the new owner is alive. No task is launched for the entity from the
- * beginning of the handover on, so that the new owner need not wait for anything that this one may
- * still have on its way.
+ * Hands an owned entity over to another controller by one transaction, on the conditions that the
+ * entity has not moved and that the new owner is alive. No task is launched for the entity once the
+ * handover has started, so the new owner does not have to wait for launches that are still in
+ * transit.
  *
  * <p>Called by {@link Membership} on the event loop's thread.
  */
@@ -39,7 +39,7 @@
     this.rowsFollower = rowsFollower;
   }
 
-  /** Begins the handover, if the entity is active and both controllers' leases stand. */
+  /** Starts the handover if the entity is active and both controllers' leases are valid. */
   void handOver(OwnedEntity entity, ControllerId newOwner) {
     if (!entity.isActive() || !lease.isValid() || !clusterView.isAlive(newOwner)) {
       return;
@@ -51,8 +51,8 @@
             .fencedTransaction()
             .ifRevision(StateSchema.livenessKey(newOwner), clusterView.livenessRevision(newOwner))
             .put(StateSchema.entityKey(entity.id()), StateSchema.encode(nextRow, newOwner.value()));
-    // Urgent, since nothing is launched meanwhile: behind the other writes of a burst of
-    // submissions the entity would stand idle for as long as the burst takes.
+    // The transaction is urgent because no task is launched until it completes. Queued behind the
+    // writes of a burst of submissions, it would leave the entity idle for the whole burst.
     Futures.logFailure(
         store
             .commitUrgent(transaction)
--- a/src/main/java/io/violetrail/ownership/EntitySuccession.java
+++ b/src/main/java/io/violetrail/ownership/EntitySuccession.java
@@ -9,11 +9,11 @@
 import io.violetrail.ownership.StateSchema.OwnershipHistory;
 
 /**
- * Works out the row under which an entity's next owner owns it. It has no state of its own and
- * writes nothing: registration, failover and handover each write the row on conditions of theirs.
+ * Computes the row for the next owner of an entity. This class has no state and writes nothing;
+ * registration, failover and handover each write the row under their own conditions.
  *
- * <p>The new version is above the former one and above the term of each of the entity's machines,
- * so that workers accept the next owner's fencing token and drop the former owner's.
+ * <p>The new version is higher than the former version and than the terms of all of the entity's
+ * machines, so workers accept the next owner's fencing token and reject the former owner's.
  */
 final class EntitySuccession {
   private final Settings settings;
@@ -29,7 +29,7 @@
     this.leaseTiming = leaseTiming;
   }
 
-  /** The row of an entity that no controller has owned before. */
+  /** Returns the row of an entity that no controller has owned before. */
   EntityRow firstRow(ControllerId firstOwner) {
     return new EntityRow(
         firstOwner,
@@ -40,11 +40,11 @@
   }
 
   /**
-   * The row that moves an entity on.
+   * Returns the row that moves an entity to a new owner.
    *
-   * @param acquiredGracefully whether the former owner has let go of the entity itself
-   * @param isFailover whether this very move takes the entity over after lease expiry; a controller
-   *     that starts again takes its home entity back without, though that need not be graceful
+   * @param acquiredGracefully whether the former owner handed the entity over
+   * @param isFailover whether this move is a failover after lease expiry; false when a controller
+   *     registers again and reacquires its home entity, even if that is not graceful
    */
   EntityRow nextRow(
       EntityRow row, ControllerId newOwner, boolean acquiredGracefully, boolean isFailover) {
--- a/src/main/java/io/violetrail/ownership/LeaseTiming.java
+++ b/src/main/java/io/violetrail/ownership/LeaseTiming.java
@@ -4,28 +4,35 @@
 import io.violetrail.ownership.StateSchema.OwnershipHistory;
 
 /**
- * The intervals that ownership rests on, all derived from the platform's settings.
+ * The time intervals that govern ownership, all derived from the platform's settings.
  *
- * <p>No task outlives a cancellation, in three cases. An owner that knows its entity's jobs renews
- * a worker's lease only by a reply that also stops what the report shows of jobs that are over; the
- * worker takes both or neither. A cancellation that this owner cannot know was confirmed by a later
- * owner, so after its own lease: {@code keepAliveGraceSeconds} ends early enough before {@code
- * cancel_s}. A cancellation that it does not know yet, since it is still reading its entity's rows,
- * was confirmed by a former owner, at most a worker's lease before the move (a worker whose lease
- * was renewed since was told to stop): {@code renewalWhileLoadingSeconds} bounds how long leases
- * may be renewed meanwhile, counted over a chain of such owners.
+ * <p>They are chosen so that no task outlives a confirmed cancellation by more than {@code
+ * cancel_s}. There are three cases:
  *
- * @param ttlSeconds a controller's lease: short enough that a survivor answers a dead controller's
- *     workers before their own leases end
- * @param renewIntervalSeconds between renewals
- * @param safetyMarginSeconds taken off the lease for drift and slow timers
+ * <ul>
+ *   <li>The owner knows of the cancellation. It renews a worker's lease only by a reply that also
+ *       stops the reported tasks of jobs that have ended. The worker applies both or neither.
+ *   <li>A later owner confirmed the cancellation, so this owner cannot know of it. The confirmation
+ *       came after this owner's lease had expired. {@code keepAliveGraceSeconds} is short enough
+ *       that the workers' leases that this owner still renews expire before {@code cancel_s}.
+ *   <li>A former owner confirmed the cancellation, and this owner does not know of it yet because
+ *       it is still reading the entity's rows. The confirmation came at most one worker lease
+ *       before the move, because a worker whose lease was renewed later was told to stop the task.
+ *       {@code renewalWhileLoadingSeconds} limits how long workers' leases may be renewed in this
+ *       state, in total over a chain of such owners.
+ * </ul>
+ *
+ * @param ttlSeconds the time to live of a controller's lease, which is short enough that a survivor
+ *     replies to a dead controller's workers before their own leases expire
+ * @param renewIntervalSeconds the time between two renewals of the controller's lease
+ * @param safetyMarginSeconds the margin subtracted from the lease for clock drift and slow timers
  * @param keepAliveGraceSeconds how long an owner whose lease is uncertain may renew its workers'
  *     leases
- * @param tasksGoneAfterReplySeconds after the last answer to a worker, all of its tasks are surely
- *     gone
+ * @param tasksGoneAfterReplySeconds the time after the last reply to a worker after which all of
+ *     its tasks have certainly ended
  * @param renewalWhileLoadingSeconds how long after a move workers' leases may be renewed by owners
- *     that do not know yet which jobs are over
- * @param maxClockSkewSeconds how far two controllers' times of day may be apart
+ *     that do not know yet which jobs have ended
+ * @param maxClockSkewSeconds the maximum difference between two controllers' wall clocks
  */
 public record LeaseTiming(
     double ttlSeconds,
@@ -35,7 +42,7 @@
     double tasksGoneAfterReplySeconds,
     double renewalWhileLoadingSeconds,
     double maxClockSkewSeconds) {
-  /** Four times the 0.05 % by which the protocol lets two steady clocks drift apart. */
+  /** Four times the drift of 0.05 % that the protocol allows between two steady clocks. */
   private static final double MAX_CLOCK_DRIFT = 0.002;
 
   /**
@@ -51,8 +58,8 @@
     double marginSeconds = Math.min(0.5, ttlSeconds * 0.1) + ttlSeconds * MAX_CLOCK_DRIFT;
     double goneAfterReplySeconds = workers.leaseSeconds() * (1 + MAX_CLOCK_DRIFT) + 0.5;
     double clockSkewSeconds = 2 * settings.clockErrorBoundSeconds();
-    // The next owner may confirm a cancellation as soon as this lease has expired: the workers that
-    // the former owner still renews must be without leases before cancel_s even so.
+    // The next owner may confirm a cancellation as soon as this lease has expired. The leases of
+    // workers that the former owner still renews must nevertheless expire before cancel_s.
     double graceSeconds =
         Math.min(
             (workers.cancelTimeoutSeconds() - workers.leaseSeconds()) * 0.85 - 1.5,
@@ -69,16 +76,18 @@
         clockSkewSeconds);
   }
 
-  /** How long after a failover a machine that has not reported certainly has no tasks. */
+  /** Returns how long after a failover an unreported machine's tasks have certainly ended. */
   public double tasksGoneAfterFailoverSeconds() {
     return keepAliveGraceSeconds * (1 + MAX_CLOCK_DRIFT) + tasksGoneAfterReplySeconds;
   }
 
   /**
-   * What a move at that time of day leaves to the next owner. Leases that were renewed without
-   * knowing what was over, by owners that were still reading or that were in their grace period
-   * after the failover, are themselves over a worker's lease after the last such renewal: then the
-   * count begins anew.
+   * Returns the ownership history to be stored with a move at the given time of the wall clock.
+   *
+   * <p>Owners that are still reading the entity's rows, or that are in their keep-alive grace
+   * period after a failover, may renew workers' leases without knowing which jobs have ended. Such
+   * leases have expired one worker lease after the last such renewal. A move after that time
+   * restarts the count at {@code nowMillis}.
    */
   public OwnershipHistory historyAfterMove(
       OwnershipHistory formerHistory, long nowMillis, boolean isFailover) {
@@ -93,14 +102,16 @@
         isFailover ? nowMillis : formerHistory.lastFailoverAtMillis());
   }
 
-  /** Whether an owner that has not read its entity's rows yet may renew workers' leases. */
+  /** Returns whether an owner that is still reading the entity's rows may renew workers' leases. */
   public boolean mayRenewWhileLoading(OwnershipHistory history, long nowMillis) {
     return nowMillis - history.jobsUnknownSinceMillis() < renewalWhileLoadingSeconds * 1000;
   }
 
   /**
-   * From now until what a machine may have held for any former owner is gone, as far as that owner
-   * lost the entity by a failover: after a handover since, it may still be in its grace period.
+   * Returns the seconds until all tasks that a machine may hold for a former owner have certainly
+   * ended, if that owner lost the entity by a failover. Such an owner may still be in its
+   * keep-alive grace period even if the entity has been handed over since. The result is negative
+   * if that time has passed.
    */
   public double secondsUntilTasksGone(OwnershipHistory history, long nowMillis) {
     return (history.lastFailoverAtMillis() - nowMillis) / 1000.0
--- a/src/main/java/io/violetrail/ownership/MachineRecordBatch.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecordBatch.java
@@ -16,29 +16,32 @@
 import java.util.Set;
 
 /**
- * The changes of machine records that one transaction is to write, worked out on the entity's
- * blocks as they are known at the time of drafting. The transaction demands that the entity has not
- * moved, and that each block that it writes is as it was known.
+ * A batch of machine record changes that are written by one transaction. The changes are applied to
+ * the entity's blocks as they are known when the batch is drafted. The transaction is conditional
+ * on the entity's row and on the revision of each block that it writes.
  *
- * <p>Made and used by {@link MachineRecords} on the event loop's thread.
+ * <p>Created and used by {@link MachineRecords} on the event loop's thread.
  */
 final class MachineRecordBatch {
-  /** Part of a value that a block is filled to. */
+  /** The fraction of the maximum value size up to which a block is filled. */
   private static final double BLOCK_FILL_FRACTION = 0.75;
 
-  /** What a machine takes of a block at most, with names and numbers of usual length. */
-  private static final int MAX_MACHINE_CHARS = 110;
+  /** The maximum size of a machine's record in a block, for names and numbers of usual length. */
+  private static final int MAX_BYTES_PER_MACHINE = 110;
 
-  /** Blocks in one transaction, which keeps it below the protocol's 64 KiB. */
+  /** The maximum number of blocks per transaction, to stay below the protocol's 64 KiB. */
   private static final int MAX_BLOCKS = 6;
 
-  /** A change writes its block or its own row, and the additions row may be written at the end. */
-  private static final int MAX_WRITES_OF_NEXT_CHANGE = 3;
+  /**
+   * Room to keep for the next change, which writes a block, an own row or both, and for the
+   * additions row, which may be written at the end.
+   */
+  private static final int MAX_WRITES_TO_ADD = 3;
 
-  /** Conditions that the next change and the end of the transaction add, beside the blocks'. */
-  private static final int MAX_CONDITIONS_OF_NEXT_CHANGE = 2;
+  /** Conditions that the next change and the end of the transaction add, except for blocks. */
+  private static final int MAX_CONDITIONS_TO_ADD = 2;
 
-  /** By the protocol a transaction may have that many conditions for each permitted write. */
+  /** The number of conditions that the protocol allows for each permitted write. */
   private static final int CONDITIONS_PER_WRITE = 4;
 
   private final OwnedEntity entity;
@@ -57,7 +60,7 @@
     this.clusterView = clusterView;
     this.limits = limits;
     this.machinesPerBlock =
-        (int) Math.max(1, limits.maxValueBytes() * BLOCK_FILL_FRACTION / MAX_MACHINE_CHARS);
+        (int) Math.max(1, limits.maxValueBytes() * BLOCK_FILL_FRACTION / MAX_BYTES_PER_MACHINE);
     this.transaction = entity.fencedTransaction();
     this.knownBlocks = clusterView.blocks(entity.id());
   }
@@ -66,24 +69,24 @@
     return includedChanges.isEmpty();
   }
 
-  /** The changes that the transaction writes, in their order. */
+  /** Returns the changes that the transaction writes, in order of inclusion. */
   List<MachineRecordChange> includedChanges() {
     return includedChanges;
   }
 
-  /** Whether one more change might exceed the limits of a transaction. */
+  /** Returns whether one more change could exceed the limits of a transaction. */
   boolean isFull() {
     int writeCount = changedBlocks.size() + transferredRows.size();
     return changedBlocks.size() >= MAX_BLOCKS
-        || writeCount + MAX_WRITES_OF_NEXT_CHANGE > limits.maxTransactionOperations()
-        || transaction.expectedRevisions().size() + MAX_BLOCKS + MAX_CONDITIONS_OF_NEXT_CHANGE
+        || writeCount + MAX_WRITES_TO_ADD > limits.maxTransactionOperations()
+        || transaction.expectedRevisions().size() + MAX_BLOCKS + MAX_CONDITIONS_TO_ADD
             > CONDITIONS_PER_WRITE * limits.maxTransactionOperations();
   }
 
   /**
-   * Includes a change.
+   * Includes a change in the batch.
    *
-   * @return false if the change cannot be made, since the machine is in none of the entity's blocks
+   * @return false if the change is impossible because the machine is in none of the entity's blocks
    */
   boolean include(MachineRecordChange change) {
     OptionalInt block = findBlockOf(change.machine());
@@ -99,7 +102,9 @@
       case REMOVE ->
           block.ifPresent(number -> editableRowsOfBlock(number).remove(change.machine()));
       case TRANSFER -> transfer(change, block.getAsInt());
-      default -> throw new IllegalStateException("unhandled kind of change " + change.kind());
+      default ->
+          throw new IllegalStateException(
+              "unhandled kind of machine record change: " + change.kind());
     }
     includedChanges.add(change);
     return true;
@@ -140,7 +145,7 @@
     return OptionalInt.empty();
   }
 
-  /** The block's machines as this batch leaves them. */
+  /** Returns the block's machines, with the changes of this batch applied. */
   private Map<MachineId, MachineRow> rowsOfBlock(int block) {
     Map<MachineId, MachineRow> changedRows = changedBlocks.get(block);
     if (changedRows != null) {
@@ -162,7 +167,7 @@
     return block;
   }
 
-  /** The transaction with everything included; to be called once, after the last change. */
+  /** Completes and returns the transaction. Must be called once, after the last change. */
   Transaction finishTransaction() {
     changedBlocks.forEach(
         (number, rows) -> {
@@ -173,8 +178,8 @@
               .put(key, StateSchema.encode(rows.values()));
         });
     if (addsMachines) {
-      // Every addition rewrites this row. As it is unchanged, all additions of all entities are
-      // known here, and so no other entity has recorded the same machines.
+      // Every addition rewrites this row. If the row is unchanged, the view contains all additions
+      // of all entities, so no other entity has recorded the same machines.
       transaction
           .ifRevision(StateSchema.MACHINE_ADDITIONS_KEY, clusterView.machineAdditionsRevision())
           .put(StateSchema.MACHINE_ADDITIONS_KEY, Cbor.newMap());
@@ -182,7 +187,7 @@
     return transaction;
   }
 
-  /** Brings what the transaction has written at that revision into the cluster view. */
+  /** Applies the transaction's writes to the cluster view, after it was applied at the revision. */
   void applyToView(long revision) {
     changedBlocks.forEach(
         (number, rows) ->
@@ -197,7 +202,7 @@
                 new RowChange(StateSchema.machineKey(id), StateSchema.encode(row), revision)));
   }
 
-  /** Whether one of these keys is that of a block that the transaction writes. */
+  /** Returns whether any of the keys is the key of a block that the transaction writes. */
   boolean writesAnyBlockOf(Set<String> keys) {
     return changedBlocks.keySet().stream()
         .anyMatch(number -> keys.contains(StateSchema.blockKey(entity.id(), number)));
--- a/src/main/java/io/violetrail/ownership/MachineRecordChange.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecordChange.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A change of one machine's record in its entity's blocks, waiting to be written. It is kept by
- * {@link MachineRecords} until it is completed or refused, and lost in a crash: whoever asked for
- * it must not act on it before.
+ * A pending change of one machine's record in the blocks of its entity. {@link MachineRecords}
+ * keeps the change until it is completed or refused. Pending changes are lost in a crash, so the
+ * caller must not act on a change before it is completed.
  */
 final class MachineRecordChange {
-  /** What is to become of the record. */
+  /** The kinds of change. */
   enum Kind {
-    /** To be recorded; no entity may have the machine yet. */
+    /** Adds a machine that is not recorded by any other entity. */
     ADD,
     REWRITE,
     REMOVE,
-    /** To be given to another entity, in a row of its own. */
+    /** Transfers the machine to another entity, with a row of its own. */
     TRANSFER
   }
 
@@ -45,7 +45,7 @@
     return new MachineRecordChange(Kind.REMOVE, row, Optional.empty());
   }
 
-  /** The machine passes to that entity, provided that the entity does not move meanwhile. */
+  /** Creates a transfer that is refused if the target entity's row changes before the write. */
   static MachineRecordChange transfer(MachineRow transferred, EntityRow targetEntity) {
     return new MachineRecordChange(Kind.TRANSFER, transferred, Optional.of(targetEntity));
   }
@@ -58,27 +58,27 @@
     return row.id();
   }
 
-  /** The record as it is to be; with {@link Kind#REMOVE} as it was. */
+  /** Returns the new record; for {@link Kind#REMOVE}, the record to remove. */
   MachineRow row() {
     return row;
   }
 
-  /** The entity that the machine passes to; present with {@link Kind#TRANSFER} alone. */
+  /** Returns the target entity's row; present only for {@link Kind#TRANSFER}. */
   Optional<EntityRow> targetEntity() {
     return targetEntity;
   }
 
-  /** Completes with the row as stored, or fails with {@link RecordChangeRefusedException}. */
+  /** Completes with the stored row, or fails with {@link RecordChangeRefusedException}. */
   CompletableFuture<MachineRow> stored() {
     return stored;
   }
 
-  /** The change was written, or what it asks for was found to be so. */
+  /** Completes the future: the change was written, or the record was already as requested. */
   void complete(MachineRow storedRow) {
     stored.complete(storedRow);
   }
 
-  /** The change was not written and will not be. */
+  /** Fails the future: the change was not written and will not be written. */
   void refuse(RecordChangeRefusedException.Reason reason) {
     stored.completeExceptionally(new RecordChangeRefusedException(machine(), reason));
   }
--- a/src/main/java/io/violetrail/ownership/MachineRecords.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecords.java
@@ -21,23 +21,27 @@
 /**
  * Writes the records of an owned entity's machines to the state service.
  *
- * <p>An entity's machines are recorded together in a few rows, its blocks, which only its owner
- * writes. Changes to many machines within a moment cost a write or two: with a write for each, a
- * hundred machines coming up took the state service longer than their boot. A machine that passes
- * to another entity gets a row of its own, since two owners must not write the same block.
+ * <p>Most machine records are stored in blocks. A block is a row that holds the records of many
+ * machines of one entity, and only the entity's owner writes it. Changes to many machines within a
+ * short time therefore need only one or two writes. With one write per machine, recording a hundred
+ * machines that started together took longer than booting them. A machine that is transferred to
+ * another entity gets a row of its own, because two owners must not write the same block.
  *
- * <p>Changes are gathered and written in batches, one transaction at a time. A batch that was
- * refused is worked out afresh on a newer view and tried again, until each change is stored or is
- * known to be impossible.
+ * <p>Changes to records in blocks are queued and written in batches, with one transaction in
+ * progress at a time. If a transaction is refused, the remaining changes are drafted again on a
+ * newer cluster view and retried until each change is stored or known to be impossible. Changes to
+ * a machine's own row are not batched; each is written by a transaction of its own.
  *
- * <p>Used on the event loop's thread. Changes that wait are lost in a crash; the futures tell what
- * was stored.
+ * <p>Must be used on the event loop's thread. Queued changes are lost in a crash. A change is
+ * certain to be stored only once its future has completed successfully.
  */
 public final class MachineRecords {
-  private static final double GATHER_SECONDS = 0.2;
-  private static final double RETRY_SECONDS = 0.15;
+  /** How long changes are collected before they are written as a batch. */
+  private static final double BATCH_DELAY_SECONDS = 0.2;
 
-  /** Changes that may wait; beyond that the caller is refused and comes back. */
+  private static final double RETRY_DELAY_SECONDS = 0.15;
+
+  /** Further changes are refused while this many are queued; the caller may retry later. */
   private static final int MAX_PENDING_CHANGES = 2_000;
 
   private final StateStore store;
@@ -45,16 +49,15 @@
   private final ClusterRowsFollower rowsFollower;
   private final StateStoreLimits limits;
   private final OwnedEntity ownedEntity;
-  private final CoalescingTimer writeDebouncer;
+  private final CoalescingTimer writeTimer;
   private List<MachineRecordChange> pendingChanges = new ArrayList<>();
 
-  /** A transaction, or the listing that follows a refused one, is under way. */
+  /** Whether a transaction, or the listing that follows a refused one, is in progress. */
   private boolean writeInProgress;
 
-  /** The last transaction left changes for the next one. */
-  private boolean transactionFull;
+  /** Whether the last transaction had no room for all queued changes. */
+  private boolean lastTransactionFull;
 
-  /** Creates the batched writer of one entity's machine records. */
   MachineRecords(
       EventLoop loop,
       StateStore store,
@@ -62,7 +65,7 @@
       ClusterRowsFollower rowsFollower,
       StateStoreLimits limits,
       OwnedEntity entity) {
-    this.writeDebouncer = new CoalescingTimer(loop, this::writePendingChanges);
+    this.writeTimer = new CoalescingTimer(loop, this::writePendingChanges);
     this.store = store;
     this.clusterView = clusterView;
     this.rowsFollower = rowsFollower;
@@ -71,17 +74,19 @@
   }
 
   /**
-   * Records a machine unless another entity has it.
+   * Adds the record of a machine to this entity unless the machine is already recorded elsewhere.
    *
-   * @return its row once stored; fails with {@link RecordChangeRefusedException}
+   * @return completes with the stored row; fails with {@link RecordChangeRefusedException} if the
+   *     change is refused
    */
   public CompletableFuture<MachineRow> add(MachineRow row) {
     return enqueue(MachineRecordChange.add(row));
   }
 
   /**
-   * Records machines; completes once each of them is either this entity's or known to be another's.
-   * It never fails.
+   * Adds the records of machines like {@link #add}.
+   *
+   * @return completes once each addition is either stored or refused; never fails
    */
   public CompletableFuture<Void> addAll(List<MachineRow> rows) {
     return CompletableFuture.allOf(
@@ -91,9 +96,10 @@
   }
 
   /**
-   * Rewrites a machine's record.
+   * Replaces a machine's record.
    *
-   * @return its row once stored; fails with {@link RecordChangeRefusedException}
+   * @return completes with the stored row; fails with {@link RecordChangeRefusedException} if the
+   *     change is refused
    */
   public CompletableFuture<MachineRow> rewrite(MachineRow former, MachineRow changed) {
     if (!former.isInBlock()) {
@@ -103,9 +109,10 @@
   }
 
   /**
-   * Removes the record of a machine that is gone.
+   * Removes the record of a machine that no longer exists in the cloud.
    *
-   * @return the row as it was, once removed; fails with {@link RecordChangeRefusedException}
+   * @return completes with the former row once it is removed; fails with {@link
+   *     RecordChangeRefusedException} if the change is refused
    */
   public CompletableFuture<MachineRow> remove(MachineRow row) {
     if (!row.isInBlock()) {
@@ -115,10 +122,12 @@
   }
 
   /**
-   * Gives a machine to another entity, under the term that {@code transferred} names.
+   * Transfers a machine to another entity.
    *
-   * @param targetEntity that entity's row: nothing is written if the entity has moved since
-   * @return the row once stored; fails with {@link RecordChangeRefusedException}
+   * @param transferred the machine's new row, with the target entity and the new term
+   * @param targetEntity the target entity's row; the change is refused if that row has changed
+   * @return completes with the stored row; fails with {@link RecordChangeRefusedException} if the
+   *     change is refused
    */
   public CompletableFuture<MachineRow> transfer(
       MachineRow former, MachineRow transferred, EntityRow targetEntity) {
@@ -160,13 +169,13 @@
       return change.stored();
     }
     pendingChanges.add(change);
-    scheduleWrite(GATHER_SECONDS);
+    scheduleWrite(BATCH_DELAY_SECONDS);
     return change.stored();
   }
 
   private void scheduleWrite(double delaySeconds) {
     if (!writeInProgress && !pendingChanges.isEmpty()) {
-      writeDebouncer.schedule(delaySeconds);
+      writeTimer.schedule(delaySeconds);
     }
   }
 
@@ -181,11 +190,11 @@
         store.commitDeferred(write::draft).whenComplete(write::onOutcome), "write machine records");
   }
 
-  /** One transaction on its way. What it writes is worked out only when its turn has come. */
+  /** One transaction in progress. Its content is drafted only when it is about to be sent. */
   private final class BatchWrite {
     private Optional<MachineRecordBatch> drafted = Optional.empty();
 
-    /** Null if there is nothing to write by then: the write fails. */
+    /** Returns null if there is nothing to write any more; the write then fails. */
     private Transaction draft() {
       MachineRecordBatch batch = draftBatch();
       if (batch.isEmpty()) {
@@ -198,10 +207,10 @@
     private void onOutcome(TransactionOutcome outcome, Throwable failure) {
       writeInProgress = false;
       if (drafted.isEmpty()) {
-        scheduleWrite(RETRY_SECONDS);
+        scheduleWrite(RETRY_DELAY_SECONDS);
       } else if (failure == null && outcome.applied()) {
         onApplied(drafted.get(), outcome);
-        scheduleWrite(transactionFull ? 0 : GATHER_SECONDS);
+        scheduleWrite(lastTransactionFull ? 0 : BATCH_DELAY_SECONDS);
       } else {
         onNotApplied(drafted.get(), outcome);
       }
@@ -214,18 +223,19 @@
     refused.forEach(change -> change.refuse(Reason.ENTITY_LOST));
   }
 
-  /** Takes as many of the changes that wait as one transaction holds. */
+  /** Moves as many queued changes into a batch as fit into one transaction. */
   private MachineRecordBatch draftBatch() {
     MachineRecordBatch batch = new MachineRecordBatch(ownedEntity, clusterView, limits);
     List<MachineRecordChange> remaining = new ArrayList<>();
-    transactionFull = false;
+    lastTransactionFull = false;
     for (MachineRecordChange change : pendingChanges) {
-      if (change.kind() == MachineRecordChange.Kind.ADD && isOwnedElsewhere(change.machine())) {
+      if (change.kind() == MachineRecordChange.Kind.ADD
+          && hasRecordOutsideOwnBlocks(change.machine())) {
         change.refuse(Reason.OWNED_ELSEWHERE);
         continue;
       }
-      transactionFull = transactionFull || batch.isFull();
-      if (transactionFull) {
+      lastTransactionFull = lastTransactionFull || batch.isFull();
+      if (lastTransactionFull) {
         remaining.add(change);
       } else if (!batch.include(change)) {
         change.refuse(Reason.OWNED_ELSEWHERE);
@@ -235,8 +245,8 @@
     return batch;
   }
 
-  /** Whether the machine has a record outside this entity's blocks: it is not recorded twice. */
-  private boolean isOwnedElsewhere(MachineId id) {
+  /** Returns whether the machine already has a record outside of this entity's blocks. */
+  private boolean hasRecordOutsideOwnBlocks(MachineId id) {
     MachineRow known = clusterView.findMachineRow(id);
     return known != null && !(known.entity().equals(ownedEntity.id()) && known.isInBlock());
   }
@@ -250,10 +260,11 @@
   }
 
   /**
-   * Another entity has recorded machines meanwhile, an earlier try that seemed lost was applied, or
-   * an entity has moved: what is still to be done is worked out afresh on a newer view.
+   * Handles a transaction that was not applied: another entity has recorded machines in the
+   * meantime, an earlier attempt that seemed to be lost was applied, or an entity has moved. The
+   * changes that can still succeed are retried on a newer view.
    *
-   * @param outcome null if the transaction failed otherwise than by its conditions
+   * @param outcome null if the transaction failed for another reason than its conditions
    */
   private void onNotApplied(MachineRecordBatch batch, TransactionOutcome outcome) {
     Set<String> failedKeys = outcome == null ? Set.of() : outcome.failedKeys();
@@ -264,12 +275,12 @@
     if (entityMoved || batch.writesAnyBlockOf(failedKeys) || singleRowChanged || outcome == null) {
       retryOnNewListing();
     } else {
-      // The watch brings in a moment what the others have recorded.
-      scheduleWrite(RETRY_SECONDS);
+      // The watch will deliver the machines that other entities have recorded.
+      scheduleWrite(RETRY_DELAY_SECONDS);
     }
   }
 
-  /** Puts the batch's changes back before those that wait, except those that cannot succeed. */
+  /** Puts the batch's changes back at the head of the queue, and refuses the impossible ones. */
   private void requeue(MachineRecordBatch batch, Set<String> failedKeys, boolean entityMoved) {
     List<MachineRecordChange> retried = new ArrayList<>();
     for (MachineRecordChange change : batch.includedChanges()) {
@@ -294,11 +305,11 @@
         () -> {
           writeInProgress = false;
           completeAppliedTransfers();
-          scheduleWrite(RETRY_SECONDS);
+          scheduleWrite(RETRY_DELAY_SECONDS);
         });
   }
 
-  /** Completes the transfers that an earlier try has made, by the newest view. */
+  /** Completes queued transfers that the newest view shows as applied by an earlier attempt. */
   private void completeAppliedTransfers() {
     List<MachineRecordChange> remaining = new ArrayList<>();
     for (MachineRecordChange change : pendingChanges) {
--- a/src/main/java/io/violetrail/ownership/MachineRowIndex.java
+++ b/src/main/java/io/violetrail/ownership/MachineRowIndex.java
@@ -13,53 +13,55 @@
 import java.util.TreeMap;
 
 /**
- * The records of all machines as known here, by machine, by entity and by block. A machine's record
- * stands in a block of its entity, or in a row of its own once it has passed to another entity; of
- * two that are known at a time, the newer one counts.
+ * An index of all known machine records by machine, by entity and by block. A machine's record is
+ * in a block of its entity, or in a row of its own once the machine has been transferred to another
+ * entity. If both are known at the same time, the newer one is used.
  *
- * <p>Part of {@link ClusterView}, used on the event loop's thread.
+ * <p>Part of {@link ClusterView}. Must be used on the event loop's thread.
  */
 final class MachineRowIndex {
   private static final int MAX_TERMINATED_MACHINES = 5_000;
 
   private final Map<MachineId, MachineRow> rows = new HashMap<>();
 
-  /** The same rows by entity, since owners go through theirs with every change. */
+  /** The same rows by entity, because owners iterate over their rows on every change. */
   private final Map<ControllerId, Map<MachineId, MachineRow>> rowsByEntity = new HashMap<>();
 
   private final Map<ControllerId, Map<Integer, MachineBlock>> blocks = new HashMap<>();
 
-  /** Machines whose record was removed, which comes after the cloud has certainly deleted them. */
+  /**
+   * Machines whose record was removed recently. A record is removed only after the cloud has
+   * certainly deleted the machine.
+   */
   private final Cache<MachineId, Boolean> terminatedMachines =
       CacheBuilder.newBuilder().maximumSize(MAX_TERMINATED_MACHINES).build();
 
-  /** The machine's row; null if none is known. */
+  /** Returns the machine's record; null if none is known. */
   MachineRow find(MachineId id) {
     return rows.get(id);
   }
 
-  /** The revision of the machine's own row; 0 if it has none, or is recorded in a block. */
+  /** Returns the revision of the machine's own row; 0 if it has none or is recorded in a block. */
   long singleRowRevision(MachineId id) {
     MachineRow row = rows.get(id);
     return row == null || row.isInBlock() ? 0 : row.modRevision();
   }
 
-  /** Whether the machine's record was removed, not long ago. */
+  /** Returns whether the machine's record is among the most recently removed ones. */
   boolean wasTerminated(MachineId id) {
     return terminatedMachines.getIfPresent(id) != null;
   }
 
-  /** A snapshot of the rows of an entity's machines. */
+  /** Returns a snapshot of the records of an entity's machines. */
   List<MachineRow> rowsOf(ControllerId entity) {
     return List.copyOf(rowsByEntity.getOrDefault(entity, Map.of()).values());
   }
 
-  /** An entity's blocks by number. */
   Map<Integer, MachineBlock> blocks(ControllerId entity) {
     return blocks.getOrDefault(entity, Map.of());
   }
 
-  /** Adds the keys of all machines' own rows and of all blocks. */
+  /** Adds the keys of all own rows of machines and of all blocks to the set. */
   void addKeysTo(Set<String> keys) {
     for (MachineRow row : rows.values()) {
       if (!row.isInBlock()) {
@@ -73,14 +75,14 @@
                 .forEach(number -> keys.add(StateSchema.blockKey(entity, number))));
   }
 
-  /** A machine is recorded by that row from now on. */
+  /** Sets the record of a machine, replacing a known one. */
   void put(MachineRow row) {
     removeFromEntity(rows.put(row.id(), row));
     terminatedMachines.invalidate(row.id());
     rowsByEntity.computeIfAbsent(row.entity(), entity -> new HashMap<>()).put(row.id(), row);
   }
 
-  /** The machine's record was removed. */
+  /** Removes the record of a machine and remembers the machine as terminated. */
   void remove(MachineId id) {
     MachineRow former = rows.remove(id);
     if (former != null) {
@@ -95,7 +97,7 @@
     }
   }
 
-  /** A block of an entity was written, or emptied. */
+  /** Applies a written block. A deleted block is passed as one without rows. */
   void putBlock(ControllerId entity, int number, MachineBlock block) {
     MachineBlock former =
         blocks.computeIfAbsent(entity, absent -> new TreeMap<>()).put(number, block);
@@ -114,7 +116,10 @@
     }
   }
 
-  /** A machine that has passed on has a row of its own by now, maybe read before the block. */
+  /**
+   * Returns whether the machine's known record is in this block. A transferred machine has a row of
+   * its own, which may have been read before the block's change.
+   */
   private boolean isRecordedIn(ControllerId entity, int number, MachineId id) {
     MachineRow known = rows.get(id);
     return known != null && known.block() == number && known.entity().equals(entity);
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -8,32 +8,37 @@
 import java.util.List;
 
 /**
- * This controller's membership of the cluster: what the others ask for its lease and for the
- * entities it owns. It makes and connects the parts that do the work, and runs the periodic check.
+ * This controller's membership of the cluster. The rest of the controller uses this class to access
+ * the controller lease and the owned entities. It creates and connects the classes of this package
+ * that do the work, and runs the periodic ownership check.
  *
- * <p>A controller may act for its entities while {@link #isLeaseValid()}: its lease was renewed by
- * a request <em>sent</em> less than the lease's time ago. A survivor can take an entity over only
- * by a transaction that demands the absence of the owner's liveness row, which the state service
- * removes no earlier than that. So at most one controller may act for an entity at any time.
+ * <p>A controller may act for its entities only while {@link #isLeaseValid()} returns true, that
+ * is, while the last successful grant or renewal request was <em>sent</em> less than the lease's
+ * time to live ago. A survivor can take an entity over only by a transaction on the condition that
+ * the owner's liveness row does not exist, and the state service does not remove that row earlier.
+ * Therefore at most one controller may act for an entity at any time.
  *
- * <p>Called on the event loop's thread. Nothing of it survives a crash: the rows in the state
- * service do, and the lease there runs out by itself.
+ * <p>Must be used on the event loop's thread. The state is lost in a crash, but the rows in the
+ * state service are kept. The lease of a crashed controller expires by itself.
  */
 public final class Membership {
   private static final double CHECK_INTERVAL_SECONDS = 0.25;
 
-  /** What happens to ownership, and what ownership asks of the rest of the controller. */
+  /** Receives ownership events, and answers questions of this package about the controller. */
   public interface Listener {
-    /** The entity is owned here from now on; its rows are still to be read. */
+    /** Called when this controller has acquired an entity, before the entity's rows are read. */
     void onEntityAcquired(OwnedEntity entity);
 
-    /** Another controller owns the entity, or may. */
+    /** Called when another controller owns the entity, or may own it. */
     void onEntityLost(OwnedEntity entity);
 
-    /** Common rows were read, or changed by a write of this controller's own. */
+    /** Called after common rows were read, or were changed by this controller's own write. */
     void onRowsChanged();
 
-    /** Whether this controller is partitioned from its workers, so that others are to own. */
+    /**
+     * Returns whether this controller is partitioned from its workers. Other controllers should
+     * then own the entities.
+     */
     boolean isCutOffFromWorkers();
 
     /** Asks the current owner of this controller's home entity to hand it back. */
@@ -53,7 +58,7 @@
   private final EntityFailover failover;
   private final EntityHandover handover;
 
-  /** Creates the membership of one controller, which does nothing before {@link #start}. */
+  /** Creates the membership of one controller. It is inactive until {@link #start} is called. */
   public Membership(
       Settings settings,
       EventLoop loop,
@@ -96,7 +101,7 @@
         new EntityHandover(store, clusterView, lease, succession, ownedEntities, rowsFollower);
   }
 
-  /** Acquires a lease and starts its periodic renewal and the check of ownership. */
+  /** Acquires a lease, and starts its periodic renewal and the periodic ownership check. */
   public void start() {
     failover.start();
     leaseRenewal.start();
@@ -114,83 +119,84 @@
     listener.onRowsChanged();
   }
 
-  /** Whether this controller is certainly entitled to act for the entities it owns. */
+  /** Returns whether the lease is certainly valid, so that the controller may act as an owner. */
   public boolean isLeaseValid() {
     return lease.isValid();
   }
 
-  /** For how many seconds the lease certainly stands; not positive if that is uncertain. */
+  /** Returns how many seconds the lease is certainly valid for; 0 or less if it is uncertain. */
   public double remainingLeaseSeconds() {
     return lease.remainingSeconds();
   }
 
   /**
-   * Whether workers' leases may be renewed: the controller's own lease is valid, or has been
-   * uncertain for less than the keep-alive grace period.
+   * Returns whether workers' leases may be renewed: the controller's own lease is valid, or has
+   * been uncertain for less than the keep-alive grace period.
    */
   public boolean mayKeepWorkersAlive() {
     return lease.isWithinKeepAliveGrace();
   }
 
-  /** Whether workers' leases may be renewed while the entity's rows are still being read. */
+  /** Returns whether workers' leases may be renewed while the entity's rows are being read. */
   public boolean mayRenewWhileLoading(OwnedEntity entity) {
     return leaseTiming.mayRenewWhileLoading(entity.row().history(), loop.wallMillis());
   }
 
-  /** The entity if it is owned here; null otherwise. */
+  /** Returns the entity if this controller owns it; null otherwise. */
   public OwnedEntity findOwnedEntity(ControllerId entity) {
     return ownedEntities.find(entity);
   }
 
-  /** This controller's home entity if it is owned here; null otherwise. */
+  /** Returns this controller's home entity if this controller owns it; null otherwise. */
   public OwnedEntity findHomeEntity() {
     return ownedEntities.find(settings.self());
   }
 
-  /** A snapshot of all entities that are owned here. */
+  /** Returns a snapshot of all entities that this controller owns. */
   public List<OwnedEntity> ownedEntities() {
     return ownedEntities.all();
   }
 
-  /** Common rows have changed by a write of this controller's own: notifies the listener. */
+  /** Notifies the listener that this controller's own write has changed common rows. */
   public void rowsChanged() {
     listener.onRowsChanged();
   }
 
   /**
-   * Reads all common rows afresh. To be called when a fenced transaction was refused: the entity
-   * may have moved.
+   * Reads all common rows again. Callers use this when a fenced transaction was refused, because
+   * the entity may have moved.
    */
   public void relist() {
     rowsFollower.relist();
   }
 
   /**
-   * Reads all common rows afresh, however long that takes.
+   * Reads all common rows again, and retries until it succeeds.
    *
-   * @param callback called once they were read by a listing that began after this call
+   * @param callback called once the rows were read by a listing that started after this call
    */
   public void relistThen(Runnable callback) {
     rowsFollower.relistThen(callback);
   }
 
   /**
-   * Hands an entity over to another controller, if the entity is active and both controllers'
-   * leases stand. No task is launched for it from here on.
+   * Starts to hand an entity over to another controller, if the entity is active and both
+   * controllers' leases are valid. No task is launched for it once the handover has started.
    */
   public void handBack(OwnedEntity entity, ControllerId newOwner) {
     handover.handOver(entity, newOwner);
   }
 
   /**
-   * A peer announced that it owns an entity under that version. Versions only grow, so a version
-   * above the one that is owned here is believed, without waiting for the row.
+   * Handles a peer's announcement that it owns an entity under the given version. Versions only
+   * grow, so the entity is given up if the announced version is higher than the owned one, without
+   * waiting for the entity's row.
    */
   public void onOwnershipAnnounced(ControllerId entity, Version version) {
     clusterView.recordAnnouncement(entity, version);
     OwnedEntity ownedEntity = ownedEntities.find(entity);
     if (ownedEntity != null && version.compareTo(ownedEntity.row().version()) > 0) {
-      ownedEntities.giveUp(ownedEntity, "a peer knows version " + version);
+      ownedEntities.giveUp(ownedEntity, "a peer announced the higher version " + version);
       relist();
     }
   }
--- a/src/main/java/io/violetrail/ownership/OwnedEntities.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntities.java
@@ -13,10 +13,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The entities that this controller owns, by the rows it has written or read. Whether it may act
- * for them at a moment is the lease's business.
+ * The entities that this controller owns according to the rows that it has written or read. Being
+ * listed here does not entitle the controller to act for an entity; that also requires a valid
+ * {@link ControllerLease}.
  *
- * <p>Used on the event loop's thread. Nothing of it survives a crash: the rows do.
+ * <p>Must be used on the event loop's thread. The list is lost in a crash, but the stored rows are
+ * not.
  */
 final class OwnedEntities {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedEntities.class);
@@ -47,17 +49,17 @@
     this.listener = listener;
   }
 
-  /** The entity if it is owned here; null otherwise. */
+  /** Returns the entity if this controller owns it; null otherwise. */
   OwnedEntity find(ControllerId entity) {
     return entitiesById.get(entity);
   }
 
-  /** A snapshot of all owned entities. */
+  /** Returns a snapshot of all owned entities. */
   List<OwnedEntity> all() {
     return List.copyOf(entitiesById.values());
   }
 
-  /** An entity is owned here from now on, under a row that was read or written. */
+  /** Adds an entity whose row, as read or written, names this controller; notifies the listener. */
   void startOwning(EntityRow row, boolean acquiredGracefully) {
     clusterView.apply(
         new RowChange(
@@ -70,7 +72,7 @@
             loop, store, clusterView, rowsFollower, settings.stateStoreLimits(), entity));
     entitiesById.put(row.entity(), entity);
     LOG.info(
-        "entity {} owned with version {} since revision {}; {}",
+        "started to own entity {} with version {} at revision {}; {}",
         row.entity(),
         row.version(),
         row.modRevision(),
@@ -79,9 +81,10 @@
   }
 
   /**
-   * Gives up an entity that another controller owns by now; does nothing if it was given up before.
+   * Gives up an entity that another controller owns or may own, and notifies the listener. Does
+   * nothing if this instance has already been given up.
    *
-   * @param reason for the log
+   * @param reason the reason to log
    */
   void giveUp(OwnedEntity entity, String reason) {
     if (!entitiesById.remove(entity.id(), entity)) {
@@ -89,7 +92,7 @@
     }
     entity.markLost();
     LOG.info(
-        "entity {} version {} given up: {}; {}",
+        "gave up entity {} with version {}: {}; {}",
         entity.id(),
         entity.row().version(),
         reason,
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -19,38 +19,45 @@
 import java.util.Map;
 
 /**
- * An entity while this controller owns it: its jobs, machines and placements as known here.
+ * The in-memory state of an entity that this controller owns: its open jobs, machines and task
+ * placements. An entity is a shard of the cluster's jobs and machines, with one owner at a time.
+ * Its version is an epoch that grows with every change of owner and serves as a fencing token.
  *
- * <p>Its life begins with the transaction by which it came here and goes through the {@link Phase}s
- * in their order; a handover that is refused leads back to {@code ACTIVE}. An entity that comes
- * here once more is a new object with a new row. These always hold:
+ * <p>An instance is created when the entity's stored row names this controller as the owner. It
+ * goes through the {@link Phase}s in their order, and can become {@code LOST} in any phase. If a
+ * handover is refused, the instance returns from {@code RELEASING} to {@code ACTIVE}. If this
+ * controller acquires the same entity again later, it creates a new instance with a new row.
+ *
+ * <p>The following invariants hold:
  *
  * <ul>
- *   <li>The row never changes, so its version stands in every fencing token, and its revision in
- *       every {@link #fencedTransaction}: no write of an object that is out of date is applied.
- *   <li>The phase says what may be decided, not whether this controller is entitled to it: that is
- *       the lease's business, and both must be asked.
- *   <li>A placement is known to its job and its machine alike, and is counted once against its
- *       team's limit from {@link #addPlacement} to {@link #removePlacement}.
+ *   <li>The row of an instance never changes. Its version is a lower bound of every fencing token
+ *       that the instance issues, and every {@link #fencedTransaction} requires the row's revision.
+ *       The state service therefore refuses the fenced transactions of an outdated instance.
+ *   <li>The phase determines which decisions can be made for the entity, but it does not show
+ *       whether this controller may still act as the owner. That requires a valid controller lease
+ *       ({@link Membership#isLeaseValid}). Callers must check both.
+ *   <li>A placement is registered with both its job and its machine. It is counted exactly once
+ *       against its team's limit, from {@link #addPlacement} to {@link #removePlacement}.
  * </ul>
  *
- * <p>Used on the event loop's thread. Nothing of it survives a crash: the next owner reads the
- * stored rows and learns the rest from the workers' heartbeats.
+ * <p>Must be used on the event loop's thread. The state is lost in a crash: the next owner reads
+ * the stored rows and learns the rest from the workers' heartbeats.
  */
 public final class OwnedEntity {
-  /** How far it is between the move to this controller and the next one. */
+  /** The stages of an entity's ownership by this controller. */
   public enum Phase {
-    /** Its rows are being read; nothing is decided for it. */
+    /** The entity's rows are being read. No decisions are made for the entity. */
     LOADING,
-    /** It is led from here. */
+    /** This controller makes the decisions for the entity while its lease is valid. */
     ACTIVE,
-    /** It is being handed over; nothing is launched for it any more. */
+    /** The entity is being handed over to another controller. No more tasks are launched. */
     RELEASING,
-    /** Another controller owns it, or may. */
+    /** Another controller owns the entity, or may own it. */
     LOST
   }
 
-  /** Above any number of attempts that an owner starts under one version. */
+  /** Greater than the number of task attempts that an owner ever starts under one version. */
   private static final long MAX_ATTEMPTS_PER_VERSION = 1_000_000;
 
   private final EntityRow row;
@@ -64,22 +71,21 @@
 
   private final PlacementUsage placementUsage = new PlacementUsage();
 
-  /** Whether each of its machines has reported since the move, or is known to have no tasks. */
   private boolean machinesReconciled;
 
-  /** The writer of its machines' records; set once, right after construction. */
+  /** Set once, right after construction. */
   private MachineRecords machineRecords;
 
   private long attemptCount;
   private long scaleOutRequestCount;
 
   /**
-   * Creates the state of an entity that this controller owns from now on.
+   * Creates the state of an entity that this controller has just acquired.
    *
-   * @param row the row under which it is owned here
-   * @param acquiredGracefully whether the previous owner released the entity itself
+   * @param row the stored row that names this controller as the owner
+   * @param acquiredGracefully whether the previous owner handed the entity over, or there was none
    * @param nowSeconds steady clock reading, in seconds
-   * @throws IllegalArgumentException if the row's version is no fencing token
+   * @throws IllegalArgumentException if the row's version is too low to serve as a fencing token
    */
   public OwnedEntity(EntityRow row, boolean acquiredGracefully, double nowSeconds) {
     row.version().requireToken();
@@ -88,70 +94,72 @@
     this.acquiredAtSeconds = nowSeconds;
   }
 
-  /** The row under which it is owned here. */
+  /** Returns the stored row of this ownership, with its version and revision. */
   public EntityRow row() {
     return row;
   }
 
   /**
-   * Whether its former owner handed it over, or there was none. Otherwise it was taken over after
-   * lease expiry, and that owner may still keep workers' leases alive for the grace period.
+   * Returns whether the previous owner handed the entity over, or there was no previous owner.
+   * Otherwise the entity was taken over after lease expiry, and the previous owner may still renew
+   * workers' leases during its keep-alive grace period.
    */
   public boolean acquiredGracefully() {
     return acquiredGracefully;
   }
 
-  /** When it was acquired, in seconds of the steady clock. */
+  /** Returns when this controller acquired the entity, in seconds of the steady clock. */
   public double acquiredAtSeconds() {
     return acquiredAtSeconds;
   }
 
-  /** How far it is between the move to this controller and the next one. */
   public Phase phase() {
     return phase;
   }
 
-  /** Whether decisions are made for it here, as far as the lease allows. */
+  /** Returns whether the phase is {@code ACTIVE}. Acting also requires a valid lease. */
   public boolean isActive() {
     return phase == Phase.ACTIVE;
   }
 
   /**
-   * Its rows were read: it is led from here.
+   * Moves the entity from {@code LOADING} to {@code ACTIVE}, after its rows have been read.
    *
-   * @throws IllegalStateException unless its rows were being read
+   * @throws IllegalStateException if the phase is not {@code LOADING}
    */
   public void activate() {
     requirePhase(Phase.LOADING);
     phase = Phase.ACTIVE;
   }
 
-  /** Its handover begins. */
+  /** Moves the entity from {@code ACTIVE} to {@code RELEASING}, at the start of a handover. */
   void startRelease() {
     requirePhase(Phase.ACTIVE);
     phase = Phase.RELEASING;
   }
 
   /**
-   * Its handover was refused, though its row had not changed. This does not check the phase: the
-   * entity may have been given up meanwhile, and then is no longer among the owned ones.
+   * Returns the entity to {@code ACTIVE} after the handover transaction was refused although the
+   * entity's row had not changed. The phase is not checked: the entity may have been given up in
+   * the meantime, but then this instance is no longer among the owned entities.
    */
   void releaseFailed() {
     phase = Phase.ACTIVE;
   }
 
-  /** Another controller owns it, or may; possible in every phase. */
+  /** Moves the entity to {@code LOST}, from any phase. */
   void markLost() {
     phase = Phase.LOST;
   }
 
   private void requirePhase(Phase required) {
     if (phase != required) {
-      throw new IllegalStateException("entity " + id() + " is " + phase + ", not " + required);
+      throw new IllegalStateException(
+          "entity " + id() + " must be " + required + " but is " + phase);
     }
   }
 
-  /** Its open jobs; not to be changed. */
+  /** Returns an unmodifiable view of the open jobs. */
   public Map<JobId, Job> jobs() {
     return jobsView;
   }
@@ -161,22 +169,21 @@
     jobs.put(job.spec().id(), job);
   }
 
-  /** Adds an open job unless it is here already. */
+  /** Adds an open job unless the entity already has a job with the same id. */
   public void addJobIfAbsent(Job job) {
     jobs.putIfAbsent(job.spec().id(), job);
   }
 
-  /** Removes a job that is over. */
+  /** Removes a job that has ended. */
   public void removeJob(Job job) {
     jobs.remove(job.spec().id(), job);
   }
 
-  /** Its machines as known here; not to be changed. */
+  /** Returns an unmodifiable view of the entity's machines. */
   public Map<MachineId, Machine> machines() {
     return machinesView;
   }
 
-  /** Adds a machine. */
   public void addMachine(Machine machine) {
     machines.put(machine.id(), machine);
   }
@@ -186,62 +193,64 @@
     machines.remove(machine.id(), machine);
   }
 
-  /** Removes all machines. */
   public void removeAllMachines() {
     machines.clear();
   }
 
-  /** Whether each of its machines has reported since the move, or is known to have no tasks. */
+  /**
+   * Returns whether every machine has reported since this controller acquired the entity, or is
+   * known to have no tasks.
+   */
   public boolean machinesReconciled() {
     return machinesReconciled;
   }
 
-  /** Each of its machines has reported since the move, or is known to have no tasks. */
+  /** Records that the condition of {@link #machinesReconciled()} holds. */
   public void markMachinesReconciled() {
     machinesReconciled = true;
   }
 
-  /** The writer of its machines' records. */
+  /** Returns the writer of the stored records of this entity's machines. */
   public MachineRecords machineRecords() {
     return machineRecords;
   }
 
-  /** Connects it with the writer of its machines' records, which needs this object itself. */
+  /** Sets the writer of the machine records. Its constructor needs this instance. */
   void setMachineRecords(MachineRecords records) {
     machineRecords = records;
   }
 
-  /** The entity's id, which is that of its home controller. */
+  /** Returns the entity's id, which is the id of its home controller. */
   public ControllerId id() {
     return row.entity();
   }
 
-  /** The fencing token for a machine's worker. */
+  /** Returns the fencing token for a machine's worker, as {@link #fencingToken} does. */
   public Version fencingTokenFor(Machine machine) {
     return fencingToken(machine.row());
   }
 
-  /** The fencing token for the worker of a machine: the higher of this version and its term. */
+  /** Returns the fencing token for a machine's worker: the higher of this version and its term. */
   public Version fencingToken(MachineRow machine) {
     return row.version().compareTo(machine.term()) >= 0 ? row.version() : machine.term();
   }
 
-  /** A transaction that applies only while this version of the entity stands. */
+  /** Returns a new transaction that is applied only if the entity's row has not changed. */
   public Transaction fencedTransaction() {
     return new Transaction().ifRevision(StateSchema.entityKey(id()), row.modRevision());
   }
 
-  /** An attempt number that no owner has used before: it begins with the version. */
+  /** Returns an attempt number that no owner has used before. It is prefixed by the version. */
   public long nextAttemptId() {
     return row.version().value() * MAX_ATTEMPTS_PER_VERSION + ++attemptCount;
   }
 
-  /** A name that no owner has used before for a scale-out request. */
+  /** Returns a scale-out request id that no owner has used before. */
   public String nextScaleOutRequestId() {
     return id() + "-" + row.version() + "-" + ++scaleOutRequestCount;
   }
 
-  /** Whether some machine may have tasks that this controller does not know of. */
+  /** Returns whether any machine may hold tasks that have not been reported to this controller. */
   public boolean hasUncertainMachine(double nowSeconds) {
     for (Machine machine : machines.values()) {
       if (machine.mayHoldUnreportedTasks(nowSeconds)) {
@@ -252,8 +261,9 @@
   }
 
   /**
-   * What a team's tasks may be using at most. Unknown tasks, and machines that may have tasks that
-   * were not reported, count in full for every team: nobody can say whose tasks those are.
+   * Returns an upper bound of the resources that a team's tasks use. Unknown tasks, and the whole
+   * capacity of machines that may hold unreported tasks, are counted for every team, because their
+   * team is not known.
    */
   public Resources usageOf(String team, double nowSeconds) {
     Resources total = placementUsage.usageOf(team);
@@ -268,23 +278,25 @@
     return total;
   }
 
-  /** Whether any task of a lower priority is placed. */
+  /** Returns whether any placed task has a lower priority than the given one. */
   public boolean hasPlacedTaskBelow(Priority priority) {
     return placementUsage.hasTaskBelow(priority);
   }
 
   /**
-   * Records a placement and counts its resources against the team's limits.
+   * Registers a placement with its job and machine, and counts its resources against the team's
+   * limits.
    *
-   * @throws IllegalStateException if the placement is counted already
+   * @throws IllegalStateException if the placement is already counted
    */
   public void addPlacement(TaskPlacement placement) {
     if (placement.countedAsUsed()) {
-      throw new IllegalStateException(placement.taskId() + " is placed twice");
+      throw new IllegalStateException(
+          "placement of task " + placement.taskId() + " has already been added");
     }
     TaskPlacement former = placement.job().findPlacement(placement.taskIndex());
     if (former != null) {
-      // Reported by another machine than was assumed: the older placement no longer counts.
+      // A different machine than assumed has reported the task. Stop counting the old placement.
       placementUsage.subtract(former);
     }
     placement.job().addPlacement(placement);
@@ -293,8 +305,9 @@
   }
 
   /**
-   * Removes a placement, on evidence that the task is gone. The job keeps a record of the departure
-   * unless the task was never sent or its end no longer matters.
+   * Removes a placement, given the evidence that the task no longer runs on the machine. The job
+   * keeps a record of the departure, unless the launch was never sent, the job is no longer open or
+   * the task is done. A finished job is removed with its last placement.
    */
   public void removePlacement(
       TaskPlacement placement, double nowSeconds, TerminationEvidence evidence) {
@@ -323,8 +336,9 @@
   }
 
   /**
-   * Best-effort work does not keep an ordinary machine rented: its idle time begins when the last
-   * task of another kind leaves. A spot machine's begins when it is empty.
+   * Removes the placement from its machine and starts the machine's idle time if necessary.
+   * Best-effort tasks do not keep an on-demand machine rented, so its idle time starts when its
+   * last task of another kind is removed. The idle time of a spot machine starts when it is empty.
    */
   private static void removeFromMachine(TaskPlacement placement, double nowSeconds) {
     Machine machine = placement.machine();
--- a/src/main/java/io/violetrail/ownership/PlacementUsage.java
+++ b/src/main/java/io/violetrail/ownership/PlacementUsage.java
@@ -7,15 +7,16 @@
 import java.util.Map;
 
 /**
- * What an entity's placements use, kept up to date with each of them rather than summed up for each
- * decision. A placement is counted once, however often it is added.
+ * The resources that an entity's placements use, by team. The totals are updated with each
+ * placement instead of being summed up for each decision. A placement is counted only once, even if
+ * it is added several times.
  *
  * <p>Used by {@link OwnedEntity} on the event loop's thread.
  */
 final class PlacementUsage {
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
 
-  /** How many tasks of each priority are placed, so that none is looked for in vain. */
+  /** Placed tasks by priority ordinal, to skip searches for priorities without placed tasks. */
   private final int[] placedCountByPriority = new int[Priority.values().length];
 
   private static final class TeamUsage {
@@ -29,13 +30,13 @@
     }
   }
 
-  /** What the team's placed tasks use. */
+  /** Returns the resources that the team's placed tasks use. */
   Resources usageOf(String team) {
     TeamUsage usage = usageByTeam.get(team);
     return usage == null ? Resources.NONE : usage.total;
   }
 
-  /** Whether any task of a lower priority is placed. */
+  /** Returns whether any placed task has a lower priority than the given one. */
   boolean hasTaskBelow(Priority priority) {
     for (int ordinal = priority.ordinal() + 1; ordinal < placedCountByPriority.length; ordinal++) {
       if (placedCountByPriority[ordinal] > 0) {
@@ -45,14 +46,14 @@
     return false;
   }
 
-  /** Counts a placement, unless it is counted already. */
+  /** Counts a placement unless it is already counted. */
   void add(TaskPlacement placement) {
     if (!placement.countedAsUsed()) {
       count(placement, 1);
     }
   }
 
-  /** Counts a placement no longer, if it is counted. */
+  /** Stops counting a placement if it is counted. */
   void subtract(TaskPlacement placement) {
     if (placement.countedAsUsed()) {
       count(placement, -1);
--- a/src/main/java/io/violetrail/ownership/RecordChangeRefusedException.java
+++ b/src/main/java/io/violetrail/ownership/RecordChangeRefusedException.java
@@ -4,24 +4,24 @@
 import io.violetrail.model.MachineId;
 
 /**
- * A machine's record was not changed as asked: nothing may rest on the change. Many are made at
- * once when an entity is lost.
+ * Thrown if a requested change of a machine's record was refused. The caller must not rely on the
+ * change. Many instances may be created at once when an entity is lost.
  */
 public final class RecordChangeRefusedException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
   /** Why the record was not changed. */
   public enum Reason {
-    /** Another entity has the machine, or this one has it no more. */
-    OWNED_ELSEWHERE("it is not this entity's machine"),
+    /** Another entity owns the machine, or this entity no longer owns it. */
+    OWNED_ELSEWHERE("the machine does not belong to this entity"),
     /** The record has changed since it was read. */
-    RECORD_CHANGED("its record has changed"),
-    /** Its entity, or the one that it was to pass to, has moved to another owner. */
-    ENTITY_MOVED("an entity has moved"),
-    /** Its entity was lost before the change was written. */
-    ENTITY_LOST("the entity is not owned here any more"),
-    /** Too many changes wait already: the caller is to come back later. */
-    OVERLOADED("too many changes wait");
+    RECORD_CHANGED("the record has changed since it was read"),
+    /** The machine's entity, or the target entity of a transfer, has moved to another owner. */
+    ENTITY_MOVED("the machine's entity or the target entity has moved to another owner"),
+    /** This controller lost the machine's entity before the change was written. */
+    ENTITY_LOST("this controller no longer owns the machine's entity"),
+    /** The queue of pending changes is full. The caller may retry later. */
+    OVERLOADED("too many machine record changes are pending; retry later");
 
     private final String description;
 
@@ -34,17 +34,16 @@
   private final Reason reason;
 
   RecordChangeRefusedException(MachineId machine, Reason reason) {
-    super(machine + ": " + reason.description);
+    super("record of machine " + machine + " was not changed: " + reason.description);
     this.machine = machine;
     this.reason = reason;
   }
 
-  /** The machine whose record was to change. */
+  /** Returns the machine whose record was not changed. */
   public MachineId machine() {
     return machine;
   }
 
-  /** Why the record was not changed. */
   public Reason reason() {
     return reason;
   }
--- a/src/main/java/io/violetrail/ownership/StateSchema.java
+++ b/src/main/java/io/violetrail/ownership/StateSchema.java
@@ -12,38 +12,44 @@
 import java.util.Map;
 
 /**
- * Keys and values of the rows in the state service, and nothing else knows their format. The common
- * rows, which all controllers watch, lie under {@link #COMMON_PREFIX}.
+ * Defines the keys and the value formats of the rows in the state service. No other class depends
+ * on these formats. All controllers watch the common rows, which are those under {@link
+ * #COMMON_PREFIX}.
  *
- * <p>Rows outlive every process and every release: a decoder takes a field that an earlier release
- * did not write as 0, false or empty.
+ * <p>Rows are kept across restarts and upgrades. If an earlier release did not write a field, the
+ * decoders read it as 0, false or empty.
  */
 public final class StateSchema {
-  /** Before the keys of all rows that every controller watches. */
+  /** Key prefix of all rows that every controller watches. */
   public static final String COMMON_PREFIX = "c/";
 
-  /** Before a controller's id: its {@link LivenessRow}, which its lease keeps. */
+  /** Key prefix of the {@link LivenessRow}s, followed by the controller's id. */
   public static final String LIVENESS_PREFIX = COMMON_PREFIX + "alive/";
 
-  /** Before an entity's id: its {@link EntityRow}. */
+  /** Key prefix of the {@link EntityRow}s, followed by the entity's id. */
   public static final String ENTITY_PREFIX = COMMON_PREFIX + "entity/";
 
-  /** Before the id of a machine whose {@link MachineRow} stands alone. */
+  /**
+   * Key prefix of the {@link MachineRow}s that are not in a block, followed by the machine's id.
+   */
   public static final String MACHINE_PREFIX = COMMON_PREFIX + "machine/";
 
-  /** Before an entity's id and a number: a block of its machines' rows. */
+  /** Key prefix of the blocks of machine records, followed by the entity's id and a number. */
   public static final String BLOCK_PREFIX = COMMON_PREFIX + "block/";
 
-  /** Before a team's name: the quota shares that its limit is divided into. */
+  /** Key prefix of the shares that a team's quota is divided into, followed by the team's name. */
   public static final String QUOTA_SHARE_PREFIX = COMMON_PREFIX + "slice/";
 
-  /** Rewritten with every addition to any block, so that no two entities add the same machine. */
+  /**
+   * Key of the row that every addition of a machine to any block rewrites, so that no two entities
+   * add the same machine.
+   */
   public static final String MACHINE_ADDITIONS_KEY = COMMON_PREFIX + "intake";
 
-  /** The machine types that the cloud offers. */
+  /** Key of the row of the machine types that the cloud offers. */
   public static final String MACHINE_TYPES_KEY = COMMON_PREFIX + "types";
 
-  /** Says which revision of the configuration is in force; absent while that is the file. */
+  /** Key of the row that names the active configuration; absent while the file is active. */
   public static final String CONFIGURATION_KEY = COMMON_PREFIX + "config";
 
   private static final String JOB_PREFIX = "job/";
@@ -52,7 +58,7 @@
   private static final String PROGRESS_PREFIX = "progress/";
   private static final String SCALE_OUT_REQUEST_PREFIX = "hire/";
 
-  // Places in the list that a block has for each of its machines.
+  // Positions in the list of fields that a block holds for each machine.
   private static final int BLOCK_FIELD_TYPE = 0;
   private static final int BLOCK_FIELD_ZONE = 1;
   private static final int BLOCK_FIELD_SPOT = 2;
@@ -63,10 +69,11 @@
   private StateSchema() {}
 
   /**
-   * A controller whose lease stands.
+   * A controller that is alive. The row is attached to the controller's lease and is removed when
+   * the lease expires.
    *
-   * @param tokenInEveryReply whether its program gives workers no answer without a token; earlier
-   *     releases did, and some workers' leases were renewed by that
+   * @param tokenInEveryReply whether every reply of the controller to a worker carries a fencing
+   *     token; earlier releases also sent replies without one, and these renew some workers' leases
    * @param modRevision the row's revision
    */
   public record LivenessRow(boolean tokenInEveryReply, long modRevision) {}
@@ -74,10 +81,11 @@
   /**
    * An entity and its owner.
    *
-   * @param version grows with every move; its remainder is the owner's index in the settings
-   * @param acquiredGracefully handed over by its former owner, or new, rather than taken over after
-   *     lease expiry
-   * @param modRevision the row's revision; 0 while it is still to be written
+   * @param version the entity's epoch, which grows with every change of owner; its remainder is the
+   *     owner's index in the settings
+   * @param acquiredGracefully whether the former owner handed the entity over, or there was none;
+   *     false after a failover
+   * @param modRevision the row's revision; 0 if the row has not been written yet
    */
   public record EntityRow(
       ControllerId entity,
@@ -85,36 +93,38 @@
       boolean acquiredGracefully,
       OwnershipHistory history,
       long modRevision) {
-    /** The same as written at that revision. */
+    /** Returns a copy with the revision at which the row was written. */
     public EntityRow withModRevision(long newModRevision) {
       return new EntityRow(entity, version, acquiredGracefully, history, newModRevision);
     }
   }
 
   /**
-   * What an entity's next owner must know of its former ones, in times of day.
+   * What the next owner of an entity must know about the former owners, in milliseconds of the wall
+   * clock.
    *
-   * @param jobsUnknownSinceMillis since then, workers' leases may have been renewed by owners that
-   *     did not know yet which jobs were over
-   * @param lastFailoverAtMillis when it was last taken over after lease expiry; the owner that it
-   *     was taken from may have used its grace period from then on
+   * @param jobsUnknownSinceMillis the time since which workers' leases may have been renewed by
+   *     owners that did not know yet which jobs had ended
+   * @param lastFailoverAtMillis the time of the last failover; the owner that lost the entity may
+   *     have renewed workers' leases from then on, for its keep-alive grace period
    */
   public record OwnershipHistory(long jobsUnknownSinceMillis, long lastFailoverAtMillis) {
-    /** That of an entity that nobody has owned. */
+    /** The history of an entity that has had no owner. */
     public static final OwnershipHistory NONE = new OwnershipHistory(0, 0);
   }
 
   /**
-   * A machine of an entity.
+   * The record of a machine that belongs to an entity.
    *
-   * @param type name of its machine type
-   * @param hasReported it has reported, so it may have tasks
-   * @param term the lowest fencing token its worker may be commanded under, raised when it passes
-   *     from entity to entity
-   * @param rentedAtMillis when it was requested, in time of day
-   * @param modRevision the revision of its own row or of its block; 0 while it is to be written
-   * @param block the number of the block that has its record, or {@link #NOT_IN_BLOCK} if it has a
-   *     row of its own
+   * @param type name of the machine type
+   * @param hasReported whether the machine has reported, and may therefore have tasks
+   * @param term the lowest fencing token for commands to the machine's worker; it is raised when
+   *     the machine is transferred to another entity or its worker has seen a higher token
+   * @param rentedAtMillis when the machine was requested, in milliseconds of the wall clock
+   * @param modRevision the revision of the machine's own row or of its block; 0 if the record has
+   *     not been written yet
+   * @param block the number of the block that holds the record, or {@link #NOT_IN_BLOCK} if the
+   *     machine has a row of its own
    */
   public record MachineRow(
       MachineId id,
@@ -127,10 +137,10 @@
       long rentedAtMillis,
       long modRevision,
       int block) {
-    /** Instead of a block's number. */
+    /** The value of {@code block} if the machine has a row of its own. */
     public static final int NOT_IN_BLOCK = -1;
 
-    /** A row that is still to be written. */
+    /** Creates a record that has not been written yet. */
     public MachineRow(
         MachineId id,
         ControllerId entity,
@@ -143,12 +153,11 @@
       this(id, entity, type, zone, spot, hasReported, term, rentedAtMillis, 0, NOT_IN_BLOCK);
     }
 
-    /** Whether it is recorded in a block. */
     public boolean isInBlock() {
       return block != NOT_IN_BLOCK;
     }
 
-    /** The same in a block. */
+    /** Returns a copy that is in the given block. */
     public MachineRow withBlock(int blockNumber) {
       return new MachineRow(
           id,
@@ -163,97 +172,91 @@
           blockNumber);
     }
 
-    /** The same under another term. */
+    /** Returns a copy with another term. */
     public MachineRow withTerm(Version newTerm) {
       return new MachineRow(
           id, entity, type, zone, spot, hasReported, newTerm, rentedAtMillis, modRevision, block);
     }
 
-    /** The same, having reported. */
+    /** Returns a copy that is marked as having reported. */
     public MachineRow withReported() {
       return new MachineRow(
           id, entity, type, zone, spot, true, term, rentedAtMillis, modRevision, block);
     }
 
-    /** The row, still to be written, by which it passes to another entity. */
+    /** Returns the row to be written to transfer the machine to another entity. */
     public MachineRow transferredTo(ControllerId newEntity, Version newTerm) {
       return new MachineRow(
           id, newEntity, type, zone, spot, hasReported, newTerm, rentedAtMillis, 0, NOT_IN_BLOCK);
     }
 
-    /** The same as written at that revision. */
+    /** Returns a copy with the revision at which the record was written. */
     public MachineRow withModRevision(long newModRevision) {
       return new MachineRow(
           id, entity, type, zone, spot, hasReported, term, rentedAtMillis, newModRevision, block);
     }
   }
 
-  /** The key of a controller's liveness row. */
   public static String livenessKey(ControllerId controller) {
     return LIVENESS_PREFIX + controller;
   }
 
-  /** The key of an entity's row. */
   public static String entityKey(ControllerId entity) {
     return ENTITY_PREFIX + entity;
   }
 
-  /** The key of the row of a machine that is in no block. */
+  /** Returns the key of a machine's own row, which exists if the machine is not in a block. */
   public static String machineKey(MachineId machine) {
     return MACHINE_PREFIX + machine;
   }
 
-  /** The key of a job's own row. */
   public static String jobKey(JobId job) {
     return JOB_PREFIX + job;
   }
 
-  /** Before the keys of an entity's open-job segments: what its open jobs are to run. */
+  /** Returns the key prefix of an entity's open-job segments, which hold its open jobs' specs. */
   public static String openJobPrefix(ControllerId entity) {
     return OPEN_JOB_PREFIX + entity + "/";
   }
 
-  /** The key of one of an entity's open-job segments. */
   public static String openJobSegmentKey(ControllerId entity, int number) {
     return openJobPrefix(entity) + number;
   }
 
-  /** The key of a finished-job segment: how jobs of an entity ended. */
+  /** Returns the key of a finished-job segment, which records how jobs of an entity ended. */
   public static String finishedJobSegmentKey(ControllerId entity, String name) {
     return FINISHED_JOB_PREFIX + entity + "/" + name;
   }
 
-  /** Before the keys of the progress of an entity's jobs. */
+  /** Returns the key prefix of the rows with the progress of an entity's jobs. */
   public static String progressPrefix(ControllerId entity) {
     return PROGRESS_PREFIX + entity + "/";
   }
 
-  /** The key of one of an entity's progress rows. */
   public static String progressKey(ControllerId entity, int slot) {
     return progressPrefix(entity) + slot;
   }
 
-  /** Before the keys of an entity's scale-out requests. */
   public static String scaleOutRequestPrefix(ControllerId entity) {
     return SCALE_OUT_REQUEST_PREFIX + entity + "/";
   }
 
-  /** The controller whose liveness row has that key. */
+  /** Returns the controller whose liveness row has the given key. */
   static ControllerId controllerOfLiveness(String key) {
     return new ControllerId(key.substring(LIVENESS_PREFIX.length()));
   }
 
-  /** The entity whose row has that key. */
+  /** Returns the entity whose row has the given key. */
   static ControllerId entityOf(String key) {
     return new ControllerId(key.substring(ENTITY_PREFIX.length()));
   }
 
-  /** The machine whose own row has that key. */
+  /** Returns the machine whose own row has the given key. */
   static MachineId machineOf(String key) {
     return new MachineId(key.substring(MACHINE_PREFIX.length()));
   }
 
-  /** Encodes what this program says of itself while its lease stands. */
+  /** Encodes the liveness row of a controller of this release. */
   public static ObjectNode encodeLiveness(String zone) {
     return Cbor.newMap().put("zone", zone).put("token_in_every_answer", true);
   }
@@ -263,7 +266,7 @@
     return new LivenessRow(value.path("token_in_every_answer").asBoolean(), modRevision);
   }
 
-  /** Encodes an entity's record; {@code owner} is the owning controller. */
+  /** Encodes an entity's row; {@code owner} is the id of the owning controller. */
   public static ObjectNode encode(EntityRow row, String owner) {
     return Cbor.newMap()
         .put("owner", owner)
@@ -273,10 +276,7 @@
         .put("seized", row.history().lastFailoverAtMillis());
   }
 
-  /**
-   * Decodes the record of the entity that the key names; {@code modRevision} is the record's
-   * revision.
-   */
+  /** Decodes the row of the entity that the key names; {@code modRevision} is its revision. */
   public static EntityRow decodeEntity(String key, JsonNode value, long modRevision) {
     return new EntityRow(
         entityOf(key),
@@ -286,7 +286,7 @@
         modRevision);
   }
 
-  /** Encodes a machine's record; its key and place of storage are not part of the value. */
+  /** Encodes a machine's own row. The value does not contain the id, the revision or the block. */
   public static ObjectNode encode(MachineRow row) {
     return Cbor.newMap()
         .put("entity", row.entity().value())
@@ -298,10 +298,7 @@
         .put("rented", row.rentedAtMillis());
   }
 
-  /**
-   * Decodes a machine that is stored in a record of its own; {@code modRevision} is the record's
-   * revision.
-   */
+  /** Decodes a machine's own row; {@code modRevision} is the row's revision. */
   public static MachineRow decodeMachine(String key, JsonNode value, long modRevision) {
     return new MachineRow(
         machineOf(key),
@@ -316,12 +313,14 @@
         MachineRow.NOT_IN_BLOCK);
   }
 
-  /** The key of one of an entity's blocks. */
   public static String blockKey(ControllerId entity, int number) {
     return BLOCK_PREFIX + entity + "/" + number;
   }
 
-  /** Encodes a block: its machines by id, each as a list, since field names would double it. */
+  /**
+   * Encodes a block as a map from machine id to a list of fields. With field names for each machine
+   * a block would be twice as large.
+   */
   public static ObjectNode encode(Collection<MachineRow> rows) {
     ObjectNode value = Cbor.newMap();
     for (MachineRow row : rows) {
@@ -338,7 +337,7 @@
   }
 
   /**
-   * Decodes the machines of the block that the key names; {@code modRevision} is the block's
+   * Decodes the machine records of the block that the key names; {@code modRevision} is the block's
    * revision.
    */
   public static Map<MachineId, MachineRow> decodeBlock(
@@ -366,12 +365,12 @@
     return rows;
   }
 
-  /** The entity whose block has that key. */
+  /** Returns the entity whose block has the given key. */
   public static ControllerId entityOfBlock(String key) {
     return new ControllerId(key.substring(BLOCK_PREFIX.length(), key.lastIndexOf('/')));
   }
 
-  /** The number of the block with that key. */
+  /** Returns the number of the block with the given key. */
   public static int numberOfBlock(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
--- a/src/test/java/io/violetrail/evidence/EvidenceLogTest.java
+++ b/src/test/java/io/violetrail/evidence/EvidenceLogTest.java
@@ -36,16 +36,16 @@
   }
 
   @Test
-  void endReportedByTheWorkerIsCountedAndNotLogged() {
-    TaskDeparture ended =
+  void startAfterEndReportedByTheWorkerIsCountedAndNotLogged() {
+    TaskDeparture reportedEnd =
         new TaskDeparture(new MachineId("vm-1"), 7, TerminationEvidence.REPORTED_ENDED, 90, 90);
-    evidenceLog.recordStartElsewhere(TASK, 8, new MachineId("vm-2"), ended);
+    evidenceLog.recordStartElsewhere(TASK, 8, new MachineId("vm-2"), reportedEnd);
     assertEquals(List.of(), lines);
     assertEquals(1, evidenceLog.startElsewhereCount(TerminationEvidence.REPORTED_ENDED));
   }
 
   @Test
-  void logLinesAreRateLimitedAndCountersComplete() {
+  void logLinesAreRateLimitedAndCountersAreComplete() {
     for (int i = 0; i < 1_000; i++) {
       logStartElsewhere();
     }
--- a/src/test/java/io/violetrail/ownership/StateSchemaTest.java
+++ b/src/test/java/io/violetrail/ownership/StateSchemaTest.java
@@ -17,7 +17,7 @@
 import io.violetrail.wire.Cbor;
 import org.junit.jupiter.api.Test;
 
-/** Rows of earlier programs, and rows that say less than they should. */
+/** Decoding of rows that earlier releases wrote, and of rows with missing fields. */
 class StateSchemaTest {
   private static final String KEY = StateSchema.ENTITY_PREFIX + "c0";
   private static final long NOW_MS = 1_700_000_000_000L;
@@ -27,19 +27,21 @@
   }
 
   @Test
-  void entityCannotBeOwnedUnderVersionThatIsNoToken() {
-    EntityRow absent = entityRow(Cbor.newMap().put("owner", "c0"));
-    EntityRow earlier = entityRow(Cbor.newMap().put("owner", "c0").put("version", 0));
+  void rowsWithVersionsBelowFirstFencingTokenCannotBeOwned() {
+    EntityRow withoutVersion = entityRow(Cbor.newMap().put("owner", "c0"));
+    EntityRow firstVersionOfEarlierRelease =
+        entityRow(Cbor.newMap().put("owner", "c0").put("version", 0));
     EntityRow handedOver = entityRow(Cbor.newMap().put("owner", "c2").put("version", 2));
-    assertEquals(Version.NONE, absent.version());
-    for (EntityRow row : new EntityRow[] {absent, earlier, handedOver}) {
+    assertEquals(Version.NONE, withoutVersion.version());
+    for (EntityRow row :
+        new EntityRow[] {withoutVersion, firstVersionOfEarlierRelease, handedOver}) {
       assertThrows(IllegalArgumentException.class, () -> new OwnedEntity(row, true, 0));
       assertTrue(row.version().nextOwnedBy(0).isToken());
     }
   }
 
   @Test
-  void attemptsAndRentalNamesExceedThoseOfPreviousReleases() {
+  void firstAttemptAndScaleOutRequestIdsAreUnusedByPreviousReleases() {
     EntityRow first =
         new EntityRow(
             new ControllerId("c0"), Version.firstOwnedBy(0), true, OwnershipHistory.NONE, 1);
@@ -49,16 +51,19 @@
   }
 
   @Test
-  void aliveRowWithoutTheFlagMayReplyWithoutToken() {
+  void livenessRowWithoutTheFlagMeansRepliesMayLackTheToken() {
     assertFalse(StateSchema.decodeLiveness(Cbor.newMap().put("zone", "z"), 1).tokenInEveryReply());
     assertTrue(StateSchema.decodeLiveness(StateSchema.encodeLiveness("z"), 1).tokenInEveryReply());
   }
 
   @Test
-  void absentRowHasRevisionZeroAndBlockZeroIsValid() {
+  void absentLivenessRowHasRevisionZeroAndBlockZeroIsValid() {
     ClusterView clusterView = new ClusterView(new ClusterSimulation(3, 1).settings("c0"));
     ControllerId c1 = new ControllerId("c1");
-    assertEquals(0, clusterView.livenessRevision(c1), "the condition that the key does not exist");
+    assertEquals(
+        0,
+        clusterView.livenessRevision(c1),
+        "revision 0 is the condition that the key does not exist");
     assertFalse(clusterView.isAlive(c1));
     MachineId id = new MachineId("vm-1");
     MachineRow row = new MachineRow(id, c1, "plain", "a", false, false, Version.NONE, NOW_MS);
