--- a/src/main/java/io/violetrail/ownership/EntityFailover.java
+++ b/src/main/java/io/violetrail/ownership/EntityFailover.java
@@ -19,7 +19,8 @@
  * acts on the differences:
  *
  * <ul>
- *   <li>It gives up an owned entity if the entity's row is newer than the one it is owned under.
+ *   <li>It gives up an owned entity if the entity's row is newer than the row under which this
+ *       controller acquired it, because another controller may own it now.
  *   <li>It starts to own an entity whose row names this controller, for example after a handover.
  *   <li>It takes over an entity whose owner's lease has expired (failover).
  *   <li>It asks for this controller's home entity to be handed back while another controller that
@@ -103,8 +104,8 @@
   }
 
   /**
-   * Returns whether this controller owns the entity under this row or a newer one. Gives the entity
-   * up first if the row is newer than the one it is owned under.
+   * Returns whether this controller owns the entity under this row or a newer one. If the row is
+   * newer than the row under which this controller acquired the entity, gives the entity up first.
    */
   private boolean checkStillOwned(EntityRow row, ControllerId owner) {
     OwnedEntity ownedEntity = ownedEntities.find(row.entity());
--- a/src/main/java/io/violetrail/ownership/MachineRecords.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecords.java
@@ -245,7 +245,10 @@
     return batch;
   }
 
-  /** Returns whether the machine already has a record outside of this entity's blocks. */
+  /**
+   * Returns whether the machine already has a record outside of this entity's blocks. Such a
+   * machine must not be added, because it would then be recorded twice.
+   */
   private boolean hasRecordOutsideOwnBlocks(MachineId id) {
     MachineRow known = clusterView.findMachineRow(id);
     return known != null && !(known.entity().equals(ownedEntity.id()) && known.isInBlock());
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -32,8 +32,9 @@
  *
  * <ul>
  *   <li>The row of an instance never changes. Its version is a lower bound of every fencing token
- *       that the instance issues, and every {@link #fencedTransaction} requires the row's revision.
- *       The state service therefore refuses the fenced transactions of an outdated instance.
+ *       that the instance issues, and every {@link #fencedTransaction} is conditional on its
+ *       revision. The state service therefore refuses the fenced transactions of an instance whose
+ *       entity has moved since.
  *   <li>The phase determines which decisions can be made for the entity, but it does not show
  *       whether this controller may still act as the owner. That requires a valid controller lease
  *       ({@link Membership#isLeaseValid}). Callers must check both.
@@ -280,7 +281,7 @@
 
   /** Returns whether any placed task has a lower priority than the given one. */
   public boolean hasPlacedTaskBelow(Priority priority) {
-    return placementUsage.hasTaskBelow(priority);
+    return placementUsage.hasTaskOfLowerPriority(priority);
   }
 
   /**
--- a/src/main/java/io/violetrail/ownership/PlacementUsage.java
+++ b/src/main/java/io/violetrail/ownership/PlacementUsage.java
@@ -37,7 +37,7 @@
   }
 
   /** Returns whether any placed task has a lower priority than the given one. */
-  boolean hasTaskBelow(Priority priority) {
+  boolean hasTaskOfLowerPriority(Priority priority) {
     for (int ordinal = priority.ordinal() + 1; ordinal < placedCountByPriority.length; ordinal++) {
       if (placedCountByPriority[ordinal] > 0) {
         return true;
