--- a/src/main/java/io/violetrail/api/AnswerDeadline.java
+++ b/src/main/java/io/violetrail/api/AnswerDeadline.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * Answers one request exactly once: with the first answer that it is given, or with "unavailable"
- * when the deadline passes first. Later answers are dropped.
+ * Answers a request exactly once: with the first answer that is accepted, or with status 503 if the
+ * deadline passes before. Later answers are dropped.
  */
 final class AnswerDeadline implements Consumer<HttpAnswer> {
   private final AtomicBoolean answered = new AtomicBoolean();
   private final Consumer<HttpAnswer> respond;
   private final EventLoop.Cancellable timer;
 
-  /** Starts the timer of {@code seconds} at once. */
+  /** Creates the deadline and starts its timer of {@code seconds}. */
   AnswerDeadline(EventLoop loop, double seconds, Consumer<HttpAnswer> respond) {
     this.respond = respond;
     this.timer = loop.schedule(seconds, this::expire);
@@ -30,7 +30,9 @@
 
   private void expire() {
     if (answered.compareAndSet(false, true)) {
-      respond.accept(HttpAnswer.unavailable("no decision in time"));
+      respond.accept(
+          HttpAnswer.unavailable(
+              "no answer before the request's deadline; the outcome is unknown, retry later"));
     }
   }
 }
--- a/src/main/java/io/violetrail/api/CoWrittenRow.java
+++ b/src/main/java/io/violetrail/api/CoWrittenRow.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A row that is stored with a new job by the same transaction, on the condition that its last
- * change is {@code expectedRevision} (0: that it does not exist): both are stored, or neither is.
+ * A row that is stored in the same transaction as a new job: either both are stored or neither is.
+ *
+ * @param expectedRevision the revision of the row's last change, which is a condition of the
+ *     transaction; 0 if the row must not exist
+ * @param sizeBytes the encoded size of the row
  */
 public record CoWrittenRow(String key, long expectedRevision, ObjectNode value, int sizeBytes) {}
--- a/src/main/java/io/violetrail/api/EntityJobStores.java
+++ b/src/main/java/io/violetrail/api/EntityJobStores.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * The {@link JobStore} and the {@link JobProgressStore} of each entity owned here. Those of lost
- * entities are dropped. Called on the event loop's thread.
+ * Holds the {@link JobStore} and the {@link JobProgressStore} of each entity that this controller
+ * owns. The stores of lost entities are dropped at the next access. Called on the event loop's
+ * thread.
  */
 public final class EntityJobStores {
   private final EventLoop loop;
@@ -20,7 +21,7 @@
   private final Map<OwnedEntity, JobStore> jobStores = new HashMap<>();
   private final Map<OwnedEntity, JobProgressStore> progressStores = new HashMap<>();
 
-  /** Makes stores that write within the limits. */
+  /** Creates stores that write within the given limits. */
   public EntityJobStores(
       EventLoop loop, StateStore store, StateStoreLimits limits, Membership membership) {
     this.loop = loop;
@@ -29,7 +30,7 @@
     this.membership = membership;
   }
 
-  /** The entity's store of jobs, which is made empty at the first call. */
+  /** Returns the entity's job store. The first call creates an empty one. */
   JobStore jobStoreOf(OwnedEntity entity) {
     jobStores
         .keySet()
@@ -37,7 +38,9 @@
     return jobStores.computeIfAbsent(entity, this::createJobStore);
   }
 
-  /** An empty store of jobs in place of any that the entity had: its rows are to be loaded. */
+  /**
+   * Replaces the entity's job store, if any, by an empty one into which the caller loads the rows.
+   */
   JobStore resetJobStore(OwnedEntity entity) {
     JobStore jobStore = createJobStore(entity);
     jobStores.put(entity, jobStore);
@@ -48,7 +51,7 @@
     return new JobStore(loop, store, limits, membership, entity);
   }
 
-  /** The entity's store of progress, which is made empty at the first call. */
+  /** Returns the entity's progress store. The first call creates an empty one. */
   JobProgressStore progressStoreOf(OwnedEntity entity) {
     progressStores.keySet().retainAll(membership.ownedEntities());
     return progressStores.computeIfAbsent(
--- a/src/main/java/io/violetrail/api/JobAdmission.java
+++ b/src/main/java/io/violetrail/api/JobAdmission.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Takes new jobs into this controller's entity, however they were described. Every interface that
- * accepts work goes through here, so equal jobs meet equal checks.
+ * Admits new jobs to this controller's home entity. Every interface that accepts jobs uses this
+ * class, so a job is checked the same way however it was described.
  */
 public final class JobAdmission {
   private static final int MAX_OPEN_JOBS = 5_000;
@@ -29,7 +29,7 @@
   private final JobLifecycle jobLifecycle;
   private final JobTracer jobTracer;
 
-  /** Stores what it accepts as jobs of this controller's own entity. */
+  /** Creates an admission that stores accepted jobs in this controller's home entity. */
   public JobAdmission(
       StateStore store,
       Membership membership,
@@ -47,32 +47,44 @@
     this.jobTracer = jobTracer;
   }
 
-  /** What became of a job. */
+  /** The outcome of a job's admission. */
   public enum Verdict {
-    /** Stored; it runs from now on. */
+    /** The job is stored, and its tasks may be placed. */
     ACCEPTED,
-    /** Its id was taken before. */
+    /** The job's id is already taken. */
     KNOWN,
-    /** It can never run, and was never accepted. */
+    /** The job can never run, and was not accepted earlier. */
     IMPOSSIBLE,
-    /** Not now. */
+    /** The job cannot be admitted now; the client is to retry. */
     LATER,
-    /** The row that was to be stored with it exists already. */
+    /** The job's co-written row is not at its expected revision. */
     CONFLICT
   }
 
-  /** The verdict with its reason; {@code revision}: of the accepted job, 0 if it is not known. */
+  /**
+   * The result of an admission.
+   *
+   * @param reason a human-readable reason; empty for an accepted job
+   * @param revision the revision of the accepted job's rows; 0 if that is unknown or the job is not
+   *     accepted
+   */
   public record Decision(Verdict verdict, String reason, long revision) {
-    static Decision of(Verdict verdict, String why) {
-      return new Decision(verdict, why, 0);
+    static Decision of(Verdict verdict, String reason) {
+      return new Decision(verdict, reason, 0);
     }
   }
 
-  /** Takes the job in, with a row of its own if one is given. */
+  /**
+   * Admits the job if it can run and this controller can accept it now.
+   *
+   * @param coWrittenRow a row that is stored in the same transaction; null if there is none
+   */
   public CompletableFuture<Decision> admit(JobSpec spec, CoWrittenRow coWrittenRow) {
     jobTracer.submissionStarted(spec.id());
     return decideAdmission(spec, coWrittenRow)
-        .whenComplete((d, failure) -> jobTracer.submissionDecided(spec.id(), d.verdict().name()));
+        .whenComplete(
+            (decision, failure) ->
+                jobTracer.submissionDecided(spec.id(), decision.verdict().name()));
   }
 
   private CompletableFuture<Decision> decideAdmission(JobSpec spec, CoWrittenRow coWrittenRow) {
@@ -87,65 +99,81 @@
     }
     if (ownedEntity.jobs().size() >= MAX_OPEN_JOBS
         || store.isOverloaded(jobLifecycle.pendingSubmissionCount(ownedEntity))) {
-      // Said at once: who waits in vain for a place in the queue comes back later than who is told.
-      return retryLater("too many jobs at once");
+      // Refused immediately: a client whose queued request times out retries later than a client
+      // that is refused at once.
+      return retryLater(
+          "entity "
+              + ownedEntity.id()
+              + " has too many open jobs ("
+              + ownedEntity.jobs().size()
+              + " of at most "
+              + MAX_OPEN_JOBS
+              + ") or too many submissions waiting to be stored; retry later");
     }
     return jobLifecycle
         .store(ownedEntity, spec, coWrittenRow)
         .handle(
             (stored, failure) -> {
               if (failure != null) {
-                return Decision.of(Verdict.LATER, "the job could not be stored");
+                return Decision.of(
+                    Verdict.LATER,
+                    "the job is not known to be stored; submit it again with the same id");
               }
               if (stored.newlyStored()) {
                 return new Decision(Verdict.ACCEPTED, "", stored.revision());
               }
               return stored.coWrittenRowConflict()
-                  ? Decision.of(Verdict.CONFLICT, "it exists already")
-                  : Decision.of(Verdict.KNOWN, "its id is taken");
+                  ? Decision.of(
+                      Verdict.CONFLICT,
+                      "row " + coWrittenRow.key() + " exists already or has changed")
+                  : Decision.of(Verdict.KNOWN, "job id " + spec.id() + " is already taken");
             });
   }
 
   /**
-   * Why nothing can be taken in now; null if it can. Whoever asks {@link #findImpossibleReason}
-   * asks this first: while the machine types are not known nothing seems ever to run, which is not
-   * an answer.
+   * Returns why no job can be admitted now, or null if jobs can be. Call this before {@link
+   * #findImpossibleReason}: until the machine types are known, that method finds every job
+   * impossible, which must not be answered.
    */
   public String findClosedReason() {
     OwnedEntity ownedEntity = membership.findHomeEntity();
     if (ownedEntity == null || !ownedEntity.isActive() || !membership.isLeaseValid()) {
-      return "this controller cannot take jobs now";
+      return "this controller is not the active leader of its home entity with a valid lease; retry"
+          + " later or use another controller";
     }
-    return machineTypes.isEmpty() ? "the machine types are not known yet" : null;
+    return machineTypes.isEmpty() ? "the machine types are not known yet; retry later" : null;
   }
 
   private static CompletableFuture<Decision> retryLater(String reason) {
     return CompletableFuture.completedFuture(Decision.of(Verdict.LATER, reason));
   }
 
-  /** A job that was accepted once is never refused, even if a check would now fail. */
+  /**
+   * Rejects the job unless it was accepted earlier: an accepted job is never rejected, even if a
+   * check would fail now.
+   */
   private CompletableFuture<Decision> rejectUnlessStored(JobSpec spec, String reason) {
     return jobLookup
         .lookUp(spec.id())
         .handle(
-            (found, failure) -> {
+            (lookupResult, failure) -> {
               if (failure != null) {
-                return Decision.of(Verdict.LATER, "the state service does not answer");
+                return Decision.of(Verdict.LATER, "the state service did not answer; retry later");
               }
-              return found.isAbsent()
+              return lookupResult.isAbsent()
                   ? Decision.of(Verdict.IMPOSSIBLE, reason)
-                  : Decision.of(Verdict.KNOWN, "its id is taken");
+                  : Decision.of(Verdict.KNOWN, "job id " + spec.id() + " is already taken");
             });
   }
 
-  /** Why a job can never run; null if it can. */
+  /** Returns why a job can never run, or null if it can. */
   public String findImpossibleReason(JobSpec spec) {
     Team team = configuration.findTeam(spec.team());
     if (team == null) {
-      return "unknown team";
+      return "unknown team " + spec.team();
     }
     if (!configuration.acceptsJobs(spec.team())) {
-      return "the team is closed";
+      return "team " + spec.team() + " is closed to new jobs";
     }
     Set<String> zones = new HashSet<>();
     for (MachineType machineType : machineTypes.all()) {
@@ -158,18 +186,39 @@
       zones.retainAll(Set.of(spec.zone()));
     }
     if (zones.isEmpty()) {
-      return "a task fits no allowed machine type";
+      return "no allowed machine type in an allowed zone has room for a task of "
+          + spec.taskResources().cpus()
+          + " CPUs, "
+          + spec.taskResources().gpus()
+          + " GPUs and "
+          + spec.taskResources().memoryGb()
+          + " GB of memory";
     }
     int maxTaskCount = (spec.singleZone() ? 1 : zones.size()) * ((spec.taskCount() + 1) / 2);
     if (spec.spreadAcrossZones()
         && spec.shape() != JobShape.ARRAY
         && maxTaskCount < spec.taskCount()) {
-      return "its tasks run together and may not be apart";
+      return "the job's "
+          + spec.taskCount()
+          + " tasks must run at the same time and spread across zones, but its allowed zones can"
+          + " take at most "
+          + maxTaskCount
+          + " of them";
     }
     double concurrentTaskCount = spec.shape() == JobShape.ARRAY ? 1 : spec.taskCount();
     if (spec.taskResources().cpus() * concurrentTaskCount > team.maxCpus() + 1e-6
         || spec.taskResources().gpus() * concurrentTaskCount > team.maxGpus() + 1e-6) {
-      return "the job needs more than the team's limit";
+      return "the job needs "
+          + spec.taskResources().cpus() * concurrentTaskCount
+          + " CPUs and "
+          + spec.taskResources().gpus() * concurrentTaskCount
+          + " GPUs at the same time; the limits of team "
+          + spec.team()
+          + " are "
+          + team.maxCpus()
+          + " CPUs and "
+          + team.maxGpus()
+          + " GPUs";
     }
     return null;
   }
--- a/src/main/java/io/violetrail/api/JobAnswers.java
+++ b/src/main/java/io/violetrail/api/JobAnswers.java
@@ -4,22 +4,27 @@
 import io.violetrail.net.RequestHandler.HttpAnswer;
 import io.violetrail.wire.JobMessages;
 
-/** The answers that several of the requests about jobs have in common. */
+/** Answers that several handlers of job requests share. */
 final class JobAnswers {
   private JobAnswers() {}
 
-  /** The job's state, with status 200. */
+  /** Returns status 200 with the job's state. */
   static HttpAnswer view(JobView view) {
     return HttpAnswer.of(200, JobMessages.viewMessage(view));
   }
 
-  /** Neither the job's owner nor the state service has answered: the client is to retry. */
+  /**
+   * Returns the answer for a job whose state is unknown because neither its owner nor the state
+   * service answered. The client is to retry.
+   */
   static HttpAnswer stateUnknown() {
-    return HttpAnswer.unavailable("the job's state is not known now");
+    return HttpAnswer.unavailable(
+        "neither the job's owner nor the state service answered; retry later");
   }
 
-  /** The job's rows could not be read: the client is to retry. */
+  /** Returns the answer for a job whose rows could not be read. The client is to retry. */
   static HttpAnswer stateServiceUnavailable() {
-    return HttpAnswer.unavailable("the state service does not answer");
+    return HttpAnswer.unavailable(
+        "the job's rows could not be read from the state service; retry later");
   }
 }
--- a/src/main/java/io/violetrail/api/JobCancellation.java
+++ b/src/main/java/io/violetrail/api/JobCancellation.java
@@ -11,8 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Answers users' cancellations: here if the job is open at an entity owned here, else by its owner.
- * A user hears of a cancellation only once it is stored. Called on the event loop's thread.
+ * Handles users' requests to cancel a job. The job is cancelled here if it is open at an entity
+ * that this controller owns; otherwise the request is forwarded to its owner. A cancellation is
+ * confirmed to the user only after it is stored. Called on the event loop's thread.
  */
 public final class JobCancellation {
   private final LocalCancellation localCancellation;
@@ -21,7 +22,7 @@
   private final PeerOwners peerOwners;
   private final PeerClient peerClient;
 
-  /** Cancels here, or forwards to the owner. */
+  /** Creates a handler that cancels locally or through the owner's peer interface. */
   public JobCancellation(
       LocalCancellation localCancellation,
       KnownJobs knownJobs,
@@ -36,8 +37,8 @@
   }
 
   /**
-   * Answers a cancellation: 200 with the job's final state, 404 if there is no such job, 503 if the
-   * cancellation is to be repeated later.
+   * Answers a cancellation: 200 with the job's final state, 404 if the job does not exist, 503 if
+   * the client is to retry later.
    */
   void handle(String idText, Consumer<HttpAnswer> respond) {
     if (!JobId.isWellFormed(idText)) {
@@ -45,15 +46,15 @@
       return;
     }
     JobId id = new JobId(idText);
-    Optional<CompletableFuture<JobView>> cancelledHere = localCancellation.tryCancel(id);
-    if (cancelledHere.isPresent()) {
-      answerWhenStored(cancelledHere.get(), respond);
+    Optional<CompletableFuture<JobView>> localResult = localCancellation.tryCancel(id);
+    if (localResult.isPresent()) {
+      answerWhenStored(localResult.get(), respond);
       return;
     }
     ControllerId entity = knownJobs.findEntityOf(id);
     ControllerId owner = entity == null ? null : peerOwners.findLivePeerOwning(entity);
     if (owner == null) {
-      cancelByStoredRows(id, respond);
+      cancelAfterLookup(id, respond);
       return;
     }
     Futures.logFailure(
@@ -64,27 +65,28 @@
                   if (failure == null && view.status().isTerminal()) {
                     respond.accept(JobAnswers.view(view));
                   } else {
-                    // The owner may not remember a job that ended long ago; its rows do.
-                    cancelByStoredRows(id, respond);
+                    // The owner may no longer have a job that ended long ago in memory, but its
+                    // rows still contain the end.
+                    cancelAfterLookup(id, respond);
                   }
                 }),
         "cancel a job at its owner");
   }
 
-  private void cancelByStoredRows(JobId id, Consumer<HttpAnswer> respond) {
+  private void cancelAfterLookup(JobId id, Consumer<HttpAnswer> respond) {
     Futures.logFailure(
         jobLookup
             .lookUp(id)
             .whenComplete(
-                (found, failure) -> {
+                (lookupResult, failure) -> {
                   if (failure != null) {
                     respond.accept(JobAnswers.stateServiceUnavailable());
-                  } else if (found.isAbsent()) {
+                  } else if (lookupResult.isAbsent()) {
                     respond.accept(HttpAnswer.empty(404));
-                  } else if (found.view() != null) {
-                    respond.accept(JobAnswers.view(found.view()));
+                  } else if (lookupResult.finalView() != null) {
+                    respond.accept(JobAnswers.view(lookupResult.finalView()));
                   } else {
-                    cancelAtOwner(id, found.openAtEntity(), respond);
+                    cancelAtOwner(id, lookupResult.openAtEntity(), respond);
                   }
                 }),
         "look a job up for its cancellation");
@@ -93,7 +95,9 @@
   private void cancelAtOwner(JobId id, ControllerId entity, Consumer<HttpAnswer> respond) {
     ControllerId owner = peerOwners.findPeerOwning(entity);
     if (owner == null) {
-      respond.accept(HttpAnswer.unavailable("the job's owner is not ready"));
+      respond.accept(
+          HttpAnswer.unavailable(
+              "the owner of the job's entity " + entity + " is unknown or not ready; retry later"));
     } else {
       answerWhenStored(peerClient.cancel(owner, id), respond);
     }
@@ -105,7 +109,9 @@
         cancellation.whenComplete(
             (view, failure) -> {
               if (failure != null || !view.status().isTerminal()) {
-                respond.accept(HttpAnswer.unavailable("the cancellation is not stored yet"));
+                respond.accept(
+                    HttpAnswer.unavailable(
+                        "the cancellation is not known to be stored; retry later"));
               } else {
                 respond.accept(JobAnswers.view(view));
               }
--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -23,9 +23,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The open jobs of the entities owned here: accepts them, follows their progress, ends and cancels
- * them. Each step counts only once its rows are stored, so a crash at any point leaves either the
- * step undone or its rows for the next owner.
+ * Manages the open jobs of the entities that this controller owns: accepts jobs, tracks their
+ * progress, ends and cancels them. A step takes effect only once its rows are stored, so after a
+ * crash at any point either the step has not happened or the next owner finds its rows.
  *
  * <p>Called on the event loop's thread.
  */
@@ -44,7 +44,10 @@
   private final TaskStopper taskStopper;
   private final JobTracer jobTracer;
 
-  /** Notifies the pending queues and the task stopper of what begins and ends. */
+  /**
+   * Creates a lifecycle that notifies the pending queues of new jobs and stops the tasks of ended
+   * jobs through the task stopper.
+   */
   public JobLifecycle(
       EventLoop loop,
       Membership membership,
@@ -69,7 +72,8 @@
   }
 
   /**
-   * The final state of any job of the cluster; null if it is not known here to have ended.
+   * Returns the final state of any job of the cluster, or null if this controller does not know
+   * that the job has ended.
    *
    * @see KnownJobs#findTerminalView
    */
@@ -87,8 +91,9 @@
   }
 
   /**
-   * Whether no task of the job may run on a machine of an active entity: its end is stored, its
-   * user has cancelled it, or it is none of the entity's open jobs, of which the owner knows all.
+   * Returns whether no task of the job may run on a machine of the active entity: the job's end is
+   * stored, its user has cancelled it, or it is not one of the entity's open jobs, all of which the
+   * owner knows.
    */
   public boolean isFinishedOrCancelled(OwnedEntity entity, JobId id) {
     Job openJob = entity.jobs().get(id);
@@ -100,26 +105,27 @@
   /**
    * The result of storing a submission.
    *
-   * @param newlyStored whether the job is this entity's now; otherwise its id is taken, or its
+   * @param newlyStored whether the job now belongs to this entity; if false, its id is taken or its
    *     co-written row conflicts
-   * @param coWrittenRowConflict whether the co-written row was not as expected
-   * @param revision of the rows if the job was newly stored; 0 if it is not known
+   * @param coWrittenRowConflict whether the co-written row was not at its expected revision
+   * @param revision the revision of the job's rows if it was newly stored; 0 if that is unknown
    */
   public record StoreResult(boolean newlyStored, boolean coWrittenRowConflict, long revision) {}
 
   /**
-   * Stores a new job and opens it.
+   * Stores a new job and adds it to the entity's open jobs.
    *
    * @param coWrittenRow a row that is stored in the same transaction; null if there is none
-   * @return fails with a {@code RequestFailedException} if it is not known to be stored
+   * @return a future that fails with a {@code RequestFailedException} if the job is not known to be
+   *     stored
    */
   public CompletableFuture<StoreResult> store(
       OwnedEntity entity, JobSpec spec, CoWrittenRow coWrittenRow) {
     long nowMillis = loop.wallMillis();
     double nowSeconds = loop.monotonicSeconds();
     CompletableFuture<StoreResult> result = new CompletableFuture<>();
-    // An answer that never came leaves the outcome open; it is repeated until certain, so that no
-    // job is stored without its owner knowing of it.
+    // A missing answer leaves the outcome open. The write is repeated until its outcome is certain,
+    // so that no job is stored without its owner knowing of it.
     Futures.logFailure(
         stores
             .jobStoreOf(entity)
@@ -131,7 +137,7 @@
                     return;
                   }
                   if (stored.newlyStored()) {
-                    open(entity, spec, nowMillis, nowSeconds);
+                    openJob(entity, spec, nowMillis, nowSeconds);
                   }
                   result.complete(stored);
                 }),
@@ -139,10 +145,11 @@
     return result;
   }
 
-  private void open(OwnedEntity entity, JobSpec spec, long arrivedAtMillis, double arrivedSeconds) {
+  private void openJob(
+      OwnedEntity entity, JobSpec spec, long arrivedAtMillis, double arrivedSeconds) {
     knownJobs.recordEntity(spec.id(), entity.id());
-    // Also during a handover: if that is abandoned the entity stays here, and a job that was not
-    // opened would never run.
+    // The job is opened during a handover too: if the handover is abandoned, the entity stays here,
+    // and a job that was not opened would never run.
     if (entity.phase() != OwnedEntity.Phase.LOST) {
       boolean bestEffort = serviceLevelObjectives.isBestEffort(spec);
       entity.addJobIfAbsent(new Job(spec, arrivedAtMillis, arrivedSeconds, false, bestEffort));
@@ -157,14 +164,14 @@
         spec.taskCount());
   }
 
-  /** The number of submissions that wait to be stored. */
+  /** Returns the number of submissions that are waiting to be stored. */
   public int pendingSubmissionCount(OwnedEntity entity) {
     return stores.jobStoreOf(entity).pendingSubmissionCount();
   }
 
   /**
-   * Handles tasks of the job that may have finished: their progress is stored with the next flush,
-   * and the job's end once all tasks are done.
+   * Handles a change of the job's done tasks: schedules their progress for the next flush or, once
+   * all tasks are done, stores the job's end.
    */
   public void handleProgress(OwnedEntity entity, Job job) {
     if (job.phase() != Job.Phase.OPEN) {
@@ -178,12 +185,12 @@
     }
   }
 
-  /** Stores the progress that is due. */
+  /** Writes the progress rows whose flush interval has passed. */
   public void flushProgress(OwnedEntity entity) {
     stores.progressStoreOf(entity).flush(loop.monotonicSeconds());
   }
 
-  /** Stores the end of a job. Users and workers hear of it only afterwards. */
+  /** Stores the end of a job. Users and workers are told only after it is stored. */
   private CompletableFuture<Boolean> storeEnd(OwnedEntity entity, Job job, JobStatus status) {
     if (job.phase() == Job.Phase.FINISHED) {
       return CompletableFuture.completedFuture(true);
@@ -196,7 +203,7 @@
               if (failure != null) {
                 membership.relist();
                 if (entity.phase() != OwnedEntity.Phase.LOST) {
-                  // Refused for a reason that may pass: nobody else would ever store this end.
+                  // The failure may be temporary, and no other controller would store this end.
                   loop.schedule(
                       END_RETRY_SECONDS,
                       () -> job.enqueueWrite(() -> storeEnd(entity, job, status)));
@@ -214,7 +221,7 @@
         new JobView(job.spec().id().value(), status, job.doneCount(), 0),
         entity.id(),
         job.spec().taskResources());
-    LOG.info("job {} of entity {} is {}", job.spec().id(), entity.id(), status);
+    LOG.info("job {} of entity {} ended with status {}", job.spec().id(), entity.id(), status);
     jobTracer.jobEnded(job.spec().id(), status);
     stopTasks(entity, job);
     if (job.hasNoPlacements()) {
@@ -234,14 +241,17 @@
   }
 
   /**
-   * Cancels an open job of an owned entity. If its last task has finished before, it ends as done.
+   * Cancels an open job of an owned entity. A job whose last task has already finished ends as
+   * done.
    *
-   * @return completes with the job's final state once it is stored; fails if it could not be stored
+   * @return a future that completes with the job's final state once that is stored, and fails if it
+   *     could not be stored
    */
   public CompletableFuture<JobView> cancel(OwnedEntity entity, Job job) {
     CompletableFuture<JobView> cancelled = new CompletableFuture<>();
     if (job.phase() == Job.Phase.OPEN) {
-      // From here on no task of it is started or kept running, whenever its end is stored.
+      // From here on, none of its tasks is started or kept running, however long storing its end
+      // takes.
       job.startCancelling();
       stopTasks(entity, job);
     }
--- a/src/main/java/io/violetrail/api/JobLookup.java
+++ b/src/main/java/io/violetrail/api/JobLookup.java
@@ -17,18 +17,20 @@
 import java.util.function.Function;
 
 /**
- * Reads what the rows of any job say, and records in {@link KnownJobs} what cannot change. Called
- * on the event loop's thread.
+ * Reads the stored rows of any job, and records in {@link KnownJobs} the facts that never change:
+ * the job's entity and its end. Called on the event loop's thread.
  */
 public final class JobLookup {
-  /** A look-up reads the claim row and the finished-job segment; both are paid for at the first. */
+  /**
+   * A lookup reads the claim row and the finished-job segment; the first read is charged for both.
+   */
   private static final int READS_PER_LOOKUP = 2;
 
   private final StateStore store;
   private final KnownJobs knownJobs;
   private final RequestCoalescer<JobId, LookupResult> coalescer;
 
-  /** Reads from the store. */
+  /** Creates a lookup that reads from the state store. */
   public JobLookup(StateStore store, KnownJobs knownJobs) {
     this.store = store;
     this.knownJobs = knownJobs;
@@ -38,27 +40,31 @@
   }
 
   /**
-   * What a job's rows say.
+   * The state of a job according to its rows.
    *
-   * @param view its final state; null if it has not ended or does not exist
-   * @param openAtEntity the entity at which it is open; null if it is not open
-   * @param storedView of an open job, the state that the rows alone prove; null otherwise
+   * @param finalView the job's final state; null if it has not ended or does not exist
+   * @param openAtEntity the entity at which the job is open; null if it is not open
+   * @param storedView the state of an open job as far as its rows show it: queued, with no task
+   *     running or done; null if the job is not open
    */
-  public record LookupResult(JobView view, ControllerId openAtEntity, JobView storedView) {
+  public record LookupResult(JobView finalView, ControllerId openAtEntity, JobView storedView) {
     private static final LookupResult ABSENT = new LookupResult(null, null, null);
 
-    /** Whether it is proven that there is no such job. */
+    /** Returns whether it is proven that the job does not exist. */
     public boolean isAbsent() {
-      return view == null && openAtEntity == null;
+      return finalView == null && openAtEntity == null;
     }
   }
 
-  /** Reads a job's rows, which are never stale, for a user who waits; fails if they cannot be. */
+  /**
+   * Reads a job's rows for a waiting user. The rows are never stale. Concurrent lookups of the same
+   * job share the reads. The future fails if the rows cannot be read.
+   */
   public CompletableFuture<LookupResult> lookUp(JobId id) {
     return coalescer.request(id);
   }
 
-  /** Reads a job's rows with no user waiting; fails if they cannot be read. */
+  /** Reads a job's rows while no user is waiting. The future fails if the rows cannot be read. */
   CompletableFuture<LookupResult> lookUpInBackground(JobId id) {
     return readJobRows(id, store::get);
   }
@@ -98,7 +104,7 @@
     return new LookupResult(null, entity, new JobView(id.value(), JobStatus.QUEUED, 0, 0));
   }
 
-  /** The row that claims a job's id, without the name of its finished-job segment. */
+  /** Returns the row that claims a job's id, without the name of its finished-job segment. */
   static ObjectNode toClaimRow(ControllerId entity, JobSpec spec) {
     ObjectNode row = Cbor.newMap().put("entity", entity.value());
     return row.put("cpus", spec.taskResources().cpus())
--- a/src/main/java/io/violetrail/api/JobProgressStore.java
+++ b/src/main/java/io/violetrail/api/JobProgressStore.java
@@ -20,21 +20,24 @@
 import java.util.Map;
 
 /**
- * Stores which tasks of an owned entity's open jobs are done. A row contains ranges of many jobs,
- * so that a hundred jobs in progress cost a few writes and not a hundred of the state service's
- * budget.
+ * Stores which tasks of an owned entity's open jobs are done. Each row contains task ranges of many
+ * jobs, so that a hundred jobs in progress cost the state service's budget a few writes instead of
+ * a hundred.
  *
  * <p>Called on the event loop's thread. After a crash, the next owner {@linkplain #restore
- * restores} what was flushed; later progress comes again with the workers' heartbeats.
+ * restores} the flushed progress; workers report later progress again with their heartbeats.
  */
 final class JobProgressStore {
-  /** Tasks that are done wait this long for others, so that one write stores many. */
+  /** The minimum time between two writes of a row, so that one write stores many done tasks. */
   private static final double FLUSH_INTERVAL_SECONDS = 3;
 
-  /** Part of a value's size limit that a row is filled to; the map's own bytes come on top. */
+  /**
+   * The fraction of a value's size limit up to which a row is filled; the map's own bytes are
+   * extra.
+   */
   private static final double MAX_FILL_FRACTION = 0.7;
 
-  /** Characters that a range's name and punctuation take beside its bits. */
+  /** Characters that a range's name and punctuation take in addition to its encoded bits. */
   private static final int ENTRY_OVERHEAD_CHARS = 40;
 
   private final EventLoop loop;
@@ -46,7 +49,7 @@
   private final List<ProgressRow> rows = new ArrayList<>();
   private final Map<String, ProgressRow> rowByRangeName = new HashMap<>();
 
-  /** A row, with the task ranges in it. */
+  /** A stored row and the task ranges in it. */
   private static final class ProgressRow {
     final int number;
     long revision;
@@ -61,7 +64,7 @@
     }
   }
 
-  /** The tasks of a job from {@code fromIndex} to before {@code toIndex}. */
+  /** The tasks of a job from {@code fromIndex} (inclusive) to {@code toIndex} (exclusive). */
   private record TaskRange(Job job, int fromIndex, int toIndex) {
     String name() {
       return job.spec().id() + "/" + fromIndex;
@@ -83,18 +86,21 @@
     this.membership = membership;
     this.entity = entity;
     this.maxChars = (int) (limits.maxValueBytes() * MAX_FILL_FRACTION);
-    // Six tasks a character of base64, and at most half a value.
+    // A base64 character encodes six tasks, and a range takes at most half of a value.
     this.tasksPerRange = Math.min(16_384, limits.maxValueBytes() / 2 * 6);
   }
 
-  /** Marks the rows of the job's tasks that are done and not stored; the next flush writes them. */
+  /**
+   * Marks the rows of the job's tasks that are done but not stored as dirty; a later flush writes
+   * them.
+   */
   void markChanged(Job job) {
     for (int fromIndex = 0; fromIndex < job.spec().taskCount(); fromIndex += tasksPerRange) {
       TaskRange range =
           new TaskRange(
               job, fromIndex, Math.min(job.spec().taskCount(), fromIndex + tasksPerRange));
       if (!job.doneNotStored(range.fromIndex(), range.toIndex()).isEmpty()) {
-        rowByRangeName.computeIfAbsent(range.name(), n -> assignRow(range)).dirty = true;
+        rowByRangeName.computeIfAbsent(range.name(), name -> assignRow(range)).dirty = true;
       }
     }
   }
@@ -120,7 +126,9 @@
     }
   }
 
-  /** Writes the rows that are due, and drops the ranges of finished jobs. */
+  /**
+   * Writes the dirty rows whose flush interval has passed, and drops the ranges of finished jobs.
+   */
   void flush(double nowSeconds) {
     for (ProgressRow row : rows) {
       for (TaskRange range : List.copyOf(row.rangesByName.values())) {
@@ -150,7 +158,8 @@
       writtenTasks.put(range, doneTasks);
       value.put(range.name(), Base64.getEncoder().encodeToString(doneTasks.toByteArray()));
     }
-    // The condition on the revision keeps a delayed write of older progress from undoing newer.
+    // The condition on the revision prevents a delayed write of older progress from overwriting
+    // newer progress.
     Futures.logFailure(
         store
             .commitInBackground(
@@ -163,8 +172,9 @@
                   } else if (outcome.applied()) {
                     row.revision = outcome.revision();
                     writtenTasks.forEach(
-                        (p, doneTasks) ->
-                            doneTasks.stream().forEach(i -> p.job().markStored(p.fromIndex() + i)));
+                        (range, doneTasks) ->
+                            doneTasks.stream()
+                                .forEach(i -> range.job().markStored(range.fromIndex() + i)));
                   } else if (outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
                     membership.relist();
                   } else {
@@ -174,7 +184,7 @@
         "write tasks' progress");
   }
 
-  /** Reads the row's revision again: an earlier write that seemed lost has changed it. */
+  /** Reads the row's revision again, because an earlier write that seemed lost has changed it. */
   private void rereadRow(ProgressRow row, String key) {
     row.writeInFlight = true;
     Futures.logFailure(
@@ -190,10 +200,10 @@
                     row.dirty = true;
                   }
                 }),
-        "read tasks' progress again");
+        "reread tasks' progress");
   }
 
-  /** Restores the progress that a former owner has stored. */
+  /** Restores the progress that a previous owner has stored. */
   void restore(List<Entry> entries) {
     String prefix = StateSchema.progressPrefix(entity.id());
     for (Entry entry : entries) {
@@ -203,7 +213,10 @@
       }
       ProgressRow row = rows.get(number);
       row.revision = entry.modRevision();
-      entry.value().properties().forEach(f -> restoreRange(row, f.getKey(), f.getValue().asText()));
+      entry
+          .value()
+          .properties()
+          .forEach(field -> restoreRange(row, field.getKey(), field.getValue().asText()));
     }
   }
 
--- a/src/main/java/io/violetrail/api/JobQuery.java
+++ b/src/main/java/io/violetrail/api/JobQuery.java
@@ -7,16 +7,19 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Answers users' questions about the state of a job. Called on the event loop's thread. */
+/** Answers users' queries for the state of a job. Called on the event loop's thread. */
 public final class JobQuery {
   private final JobStateResolver resolver;
 
-  /** Answers with what the resolver finds. */
+  /** Creates a query handler that answers with the state found by the resolver. */
   public JobQuery(JobStateResolver resolver) {
     this.resolver = resolver;
   }
 
-  /** Answers a poll: 200 with the state, 404 if there is no such job, 503 if that is not known. */
+  /**
+   * Answers a poll: 200 with the job's state, 404 if the job does not exist, 503 if that cannot be
+   * determined now.
+   */
   void handle(String idText, Consumer<HttpAnswer> respond) {
     if (!JobId.isWellFormed(idText)) {
       respond.accept(HttpAnswer.empty(404));
@@ -26,8 +29,8 @@
   }
 
   /**
-   * Answers a repeated submission of a job that was accepted before: 200 with its state, 503 if
-   * that is not known now.
+   * Answers a repeated submission of an accepted job: 200 with the job's state, 503 if the state is
+   * not known now.
    */
   void answerKnown(JobId id, Consumer<HttpAnswer> respond) {
     answer(id, JobAnswers::stateUnknown, respond);
--- a/src/main/java/io/violetrail/api/JobRestorer.java
+++ b/src/main/java/io/violetrail/api/JobRestorer.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Restores an entity's open jobs and their progress from the rows: all of them when the entity is
- * recovered, or a single one that was stored without its owner learning of it. Called on the event
- * loop's thread.
+ * Restores an entity's open jobs from the stored rows: all of them with their progress when the
+ * entity is recovered, or a single job that was stored without its owner learning of it. Called on
+ * the event loop's thread.
  */
 public final class JobRestorer {
   private final EventLoop loop;
@@ -24,7 +24,7 @@
   private final PendingQueues pendingQueues;
   private final ServiceLevelObjectives serviceLevelObjectives;
 
-  /** Hands the restored jobs to the lifecycle and the pending queues. */
+  /** Creates a restorer that passes the restored jobs to the lifecycle and the pending queues. */
   public JobRestorer(
       EventLoop loop,
       EntityJobStores stores,
@@ -40,38 +40,41 @@
     this.serviceLevelObjectives = objectives;
   }
 
-  /** Reads which of the jobs in an entity's open-job segments have not ended. */
+  /**
+   * Returns the jobs in an entity's open-job segments that have not ended. Reads the finished-job
+   * segments, and replaces the entity's job store by a new one.
+   */
   public CompletableFuture<List<StoredJob>> loadOpenJobs(
       OwnedEntity entity, List<Entry> openSegmentRows) {
     return stores.resetJobStore(entity).load(openSegmentRows);
   }
 
-  /** Adds the open jobs to an entity that has just become active, with their stored progress. */
+  /** Adds the open jobs and their stored progress to an entity that has just become active. */
   public void restore(OwnedEntity entity, List<StoredJob> openJobs, List<Entry> progressRows) {
-    openJobs.forEach(stored -> restoreJob(entity, stored));
+    openJobs.forEach(storedJob -> restoreJob(entity, storedJob));
     stores.progressStoreOf(entity).restore(progressRows);
     List.copyOf(entity.jobs().values()).forEach(job -> jobLifecycle.handleProgress(entity, job));
   }
 
-  /** Adds a job of the entity that is stored as open, unless it is open here already. */
+  /** Adds a job that is stored as open to its active entity, unless the entity already has it. */
   void restoreIfMissing(OwnedEntity entity, JobId id) {
-    StoredJob stored =
+    StoredJob storedJob =
         entity.isActive() && !entity.jobs().containsKey(id)
             ? stores.jobStoreOf(entity).findStoredJob(id)
             : null;
-    if (stored != null) {
-      restoreJob(entity, stored);
+    if (storedJob != null) {
+      restoreJob(entity, storedJob);
       pendingQueues.jobsChanged(entity);
     }
   }
 
-  private void restoreJob(OwnedEntity entity, StoredJob stored) {
-    double ageSeconds = Math.max(0, loop.wallMillis() - stored.arrivedAtMillis()) / 1000.0;
-    JobSpec spec = stored.spec();
+  private void restoreJob(OwnedEntity entity, StoredJob storedJob) {
+    double ageSeconds = Math.max(0, loop.wallMillis() - storedJob.arrivedAtMillis()) / 1000.0;
+    JobSpec spec = storedJob.spec();
     entity.addJob(
         new Job(
             spec,
-            stored.arrivedAtMillis(),
+            storedJob.arrivedAtMillis(),
             loop.monotonicSeconds() - ageSeconds,
             true,
             serviceLevelObjectives.isBestEffort(spec)));
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -6,37 +6,41 @@
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.scheduling.Job;
 
-/** What this controller can say of a job's state from its own memory, for users and peers. */
+/**
+ * Returns job states that this controller knows for certain from its own memory, for users and
+ * peers.
+ */
 public final class JobStateLookup {
   private final Membership membership;
   private final KnownJobs knownJobs;
 
-  /** Looks in the entities owned here, and among the ended jobs that are remembered. */
+  /** Creates a lookup in the entities owned here and in the cache of known jobs. */
   public JobStateLookup(Membership membership, KnownJobs knownJobs) {
     this.membership = membership;
     this.knownJobs = knownJobs;
   }
 
   /**
-   * The state of a job as it is known here for sure; null if it is not.
+   * Returns the state of a job if this controller knows it for certain, or null otherwise.
    *
-   * <p>An end that is stored never changes. An open job's state is known to its valid owner alone,
-   * and only while no write of its end is undecided: that may have been carried out with its answer
-   * lost, and others may have read it. The owner then said "running" after another controller had
-   * told the same user "cancelled"; now whoever asks gets what the rows say.
+   * <p>A stored end never changes. The state of an open job is known only to its owner under a
+   * valid lease, and only while no write of its end is undecided: such a write may have been
+   * applied with its answer lost, and other controllers may have read the end. Without this rule,
+   * the owner reported "running" after another controller had reported "cancelled" to the same
+   * user. Callers that get null read the stored rows.
    */
   public JobView knownView(JobId id) {
-    JobView ended = knownJobs.findTerminalView(id);
-    if (ended != null || !membership.isLeaseValid()) {
-      return ended;
+    JobView finalView = knownJobs.findTerminalView(id);
+    if (finalView != null || !membership.isLeaseValid()) {
+      return finalView;
     }
-    OwnedEntity entity = entityOfOpenJob(id);
+    OwnedEntity entity = findEntityWithOpenJob(id);
     Job job = entity == null ? null : entity.jobs().get(id);
     return job == null || job.isEndUndecided() ? null : job.toView();
   }
 
-  /** The owned entity that has the job open; null if there is none. */
-  public OwnedEntity entityOfOpenJob(JobId id) {
+  /** Returns the active owned entity at which the job is open, or null if there is none. */
+  public OwnedEntity findEntityWithOpenJob(JobId id) {
     for (OwnedEntity entity : membership.ownedEntities()) {
       if (entity.isActive() && entity.jobs().containsKey(id)) {
         return entity;
--- a/src/main/java/io/violetrail/api/JobStateResolver.java
+++ b/src/main/java/io/violetrail/api/JobStateResolver.java
@@ -13,10 +13,10 @@
 import java.util.function.Supplier;
 
 /**
- * Finds the current state of any job of the cluster: from this controller's memory, else from the
- * job's owner or any peer that knows it, else from the stored rows.
+ * Finds the current state of any job of the cluster. It uses this controller's memory first, then
+ * the job's owner or any peer that knows the job, and then the stored rows.
  *
- * <p>Called on the event loop's thread. It owns no state of its own.
+ * <p>Called on the event loop's thread. This class is stateless.
  */
 public final class JobStateResolver {
   private final Set<ControllerId> peers;
@@ -27,7 +27,7 @@
   private final JobLookup jobLookup;
   private final JobStateLookup jobStates;
 
-  /** Asks the given peers for what is not known here. */
+  /** Creates a resolver that asks the given peers about jobs whose state is not known here. */
   public JobStateResolver(
       Set<ControllerId> peers,
       ClusterView clusterView,
@@ -46,10 +46,10 @@
   }
 
   /**
-   * The current state of a job.
+   * Returns the current state of a job.
    *
-   * @return completes with null only if it is proven that there is no such job; fails if neither
-   *     the owner nor the state service answers
+   * @return a future that completes with null only if it is proven that there is no such job, and
+   *     fails if neither the owner nor the state service answers
    */
   CompletableFuture<JobView> resolve(JobId id) {
     JobView localView = jobStates.knownView(id);
@@ -58,38 +58,38 @@
     }
     ControllerId entity = knownJobs.findEntityOf(id);
     if (entity == null) {
-      // After a start, the entity of no job is known, and users ask about all of them. Peers are
-      // asked first: a read of rows for each job would exhaust the state service's budget, and
-      // some users would get no answer for minutes.
-      return orElse(viewFromAnyPeer(id), () -> viewFromStore(id));
+      // After a restart, this controller knows no job's entity while users poll all of their jobs.
+      // Peers are asked first: reading each job's rows would exhaust the state service's budget,
+      // and some users would get no answer for minutes.
+      return withFallback(viewFromAnyPeer(id), () -> viewFromStoreOrOwner(id));
     }
-    return orElse(viewFromOwner(id, entity), () -> storedView(id));
+    return withFallback(viewFromOwner(id, entity), () -> viewFromRows(id));
   }
 
-  private static CompletableFuture<JobView> orElse(
-      CompletableFuture<JobView> first, Supplier<CompletableFuture<JobView>> second) {
-    return first.exceptionallyCompose(failure -> second.get());
+  private static CompletableFuture<JobView> withFallback(
+      CompletableFuture<JobView> primary, Supplier<CompletableFuture<JobView>> fallback) {
+    return primary.exceptionallyCompose(failure -> fallback.get());
   }
 
-  private CompletableFuture<JobView> viewFromStore(JobId id) {
+  private CompletableFuture<JobView> viewFromStoreOrOwner(JobId id) {
     return jobLookup
         .lookUp(id)
         .thenCompose(
-            found -> {
-              if (found.openAtEntity() == null) {
-                return CompletableFuture.completedFuture(found.view());
+            lookupResult -> {
+              if (lookupResult.openAtEntity() == null) {
+                return CompletableFuture.completedFuture(lookupResult.finalView());
               }
-              return viewFromOwner(id, found.openAtEntity())
-                  .exceptionally(failure -> found.storedView());
+              return viewFromOwner(id, lookupResult.openAtEntity())
+                  .exceptionally(failure -> lookupResult.storedView());
             });
   }
 
   /**
-   * The first answer of a live peer that knows the job for sure, as its owner or because the job
-   * has ended; fails if no peer does.
+   * Returns the first answer of a live peer that knows the job's state for certain, because it owns
+   * the job or the job has ended. The future fails if no peer does.
    */
   private CompletableFuture<JobView> viewFromAnyPeer(JobId id) {
-    CompletableFuture<JobView> first = new CompletableFuture<>();
+    CompletableFuture<JobView> firstView = new CompletableFuture<>();
     List<CompletableFuture<JobView>> peerViews =
         peers.stream()
             .filter(clusterView::isAlive)
@@ -98,20 +98,24 @@
     peerViews.forEach(
         peerView ->
             Futures.logFailure(
-                peerView.thenAccept(first::complete), "take the first peer's answer"));
+                peerView.thenAccept(firstView::complete), "take the first peer's answer"));
     Futures.logFailure(
         CompletableFuture.allOf(peerViews.toArray(CompletableFuture[]::new))
             .whenComplete(
-                (nothing, failure) ->
-                    first.completeExceptionally(PeerUnavailableException.noneKnows(id))),
+                (ignored, failure) ->
+                    firstView.completeExceptionally(PeerUnavailableException.noneKnows(id))),
         "wait for all peers' answers");
-    return first;
+    return firstView;
   }
 
-  private CompletableFuture<JobView> storedView(JobId id) {
+  private CompletableFuture<JobView> viewFromRows(JobId id) {
     return jobLookup
         .lookUp(id)
-        .thenApply(found -> found.view() != null ? found.view() : found.storedView());
+        .thenApply(
+            lookupResult ->
+                lookupResult.finalView() != null
+                    ? lookupResult.finalView()
+                    : lookupResult.storedView());
   }
 
   private CompletableFuture<JobView> viewFromOwner(JobId id, ControllerId entity) {
--- a/src/main/java/io/violetrail/api/JobStore.java
+++ b/src/main/java/io/violetrail/api/JobStore.java
@@ -29,16 +29,16 @@
 /**
  * Stores the submissions and ends of an owned entity's jobs in the state service.
  *
- * <p>A job costs one row of its own, {@code job/<id>}, which claims its id, names its entity and
- * the finished-job segment for its end, and never changes. Its description is stored in one of the
- * entity's open-job segments together with other open jobs, and its end in its finished-job segment
- * together with other ends. Segments are written by the entity's owner alone, so all that begins
- * and ends within a moment costs a write or two beside the claims: with four writes a job, a few
- * hundred small jobs a minute exceeded the state service's budget. A job whose end is stored has
- * ended, even if an open-job segment still lists it.
+ * <p>Each job has one row of its own, the claim row {@code job/<id>}. It claims the job's id, names
+ * its entity and its finished-job segment, and never changes. The job's description is stored with
+ * other open jobs in one of the entity's open-job segments, and its end is stored with other ends
+ * in its finished-job segment. Only the entity's owner writes segments, so all jobs that start or
+ * end at about the same time cost one or two writes in addition to the claim rows. With four writes
+ * per job, a few hundred small jobs per minute exceeded the state service's budget. A job whose end
+ * is stored has ended, even if an open-job segment still lists it.
  *
- * <p>Called on the event loop's thread. A crash loses only writes that nobody has been answered
- * for; the next owner {@linkplain #load loads} the segments.
+ * <p>Called on the event loop's thread. A crash loses only writes that have not been confirmed to
+ * any caller; the next owner {@linkplain #load loads} the segments.
  */
 public final class JobStore {
   private static final double BATCHING_DELAY_SECONDS = 0.01;
@@ -46,17 +46,19 @@
   private static final double REREAD_RETRY_SECONDS = 0.5;
 
   /**
-   * Rows that a transaction may write even if that is more than a second's worth: three jobs that
-   * share an open-job segment, and a finished-job segment. A seventh of a small budget left room
-   * for one job and its segment, so jobs cost most writes just when these were short. With eight
-   * rows, machines' records waited too long behind submissions where a second's worth is three.
+   * The minimum row limit of a transaction, which applies even if it exceeds one second of the
+   * write budget. Five rows are the claim rows of three jobs, the open-job segment that they share,
+   * and a finished-job segment. A limit of a seventh of a small budget left room for only one job
+   * and its segment, so a job cost the most writes when writes were scarcest. With eight rows,
+   * machine records waited too long behind submissions on a budget of three writes per second.
    */
   private static final int MIN_WRITES_PER_TRANSACTION = 5;
 
   /**
-   * Submissions go first, except before ends that have waited for this long. Ends share a segment,
-   * so they are cheap; without this bound, ended jobs were reported as running and kept their space
-   * in the open-job segments for as long as submissions used up the budget.
+   * The time after which waiting ends are written before submissions, which otherwise go first.
+   * Ends are cheap because they share a segment. Without this bound, for as long as submissions
+   * used up the budget, ended jobs were reported as running and kept their space in the open-job
+   * segments.
    */
   private static final double MAX_END_WAIT_SECONDS = 1;
 
@@ -68,7 +70,7 @@
   private final OpenJobIndex openJobs;
   private final ArrayDeque<JobWrite> queuedWrites = new ArrayDeque<>();
   private final Map<JobId, JobWrite> pendingSubmissions = new HashMap<>();
-  private final CoalescingTimer nextWrite;
+  private final CoalescingTimer writeTimer;
   private boolean writeInFlight;
 
   JobStore(
@@ -82,11 +84,14 @@
     this.limits = limits;
     this.membership = membership;
     this.entity = entity;
-    this.nextWrite = new CoalescingTimer(loop, this::writeNextBatch);
+    this.writeTimer = new CoalescingTimer(loop, this::writeNextBatch);
     this.openJobs = new OpenJobIndex(entity, limits.maxValueBytes());
   }
 
-  /** The end of a job as stored in its finished-job segment; null if it is not there. */
+  /**
+   * Returns the end of a job as stored in its finished-job segment, or null if the segment does not
+   * contain it.
+   */
   static JobView parseEnd(JobId id, JsonNode finishedSegmentRow) {
     String text = finishedSegmentRow == null ? "" : finishedSegmentRow.path(id.value()).asText();
     int separatorIndex = text.indexOf(' ');
@@ -99,12 +104,15 @@
             0);
   }
 
-  /** The number of submissions that wait to be stored. */
+  /** Returns the number of submissions that are waiting to be stored. */
   int pendingSubmissionCount() {
     return pendingSubmissions.size();
   }
 
-  /** Stores a new job and its co-written row, unless one of them exists already. */
+  /**
+   * Stores a new job and its co-written row, unless the job's id is taken or the co-written row is
+   * not at its expected revision.
+   */
   CompletableFuture<JobLifecycle.StoreResult> storeSubmission(
       JobSpec spec, long arrivedAtMillis, CoWrittenRow coWrittenRow) {
     JobWrite pendingWrite = pendingSubmissions.get(spec.id());
@@ -118,7 +126,7 @@
     Futures.logFailure(
         write.completion.whenComplete(
             (stored, failure) -> pendingSubmissions.remove(write.id, write)),
-        "forget a stored submission");
+        "remove a pending submission");
     return enqueue(write)
         .thenApply(
             stored ->
@@ -126,7 +134,7 @@
                     stored, write.hasCoWrittenRowConflict(), write.revision()));
   }
 
-  /** Stores the end of an open job; fails if the entity has moved. */
+  /** Stores the end of an open job. The future fails if the entity has moved to another owner. */
   CompletableFuture<Boolean> storeEnd(JobId id, JobStatus status, int doneCount) {
     return enqueue(JobWrite.end(id, status.name() + " " + doneCount, loop.monotonicSeconds()));
   }
@@ -139,7 +147,7 @@
 
   private void scheduleWrite(double delaySeconds) {
     if (!writeInFlight && !queuedWrites.isEmpty()) {
-      nextWrite.schedule(delaySeconds);
+      writeTimer.schedule(delaySeconds);
     }
   }
 
@@ -166,8 +174,8 @@
                     draft
                         .includedWrites()
                         .forEach(
-                            e ->
-                                e.completion.completeExceptionally(
+                            write ->
+                                write.completion.completeExceptionally(
                                     RequestFailedException.from(failure)));
                     scheduleWrite(BATCHING_DELAY_SECONDS);
                   } else if (outcome.applied()) {
@@ -177,7 +185,7 @@
                     handleRefused(draft, outcome);
                   }
                 }),
-        "write jobs");
+        "write a batch of jobs");
   }
 
   private JobTransactionDraft draftTransaction() {
@@ -188,7 +196,7 @@
     JobTransactionDraft draft =
         new JobTransactionDraft(loop, entity, openJobs, maxWritesPerTransaction());
     ArrayDeque<JobWrite> deferred = new ArrayDeque<>();
-    // Users wait for the answer to a submission; an end is in time for its user's next poll.
+    // Users wait for the answer to a submission, whereas an end is only seen with the next poll.
     boolean submissionsFirst = !isAnyEndOverdue();
     for (boolean submissions : new boolean[] {submissionsFirst, !submissionsFirst}) {
       for (JobWrite write : queuedWrites) {
@@ -202,7 +210,11 @@
     return draft.isEmpty() ? null : draft;
   }
 
-  /** A second's worth at most: machines' records must not wait behind jobs for longer. */
+  /**
+   * Returns how many rows a transaction may write: at most one second of the write budget, so that
+   * machine records do not wait longer than that behind jobs, but no fewer than {@link
+   * #MIN_WRITES_PER_TRANSACTION}. The state service's limit on operations always applies.
+   */
   private int maxWritesPerTransaction() {
     return (int)
         Math.min(
@@ -224,18 +236,21 @@
     List<JobWrite> failedWrites = List.copyOf(queuedWrites);
     queuedWrites.clear();
     failedWrites.forEach(
-        e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
+        write -> write.completion.completeExceptionally(new EntityMovedException(entity.id())));
   }
 
   /**
-   * The entity has moved, ids were taken, or an earlier try that seemed lost was applied: in that
-   * last case the rows show which writes are done.
+   * Handles a transaction whose conditions failed: the entity has moved, ids or co-written rows
+   * conflict, or an earlier attempt that seemed lost was applied. In the last case the segments are
+   * read again to find out which writes are done.
    */
   private void handleRefused(JobTransactionDraft draft, TransactionOutcome outcome) {
     if (outcome.failedKeys().contains(StateSchema.entityKey(entity.id()))) {
       draft
           .includedWrites()
-          .forEach(e -> e.completion.completeExceptionally(new EntityMovedException(entity.id())));
+          .forEach(
+              write ->
+                  write.completion.completeExceptionally(new EntityMovedException(entity.id())));
       failQueuedWrites();
       membership.relist();
       return;
@@ -276,13 +291,15 @@
       List<FinishedJobSegment> conflictingFinishedSegments) {
     List<CompletableFuture<Entry>> reads = new ArrayList<>();
     conflictingOpenSegments.forEach(
-        s -> reads.add(store.get(StateSchema.openJobSegmentKey(entity.id(), s.number))));
+        segment ->
+            reads.add(store.get(StateSchema.openJobSegmentKey(entity.id(), segment.number))));
     conflictingFinishedSegments.forEach(
-        p -> reads.add(store.get(StateSchema.finishedJobSegmentKey(entity.id(), p.name))));
+        segment ->
+            reads.add(store.get(StateSchema.finishedJobSegmentKey(entity.id(), segment.name))));
     Futures.logFailure(
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
             .whenComplete(
-                (nothing, failure) -> {
+                (ignored, failure) -> {
                   if (failure != null) {
                     loop.schedule(
                         REREAD_RETRY_SECONDS,
@@ -303,14 +320,14 @@
                   }
                   settleFromRows(draft);
                 }),
-        "read jobs again");
+        "reread job segments");
   }
 
   private void settleFromRows(JobTransactionDraft draft) {
     List<JobWrite> unsettled = new ArrayList<>();
     for (JobWrite write : draft.includedWrites()) {
-      boolean done = write.isSubmission() == (openJobs.findOpenEntry(write.id) != null);
-      if (done) {
+      boolean applied = write.isSubmission() == (openJobs.findOpenEntry(write.id) != null);
+      if (applied) {
         write.completion.complete(true);
       } else {
         unsettled.add(write);
@@ -319,22 +336,29 @@
     requeue(unsettled);
   }
 
-  /** Loads the segments that a former owner has written; returns the jobs that are still open. */
+  /**
+   * Loads the segments that a previous owner has written, and returns the jobs that are still open.
+   */
   CompletableFuture<List<StoredJob>> load(List<Entry> openSegmentRows) {
     Map<String, CompletableFuture<Entry>> reads = new HashMap<>();
     OpenJobIndex.finishedSegmentNamesIn(openSegmentRows)
         .forEach(
-            n -> reads.put(n, store.getUrgent(StateSchema.finishedJobSegmentKey(entity.id(), n))));
+            name ->
+                reads.put(
+                    name, store.getUrgent(StateSchema.finishedJobSegmentKey(entity.id(), name))));
     return CompletableFuture.allOf(reads.values().toArray(CompletableFuture[]::new))
         .thenApply(
-            nothing -> {
+            ignored -> {
               reads.forEach((name, read) -> openJobs.loadFinishedSegment(name, read.join()));
               openSegmentRows.forEach(openJobs::loadOpenSegment);
               return openJobs.allStoredJobs();
             });
   }
 
-  /** The job if it is open at this entity; null if it is not. */
+  /**
+   * Returns the job as it was stored, or null if it is not open at this entity or its stored
+   * description cannot be parsed.
+   */
   StoredJob findStoredJob(JobId id) {
     return openJobs.findStoredJob(id);
   }
--- a/src/main/java/io/violetrail/api/JobSubmission.java
+++ b/src/main/java/io/violetrail/api/JobSubmission.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes users' submissions, which are idempotent: a repeat of an accepted job is answered with that
- * job's state. Called on the event loop's thread; what it accepts is stored before it answers.
+ * Handles users' submissions. A submission is idempotent: a repeated submission of an accepted job
+ * is answered with that job's state. An accepted job is stored before it is answered. Called on the
+ * event loop's thread.
  */
 public final class JobSubmission {
   private static final Logger LOG = LoggerFactory.getLogger(JobSubmission.class);
@@ -30,9 +31,9 @@
   private final JobQuery jobQuery;
 
   /**
-   * Submits to the admission of this controller's own entity.
+   * Creates a handler that submits to the admission of this controller's home entity.
    *
-   * @param maxValueBytes the size limit of a stored row; a job's description may take half of it
+   * @param maxValueBytes the size limit of a stored value; a job's description may take half of it
    */
   public JobSubmission(
       int maxValueBytes,
@@ -48,8 +49,8 @@
   }
 
   /**
-   * Answers a submission: 201 if it is accepted, 200 if it was before, 400 if it is malformed, 422
-   * if the job can never run, 503 if it is to be repeated later.
+   * Answers a submission: 201 if the job is accepted, 200 if it was accepted earlier, 400 if the
+   * submission is malformed, 422 if the job can never run, 503 if the client is to retry later.
    */
   void handle(byte[] body, Consumer<HttpAnswer> respond) {
     JobId id = null;
@@ -75,12 +76,13 @@
 
   private static JsonNode parseBody(byte[] body) throws MalformedMessageException {
     if (body.length > MAX_BODY_BYTES) {
-      throw new MalformedMessageException("the body is too long");
+      throw new MalformedMessageException(
+          "the request body has " + body.length + " bytes; the limit is " + MAX_BODY_BYTES);
     }
     return Cbor.parse(body);
   }
 
-  /** The id that the message names; null if it names none that is well-formed. */
+  /** Returns the job id in the message, or null if it is missing or not well-formed. */
   private static JobId findId(JsonNode message) {
     String idText = message.path(ID_FIELD).asText(null);
     return JobId.isWellFormed(idText) ? new JobId(idText) : null;
@@ -93,7 +95,8 @@
   private JobSpec parseSpec(JsonNode message) throws MalformedMessageException {
     JobSpec spec = JobMessages.parseSubmission(message);
     if (Cbor.encode(JobMessages.submissionMessage(spec)).length > maxSpecBytes) {
-      throw new MalformedMessageException("the job's description is too long");
+      throw new MalformedMessageException(
+          "the job's encoded description exceeds the limit of " + maxSpecBytes + " bytes");
     }
     return spec;
   }
@@ -112,11 +115,12 @@
   }
 
   /**
-   * A repeat of an accepted job is never refused, even if its other fields are malformed: clients
-   * may resend only a part of the description. Without a well-formed id there is no job to look up.
+   * Answers a malformed submission. If its id is that of an accepted job, the answer is that job's
+   * state, even if other fields are malformed: clients may resend only a part of the description.
+   * Without a well-formed id there is no job to look up.
    */
   private void answerMalformed(JobId id, String reason, Consumer<HttpAnswer> respond) {
-    LOG.debug("submission refused: {}", reason);
+    LOG.debug("malformed submission: {}", reason);
     if (id == null) {
       respond.accept(HttpAnswer.error(400, reason));
       return;
@@ -125,15 +129,15 @@
         jobLookup
             .lookUp(id)
             .whenComplete(
-                (found, failure) -> {
+                (lookupResult, failure) -> {
                   if (failure != null) {
                     respond.accept(JobAnswers.stateServiceUnavailable());
-                  } else if (found.isAbsent()) {
+                  } else if (lookupResult.isAbsent()) {
                     respond.accept(HttpAnswer.error(400, reason));
                   } else {
                     jobQuery.answerKnown(id, respond);
                   }
                 }),
-        "answer a question about a job");
+        "answer a malformed submission");
   }
 }
--- a/src/main/java/io/violetrail/api/JobTransactionDraft.java
+++ b/src/main/java/io/violetrail/api/JobTransactionDraft.java
@@ -21,14 +21,21 @@
 import java.util.Set;
 
 /**
- * What one transaction is to write of an entity's jobs. Nothing in the {@link OpenJobIndex} changes
- * before the transaction is applied. Called by the entity's {@link JobStore}.
+ * Collects the job writes of an entity that one transaction is to apply. The entries and segment
+ * contents in the {@link OpenJobIndex} change only after the transaction was applied. Used by the
+ * entity's {@link JobStore}.
  */
 final class JobTransactionDraft {
-  /** Segment rows in one transaction, which keeps it below the protocol's 64 KiB. */
+  /**
+   * The maximum number of segment rows in one transaction, which keeps it below the protocol's 64
+   * KiB.
+   */
   private static final int MAX_SEGMENT_ROWS = 4;
 
-  /** Bytes of co-written rows in one transaction, for the same reason. */
+  /**
+   * The maximum total size of several co-written rows in one transaction, for the same reason. A
+   * single larger row is accepted.
+   */
   private static final int MAX_CO_WRITTEN_BYTES = 20 * 1024;
 
   private final EventLoop loop;
@@ -43,13 +50,14 @@
       new LinkedHashMap<>();
   private final Map<FinishedJobSegment, Map<JobId, String>> finishedSegmentContents =
       new LinkedHashMap<>();
-  private int claimRowCount;
+  private int submissionRowCount;
   private int coWrittenBytes;
 
   /**
-   * An empty draft.
+   * Creates an empty draft.
    *
-   * @param maxWrites rows that it may write beside the condition on the entity's own
+   * @param maxWrites the number of rows that the transaction may write, not counting the condition
+   *     on the entity's own row
    */
   JobTransactionDraft(EventLoop loop, OwnedEntity entity, OpenJobIndex openJobs, int maxWrites) {
     this.loop = loop;
@@ -60,12 +68,17 @@
   }
 
   private boolean isFull() {
-    int writes = claimRowCount + openSegmentContents.size() + finishedSegmentContents.size();
+    int writes = submissionRowCount + openSegmentContents.size() + finishedSegmentContents.size();
     return writes + 2 > maxWrites
         || openSegmentContents.size() + finishedSegmentContents.size() >= MAX_SEGMENT_ROWS;
   }
 
-  /** Adds the write; returns false, and adds nothing, if the transaction is full. */
+  /**
+   * Adds a write unless the transaction is full. An end that is stored already is completed without
+   * being added.
+   *
+   * @return false if the transaction has no room for the write
+   */
   boolean tryAdd(JobWrite write) {
     int sizeBytes = write.coWrittenRow == null ? 0 : write.coWrittenRow.sizeBytes();
     boolean exceedsCoWrittenBytes =
@@ -77,75 +90,80 @@
       coWrittenBytes += sizeBytes;
       addSubmission(write);
     } else {
-      OpenJobEntry job = openJobs.findOpenEntry(write.id);
-      if (job == null) {
-        // Its end is stored already. The caller's callback may queue further writes, so it runs
-        // only after this draft is done.
+      OpenJobEntry entry = openJobs.findOpenEntry(write.id);
+      if (entry == null) {
+        // The job's end is stored already. Completing the write may run a callback that queues
+        // further writes, so it is done only after this draft is finished.
         loop.execute(() -> write.completion.complete(true));
         return true;
       }
       endedJobs.add(write.id);
       finishedSegmentContents
-          .computeIfAbsent(job.finishedSegment(), p -> new LinkedHashMap<>(p.ends))
-          .put(write.id, write.endText);
+          .computeIfAbsent(
+              entry.finishedSegment(), segment -> new LinkedHashMap<>(segment.encodedEndsByJob))
+          .put(write.id, write.encodedEnd);
     }
     includedWrites.add(write);
     return true;
   }
 
   private void addSubmission(JobWrite write) {
-    ArrayNode value = Cbor.newMap().arrayNode();
+    ArrayNode packedEntry = Cbor.newMap().arrayNode();
     FinishedJobSegment finishedSegment = openJobs.assignFinishedSegment();
-    value.add(finishedSegment.name).add(write.arrivedAtMillis);
-    JobMessages.appendSpec(write.spec, value);
-    int charCount = OpenJobIndex.countChars(value);
+    packedEntry.add(finishedSegment.name).add(write.arrivedAtMillis);
+    JobMessages.appendSpec(write.spec, packedEntry);
+    int charCount = OpenJobIndex.countChars(packedEntry);
     OpenJobSegment openSegment = openJobs.findOpenSegmentWithSpace(charCount, openSegmentContents);
-    OpenJobEntry job = new OpenJobEntry(write.id, openSegment, finishedSegment, value, charCount);
+    OpenJobEntry entry =
+        new OpenJobEntry(write.id, openSegment, finishedSegment, packedEntry, charCount);
     openSegmentContents
-        .computeIfAbsent(openSegment, s -> new LinkedHashMap<>(s.jobs))
-        .put(write.id, job);
-    newEntries.put(write.id, job);
-    claimRowCount++;
+        .computeIfAbsent(openSegment, segment -> new LinkedHashMap<>(segment.entriesByJob))
+        .put(write.id, entry);
+    newEntries.put(write.id, entry);
+    submissionRowCount++;
     transaction
         .ifRevision(StateSchema.jobKey(write.id), 0)
         .put(
             StateSchema.jobKey(write.id),
             JobLookup.toClaimRow(entity.id(), write.spec).put("page", finishedSegment.name));
     if (write.coWrittenRow != null) {
-      claimRowCount++;
+      submissionRowCount++;
       transaction
           .ifRevision(write.coWrittenRow.key(), write.coWrittenRow.expectedRevision())
           .put(write.coWrittenRow.key(), write.coWrittenRow.value());
     }
   }
 
-  /** The transaction of all that was added. */
+  /**
+   * Adds the changed segments to the transaction and returns it. Called once, after the last write
+   * was added.
+   */
   Transaction buildTransaction() {
     openSegmentContents.forEach(
-        (openSegment, jobs) -> {
-          jobs.keySet().removeAll(endedJobs);
+        (openSegment, entries) -> {
+          entries.keySet().removeAll(endedJobs);
           ObjectNode value = Cbor.newMap();
-          jobs.values().forEach(j -> value.set(j.id().value(), j.value()));
+          entries.values().forEach(entry -> value.set(entry.id().value(), entry.packedEntry()));
           String key = StateSchema.openJobSegmentKey(entity.id(), openSegment.number);
           transaction.ifRevision(key, openSegment.revision).put(key, value);
         });
     finishedSegmentContents.forEach(
-        (finishedSegment, ends) -> {
+        (finishedSegment, encodedEnds) -> {
           ObjectNode value = Cbor.newMap();
-          ends.forEach((id, end) -> value.put(id.value(), end));
+          encodedEnds.forEach((id, encodedEnd) -> value.put(id.value(), encodedEnd));
           String key = StateSchema.finishedJobSegmentKey(entity.id(), finishedSegment.name);
           transaction.ifRevision(key, finishedSegment.revision).put(key, value);
         });
     return transaction;
   }
 
-  /** Updates the index, and completes the writes, after the transaction was applied. */
+  /** Updates the index and completes the writes after the transaction was applied. */
   void handleApplied(long revision) {
-    openSegmentContents.forEach((openSegment, jobs) -> openSegment.revision = revision);
+    openSegmentContents.forEach((openSegment, entries) -> openSegment.revision = revision);
     finishedSegmentContents.forEach(
-        (finishedSegment, ends) -> {
+        (finishedSegment, encodedEnds) -> {
           finishedSegment.revision = revision;
-          finishedSegment.ends.putAll(ends);
+          finishedSegment.encodedEndsByJob.putAll(encodedEnds);
         });
     newEntries.values().forEach(openJobs::addOpenEntry);
     endedJobs.forEach(openJobs::removeOpenEntry);
@@ -156,17 +174,17 @@
     return includedWrites.isEmpty();
   }
 
-  /** The writes that were added, in their order. */
+  /** Returns the added writes in the order in which they were added. */
   List<JobWrite> includedWrites() {
     return includedWrites;
   }
 
-  /** Whether the draft opens the job. */
+  /** Returns whether the draft contains the submission of the job. */
   boolean opensJob(JobId id) {
     return newEntries.containsKey(id);
   }
 
-  /** The open-job segments whose conditions are among those that failed. */
+  /** Returns the open-job segments of this draft whose revision conditions failed. */
   List<OpenJobSegment> openSegmentsAmong(Collection<String> failedKeys) {
     return openSegmentContents.keySet().stream()
         .filter(
@@ -175,7 +193,7 @@
         .toList();
   }
 
-  /** The finished-job segments whose conditions are among those that failed. */
+  /** Returns the finished-job segments of this draft whose revision conditions failed. */
   List<FinishedJobSegment> finishedSegmentsAmong(Collection<String> failedKeys) {
     return finishedSegmentContents.keySet().stream()
         .filter(
--- a/src/main/java/io/violetrail/api/KnownJobs.java
+++ b/src/main/java/io/violetrail/api/KnownJobs.java
@@ -8,11 +8,11 @@
 import io.violetrail.model.Resources;
 
 /**
- * What this controller remembers of jobs, its own and others': their entities and their ends,
- * neither of which ever changes once stored.
+ * A bounded cache of the entities and the ends of jobs, both this controller's and others'. Neither
+ * changes once it is stored.
  *
- * <p>Called on the event loop's thread. The memory is bounded and does not survive a restart: what
- * has been forgotten is read from the rows again.
+ * <p>Called on the event loop's thread. The cache does not survive a restart. Evicted jobs are
+ * looked up in the stored rows again.
  */
 public final class KnownJobs {
   private static final int MAX_REMEMBERED_JOBS = 20_000;
@@ -20,7 +20,7 @@
   private final Cache<JobId, KnownJob> finishedJobs =
       CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
 
-  /** Ends known from peers, without the resources of the jobs' tasks. */
+  /** Final states reported by peers, which do not include the resources of the jobs' tasks. */
   private final Cache<JobId, JobView> finishedViewsFromPeers =
       CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
 
@@ -28,30 +28,38 @@
       CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
 
   /**
-   * A job of which no task may run here.
+   * A job whose tasks may not run here, because it has ended or does not exist.
    *
-   * @param view its final state; null if there is no such job
-   * @param taskResources what each of its tasks takes; none if there is no such job
+   * @param finalView the job's final state; null if the job does not exist
+   * @param entity the entity that the job belonged to; if the job does not exist, the entity whose
+   *     worker reported its task
+   * @param taskResources the resources of each task; {@link Resources#NONE} if the job does not
+   *     exist
    */
-  public record KnownJob(JobView view, ControllerId entity, Resources taskResources) {}
+  public record KnownJob(JobView finalView, ControllerId entity, Resources taskResources) {}
 
-  /** The final state of the job; null if it is not known to have ended. */
+  /** Returns the final state of the job, or null if it is not known to have ended. */
   public JobView findTerminalView(JobId id) {
     KnownJob knownJob = finishedJobs.getIfPresent(id);
-    return knownJob == null ? finishedViewsFromPeers.getIfPresent(id) : knownJob.view();
+    return knownJob == null ? finishedViewsFromPeers.getIfPresent(id) : knownJob.finalView();
   }
 
-  /** The entity that the job belongs to; null if it is not known. */
+  /** Returns the entity that the job belongs to, or null if it is not known. */
   public ControllerId findEntityOf(JobId id) {
     return entityByJob.getIfPresent(id);
   }
 
-  /** The job if its rows have shown that it has ended or does not exist; null otherwise. */
-  KnownJob findFinished(JobId id) {
+  /**
+   * Returns the job if its rows have shown that it has ended or does not exist, or null otherwise.
+   */
+  KnownJob findFinishedOrNonexistent(JobId id) {
     return finishedJobs.getIfPresent(id);
   }
 
-  /** Records what a peer has answered about a job. */
+  /**
+   * Records the entity of a job that a peer has reported and, if the job has ended, its final
+   * state.
+   */
   public void recordFromPeer(JobId id, ControllerId entity, JobView view) {
     entityByJob.put(id, entity);
     if (view.status().isTerminal()) {
@@ -59,18 +67,18 @@
     }
   }
 
-  /** Records the entity that the job's row names. */
+  /** Records the entity that a job belongs to according to its stored row. */
   void recordEntity(JobId id, ControllerId entity) {
     entityByJob.put(id, entity);
   }
 
-  /** Records the end of a job, which is stored. */
+  /** Records the stored end of a job. */
   void recordFinished(JobView view, ControllerId entity, Resources taskResources) {
     finishedJobs.put(new JobId(view.id()), new KnownJob(view, entity, taskResources));
     entityByJob.put(new JobId(view.id()), entity);
   }
 
-  /** Records that there is no row of a job whose task a worker of the entity has reported. */
+  /** Records that a job whose task was reported by a worker of the entity has no row. */
   void recordNonexistent(JobId id, ControllerId entity) {
     finishedJobs.put(id, new KnownJob(null, entity, Resources.NONE));
   }
--- a/src/main/java/io/violetrail/api/LocalCancellation.java
+++ b/src/main/java/io/violetrail/api/LocalCancellation.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Cancels jobs of the entities owned here, for users and for peers. Called on the event loop's
- * thread.
+ * Cancels jobs of the entities that this controller owns, on behalf of users and peers. Called on
+ * the event loop's thread.
  */
 public final class LocalCancellation {
   private final Membership membership;
@@ -17,7 +17,7 @@
   private final JobLifecycle jobLifecycle;
   private final JobStateLookup jobStates;
 
-  /** Cancels in the entities of the given membership. */
+  /** Creates a cancellation for the entities owned under the given membership. */
   public LocalCancellation(
       Membership membership,
       KnownJobs knownJobs,
@@ -30,18 +30,18 @@
   }
 
   /**
-   * Cancels the job if this controller may decide that.
+   * Cancels the job if this controller owns it under a valid lease.
    *
-   * @return the job's final state once it is stored, which is the end that it has if it has ended
-   *     before; fails if that could not be stored. Empty if the job is not known to have ended, and
-   *     is not open here under a valid lease.
+   * @return a future that completes with the job's final state once that is stored, or at once if
+   *     the job is already known to have ended; it fails if the end could not be stored. Empty if
+   *     the job is not known to have ended and is not open here under a valid lease.
    */
   public Optional<CompletableFuture<JobView>> tryCancel(JobId id) {
     JobView finalView = knownJobs.findTerminalView(id);
     if (finalView != null) {
       return Optional.of(CompletableFuture.completedFuture(finalView));
     }
-    OwnedEntity entity = jobStates.entityOfOpenJob(id);
+    OwnedEntity entity = jobStates.findEntityWithOpenJob(id);
     if (entity == null || !membership.isLeaseValid()) {
       return Optional.empty();
     }
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -26,7 +26,10 @@
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
 
-/** Figures for operators, as lines of text. Latencies go through HdrHistogram. */
+/**
+ * Renders the metrics of this controller as lines of text for operators. Percentiles of latencies
+ * are computed by HdrHistogram.
+ */
 public final class Metrics {
   private static final Duration PERCENTILE_WINDOW = Duration.ofMinutes(10);
   private static final Duration MAX_LATENCY = Duration.ofSeconds(10);
@@ -35,7 +38,7 @@
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
   private final Map<String, Timer> timers = new HashMap<>();
 
-  /** Reads what it shows from the given parts whenever it is asked for. */
+  /** Creates gauges that read their values from the given components whenever they are rendered. */
   public Metrics(
       EventLoop loop,
       ClusterView clusterView,
@@ -46,12 +49,12 @@
     registerGauge("lease.valid", membership, m -> m.isLeaseValid() ? 1 : 0);
     registerGauge("lease.remaining.s", membership, Membership::remainingLeaseSeconds);
     registerGauge("rows.revision", clusterView, ClusterView::revision);
-    configurationGauges(configuration);
-    evidenceGauges(evidence);
-    entityGauges(membership);
+    registerConfigurationGauges(configuration);
+    registerEvidenceGauges(evidence);
+    registerEntityGauges(membership);
   }
 
-  private void configurationGauges(Configuration configuration) {
+  private void registerConfigurationGauges(Configuration configuration) {
     if (configuration.canChange()) {
       registerGauge("configuration.revision", configuration, Configuration::revision);
       registerGauge("configuration.fresh", configuration, c -> c.isFresh() ? 1 : 0);
@@ -60,37 +63,41 @@
     }
   }
 
-  private void entityGauges(Membership membership) {
+  private void registerEntityGauges(Membership membership) {
     registerGauge("entities.held", membership, m -> m.ownedEntities().size());
     registerGauge("jobs.open", membership, m -> sumOverEntities(m, entity -> entity.jobs().size()));
     registerGauge(
         "machines", membership, m -> sumOverEntities(m, entity -> entity.machines().size()));
-    registerGauge("machines.silent", membership, m -> sumOverEntities(m, Metrics::silentMachines));
-    registerGauge("tasks.placed", membership, m -> sumOverEntities(m, Metrics::placedTasks));
-    registerGauge("tasks.waiting", membership, m -> sumOverEntities(m, Metrics::pendingTasks));
+    registerGauge(
+        "machines.silent", membership, m -> sumOverEntities(m, Metrics::countUnresponsiveMachines));
+    registerGauge("tasks.placed", membership, m -> sumOverEntities(m, Metrics::countPlacedTasks));
+    registerGauge("tasks.waiting", membership, m -> sumOverEntities(m, Metrics::countPendingTasks));
   }
 
-  private static double silentMachines(OwnedEntity entity) {
+  private static double countUnresponsiveMachines(OwnedEntity entity) {
     return entity.machines().values().stream().filter(machine -> machine.unresponsive()).count();
   }
 
-  private static double placedTasks(OwnedEntity entity) {
+  private static double countPlacedTasks(OwnedEntity entity) {
     return entity.machines().values().stream()
         .mapToInt(machine -> machine.placements().size())
         .sum();
   }
 
-  private static double pendingTasks(OwnedEntity entity) {
+  private static double countPendingTasks(OwnedEntity entity) {
     return entity.jobs().values().stream().mapToInt(Job::unplacedCount).sum();
   }
 
-  private void evidenceGauges(EvidenceLog evidence) {
+  private void registerEvidenceGauges(EvidenceLog evidence) {
     for (HeartbeatReplyKind kind : HeartbeatReplyKind.values()) {
       registerCount("heartbeat.replies", "kind", kind.name(), () -> evidence.replyCount(kind));
     }
-    for (TerminationEvidence proof : TerminationEvidence.values()) {
+    for (TerminationEvidence evidenceKind : TerminationEvidence.values()) {
       registerCount(
-          "starts.elsewhere", "proof", proof.name(), () -> evidence.startElsewhereCount(proof));
+          "starts.elsewhere",
+          "proof",
+          evidenceKind.name(),
+          () -> evidence.startElsewhereCount(evidenceKind));
     }
     registerGauge("leases.outlived", evidence, EvidenceLog::outlivedLeaseCount);
     registerGauge("evidence.lines.left.out", evidence, EvidenceLog::droppedLineCount);
@@ -109,7 +116,10 @@
     return membership.ownedEntities().stream().mapToDouble(value).sum();
   }
 
-  /** Counts an answer and how long it took. */
+  /**
+   * Wraps {@code respond} so that the answer's latency, measured from this call, is recorded under
+   * the kind and the answer's status.
+   */
   Consumer<HttpAnswer> recordLatency(String kind, Consumer<HttpAnswer> respond) {
     long startedAtNanos = loop.monotonicNanos();
     return answer -> {
--- a/src/main/java/io/violetrail/api/OpenJobIndex.java
+++ b/src/main/java/io/violetrail/api/OpenJobIndex.java
@@ -22,17 +22,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The open-job and finished-job segments of an owned entity, as of their last write or read, and
- * the open jobs in them. Called by the entity's {@link JobStore} on the event loop's thread; the
- * rows survive a crash, and the next owner builds its index from them.
+ * An index of an owned entity's open jobs, and of its open-job and finished-job segments as of
+ * their last write or read. Used by the entity's {@link JobStore} on the event loop's thread. The
+ * index is kept in memory only; after a crash, the next owner builds its own from the stored rows.
  */
 final class OpenJobIndex {
   private static final Logger LOG = LoggerFactory.getLogger(OpenJobIndex.class);
 
-  /** Part of a value's size limit that a segment is filled to. */
+  /** The fraction of a value's size limit up to which an open-job segment is filled. */
   private static final double MAX_FILL_FRACTION = 0.75;
 
-  /** Characters that an entry's name and punctuation take beside its description. */
+  /** Characters that an entry's name and punctuation take in addition to its description. */
   private static final int ENTRY_OVERHEAD_CHARS = 40;
 
   private final OwnedEntity entity;
@@ -44,18 +44,24 @@
   private FinishedJobSegment currentFinishedSegment;
   private int finishedSegmentCount;
 
-  /** An open job as its open-job segment contains it. */
+  /**
+   * An open job as its open-job segment contains it.
+   *
+   * @param packedEntry the stored array: the finished-job segment's name, the arrival time and the
+   *     packed specification
+   * @param charCount the estimated size of the entry in the segment
+   */
   record OpenJobEntry(
       JobId id,
       OpenJobSegment openSegment,
       FinishedJobSegment finishedSegment,
-      ArrayNode value,
+      ArrayNode packedEntry,
       int charCount) {}
 
   static final class OpenJobSegment {
     final int number;
     long revision;
-    final Map<JobId, OpenJobEntry> jobs = new LinkedHashMap<>();
+    final Map<JobId, OpenJobEntry> entriesByJob = new LinkedHashMap<>();
 
     OpenJobSegment(int number) {
       this.number = number;
@@ -67,7 +73,7 @@
     long revision;
     private int assignedJobCount;
     private int openJobCount;
-    final Map<JobId, String> ends = new LinkedHashMap<>();
+    final Map<JobId, String> encodedEndsByJob = new LinkedHashMap<>();
 
     FinishedJobSegment(String name) {
       this.name = name;
@@ -80,32 +86,39 @@
     this.jobsPerFinishedSegment = Math.max(1, maxChars / ENTRY_OVERHEAD_CHARS);
   }
 
-  static int countChars(ArrayNode value) {
-    return value.toString().length() + ENTRY_OVERHEAD_CHARS;
+  static int countChars(ArrayNode packedEntry) {
+    return packedEntry.toString().length() + ENTRY_OVERHEAD_CHARS;
   }
 
-  private static int countChars(Map<JobId, OpenJobEntry> jobs) {
-    return jobs.values().stream().mapToInt(OpenJobEntry::charCount).sum();
+  private static int countChars(Map<JobId, OpenJobEntry> entries) {
+    return entries.values().stream().mapToInt(OpenJobEntry::charCount).sum();
   }
 
-  /** The entry of an open job; null if it is not open here. */
+  /** Returns the entry of an open job, or null if the job is not open at this entity. */
   OpenJobEntry findOpenEntry(JobId id) {
     return openEntries.get(id);
   }
 
-  /** An open-job segment with room for so many more, given the contents planned for some. */
+  /**
+   * Returns an open-job segment with space for {@code charCount} more characters. An empty segment
+   * is used even if the entry exceeds the fill limit; if no segment has space, a new one is added.
+   *
+   * @param plannedContents the contents that a transaction is to write, for the segments that it
+   *     changes
+   */
   OpenJobSegment findOpenSegmentWithSpace(
       int charCount, Map<OpenJobSegment, Map<JobId, OpenJobEntry>> plannedContents) {
     for (OpenJobSegment openSegment : openSegments) {
-      int usedChars = countChars(plannedContents.getOrDefault(openSegment, openSegment.jobs));
+      int usedChars =
+          countChars(plannedContents.getOrDefault(openSegment, openSegment.entriesByJob));
       if (usedChars == 0 || usedChars + charCount <= maxChars) {
         return openSegment;
       }
     }
-    return openSegment(openSegments.size());
+    return getOrAddOpenSegment(openSegments.size());
   }
 
-  private OpenJobSegment openSegment(int number) {
+  private OpenJobSegment getOrAddOpenSegment(int number) {
     while (openSegments.size() <= number) {
       openSegments.add(new OpenJobSegment(openSegments.size()));
     }
@@ -113,8 +126,8 @@
   }
 
   /**
-   * The finished-job segment for the end of a job that is submitted now. A new one gets a name that
-   * was never used before: it contains the version of this ownership.
+   * Assigns a finished-job segment to a job that is being submitted. A new segment's name was never
+   * used before, because it contains the version of this ownership.
    */
   FinishedJobSegment assignFinishedSegment() {
     if (currentFinishedSegment == null
@@ -127,28 +140,34 @@
     return currentFinishedSegment;
   }
 
-  /** Adds a job whose open-job segment is stored with it. */
-  void addOpenEntry(OpenJobEntry job) {
-    job.openSegment().jobs.put(job.id(), job);
-    if (openEntries.put(job.id(), job) == null) {
-      job.finishedSegment().openJobCount++;
+  /** Adds a job after its open-job segment was stored with the job in it. */
+  void addOpenEntry(OpenJobEntry entry) {
+    entry.openSegment().entriesByJob.put(entry.id(), entry);
+    if (openEntries.put(entry.id(), entry) == null) {
+      entry.finishedSegment().openJobCount++;
     }
   }
 
-  /** Removes a job that has ended; its space is free from the segment's next write on. */
+  /**
+   * Removes a job that has ended. Its space in the stored segment is freed by the segment's next
+   * write.
+   */
   void removeOpenEntry(JobId id) {
-    OpenJobEntry job = openEntries.remove(id);
-    if (job != null) {
-      job.openSegment().jobs.remove(id);
-      // A finished-job segment that no open job refers to is never written again.
-      if (--job.finishedSegment().openJobCount == 0
-          && job.finishedSegment() != currentFinishedSegment) {
-        finishedSegmentsByName.remove(job.finishedSegment().name);
+    OpenJobEntry entry = openEntries.remove(id);
+    if (entry != null) {
+      entry.openSegment().entriesByJob.remove(id);
+      // A finished-job segment is not written again once no open job refers to it.
+      if (--entry.finishedSegment().openJobCount == 0
+          && entry.finishedSegment() != currentFinishedSegment) {
+        finishedSegmentsByName.remove(entry.finishedSegment().name);
       }
     }
   }
 
-  /** Adds the ends of a finished-job segment as it was read. */
+  /**
+   * Adds the ends in a finished-job segment that was read, and removes their jobs from the open
+   * jobs.
+   */
   void replaceFinishedSegment(FinishedJobSegment finishedSegment, Entry entry) {
     finishedSegment.revision = entry.modRevision();
     if (entry.value() != null) {
@@ -157,20 +176,21 @@
           .properties()
           .forEach(
               jobField ->
-                  finishedSegment.ends.put(
+                  finishedSegment.encodedEndsByJob.put(
                       new JobId(jobField.getKey()), jobField.getValue().asText()));
     }
-    finishedSegment.ends.keySet().forEach(this::removeOpenEntry);
+    finishedSegment.encodedEndsByJob.keySet().forEach(this::removeOpenEntry);
   }
 
   /**
-   * Replaces an open-job segment by what was read. Of jobs not known before, only those that {@code
-   * isOpen} accepts are open: the others have ended since the segment was last written.
+   * Replaces the contents of an open-job segment with those that were read. Among the jobs that
+   * were not in the segment before, only those that {@code isOpen} accepts are open: the others
+   * have ended since the segment was last written.
    */
   void replaceOpenSegment(OpenJobSegment openSegment, Entry entry, Predicate<JobId> isOpen) {
     openSegment.revision = entry.modRevision();
-    Map<JobId, OpenJobEntry> previousEntries = new HashMap<>(openSegment.jobs);
-    openSegment.jobs.clear();
+    Map<JobId, OpenJobEntry> previousEntries = new HashMap<>(openSegment.entriesByJob);
+    openSegment.entriesByJob.clear();
     JsonNode value = entry.value() == null ? Cbor.newMap() : entry.value();
     value
         .properties()
@@ -180,12 +200,12 @@
               ArrayNode packedEntry = (ArrayNode) jobField.getValue();
               OpenJobEntry knownEntry = previousEntries.get(id);
               if (knownEntry != null) {
-                openSegment.jobs.put(id, knownEntry);
+                openSegment.entriesByJob.put(id, knownEntry);
               } else if (isOpen.test(id)) {
                 FinishedJobSegment finishedSegment =
                     finishedSegmentsByName.computeIfAbsent(
                         packedEntry.path(0).asText(), FinishedJobSegment::new);
-                if (!finishedSegment.ends.containsKey(id)) {
+                if (!finishedSegment.encodedEndsByJob.containsKey(id)) {
                   addOpenEntry(
                       new OpenJobEntry(
                           id, openSegment, finishedSegment, packedEntry, countChars(packedEntry)));
@@ -194,7 +214,7 @@
             });
   }
 
-  /** The names of the finished-job segments that the open-job segments refer to. */
+  /** Returns the names of the finished-job segments that the open-job segments refer to. */
   static Set<String> finishedSegmentNamesIn(List<Entry> openSegmentRows) {
     Set<String> names = new HashSet<>();
     for (Entry entry : openSegmentRows) {
@@ -214,23 +234,30 @@
   void loadOpenSegment(Entry entry) {
     String prefix = StateSchema.openJobPrefix(entity.id());
     replaceOpenSegment(
-        openSegment(Integer.parseInt(entry.key().substring(prefix.length()))), entry, id -> true);
+        getOrAddOpenSegment(Integer.parseInt(entry.key().substring(prefix.length()))),
+        entry,
+        id -> true);
   }
 
   List<StoredJob> allStoredJobs() {
     return openEntries.keySet().stream().map(this::findStoredJob).filter(Objects::nonNull).toList();
   }
 
-  /** An open job as it was stored; null if it is not open here, or cannot be read. */
+  /**
+   * Returns an open job as it was stored, or null if it is not open at this entity or its stored
+   * description cannot be parsed.
+   */
   StoredJob findStoredJob(JobId id) {
-    OpenJobEntry job = openEntries.get(id);
+    OpenJobEntry entry = openEntries.get(id);
     try {
-      return job == null
+      return entry == null
           ? null
           : new StoredJob(
-              JobMessages.parsePackedSpec(id, job.value(), 2), job.value().path(1).asLong());
+              JobMessages.parsePackedSpec(id, entry.packedEntry(), 2),
+              entry.packedEntry().path(1).asLong());
     } catch (MalformedMessageException exception) {
-      LOG.error("job {} cannot be read: {}", id, exception.getMessage());
+      LOG.error(
+          "stored description of open job {} cannot be parsed: {}", id, exception.getMessage());
       return null;
     }
   }
--- a/src/main/java/io/violetrail/api/Readiness.java
+++ b/src/main/java/io/violetrail/api/Readiness.java
@@ -8,13 +8,13 @@
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.wire.Cbor;
 
-/** Whether this controller can take users' requests, for the load balancer's health checks. */
+/** Tells the load balancer's health checks whether this controller can serve users' requests. */
 public final class Readiness {
   private final Membership membership;
   private final MachineTypes machineTypes;
   private final Configuration configuration;
 
-  /** Answers from the lease, the entities owned here and what is known of the cloud. */
+  /** Creates a check of this controller's lease, its home entity and the known machine types. */
   public Readiness(Membership membership, MachineTypes machineTypes, Configuration configuration) {
     this.membership = membership;
     this.machineTypes = machineTypes;
@@ -22,17 +22,19 @@
   }
 
   /**
-   * Whether requests of users can be taken: the own entity is here, and its lease at most lapsing.
+   * Returns whether users' requests can be served: this controller's home entity is active here,
+   * its lease is valid or has been uncertain for less than the keep-alive grace period, and the
+   * machine types are known.
    */
   public boolean isReady() {
-    OwnedEntity ownEntity = membership.findHomeEntity();
-    return ownEntity != null
-        && ownEntity.isActive()
+    OwnedEntity homeEntity = membership.findHomeEntity();
+    return homeEntity != null
+        && homeEntity.isActive()
         && membership.mayKeepWorkersAlive()
         && !machineTypes.isEmpty();
   }
 
-  /** The body of the answer to a health check that succeeds. */
+  /** Returns the body of the answer to a successful health check. */
   ObjectNode describe() {
     ObjectNode body = Cbor.newMap().put("status", "ready");
     ConfigurationState state = configuration.findState();
--- a/src/main/java/io/violetrail/api/UnknownTaskLookup.java
+++ b/src/main/java/io/violetrail/api/UnknownTaskLookup.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out about the jobs of unknown tasks, which a worker reports while their job is not open at
- * the entity of its machine. Called on the event loop's thread.
+ * Looks up the jobs of unknown tasks: tasks that a worker reports while their job is not open at
+ * the entity of the worker's machine. Called on the event loop's thread.
  */
 public final class UnknownTaskLookup {
   private static final Logger LOG = LoggerFactory.getLogger(UnknownTaskLookup.class);
@@ -29,11 +29,14 @@
   private final JobRestorer jobRestorer;
   private final Set<JobId> lookupsInFlight = new HashSet<>();
 
-  /** Bounds the reads: a job is looked up now and then, not with every heartbeat. */
+  /**
+   * When each job was last looked up; limits the reads, so that a job is not looked up with every
+   * heartbeat.
+   */
   private final Cache<JobId, Double> lastLookupSeconds =
       CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_LOOKUPS).build();
 
-  /** Looks jobs up in the rows, and restores those that should have been open. */
+  /** Creates a lookup that reads the stored rows and restores jobs that should have been open. */
   public UnknownTaskLookup(
       EventLoop loop, JobLookup jobLookup, KnownJobs knownJobs, JobRestorer jobRestorer) {
     this.loop = loop;
@@ -43,11 +46,12 @@
   }
 
   /**
-   * The job of a task whose job is not open at the entity; null if it is not known, in which case a
-   * look-up is started unless there was one just now.
+   * Returns the job of a task whose job is not open at the entity, or null if it is not known to
+   * have ended or not to exist. In that case a lookup is started, unless the job was looked up just
+   * now or too many lookups are in flight.
    */
   public KnownJob findKnownJob(OwnedEntity ownedEntity, JobId id) {
-    KnownJob knownJob = knownJobs.findFinished(id);
+    KnownJob knownJob = knownJobs.findFinishedOrNonexistent(id);
     if (knownJob != null) {
       return knownJob;
     }
@@ -60,10 +64,10 @@
           jobLookup
               .lookUpInBackground(id)
               .whenComplete(
-                  (found, failure) -> {
+                  (lookupResult, failure) -> {
                     lookupsInFlight.remove(id);
                     if (failure == null) {
-                      handleLookupResult(ownedEntity, id, found);
+                      handleLookupResult(ownedEntity, id, lookupResult);
                     }
                   }),
           "read a job's stored state");
@@ -71,16 +75,16 @@
     return null;
   }
 
-  private void handleLookupResult(OwnedEntity ownedEntity, JobId id, LookupResult found) {
-    boolean openHere = ownedEntity.id().equals(found.openAtEntity());
+  private void handleLookupResult(OwnedEntity ownedEntity, JobId id, LookupResult lookupResult) {
+    boolean openHere = ownedEntity.id().equals(lookupResult.openAtEntity());
     if (openHere) {
       jobRestorer.restoreIfMissing(ownedEntity, id);
-    } else if (found.isAbsent() || found.openAtEntity() != null) {
+    } else if (lookupResult.isAbsent() || lookupResult.openAtEntity() != null) {
       LOG.info(
-          "a worker of entity {} has a task of {}, which is not of this entity",
+          "a worker of entity {} reported a task of job {}, which does not belong to that entity",
           ownedEntity.id(),
           id);
-      if (found.isAbsent()) {
+      if (lookupResult.isAbsent()) {
         knownJobs.recordNonexistent(id, ownedEntity.id());
       }
     }
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -13,16 +13,16 @@
 
 /**
  * Routes the requests of users, workers and health checks to their handlers, with a deadline for
- * each answer about a job. Called on the event loop's thread. It owns the routes, which are fixed
- * after the start; nothing of it needs to survive a crash.
+ * each answer about a job. Called on the event loop's thread. The routes are fixed after startup,
+ * and no state has to survive a crash.
  */
 public final class UserApi implements RequestHandler {
   private static final String JOB_PATH_PREFIX = JobMessages.JOBS_PATH + "/";
 
-  /** Below the 2 s that users wait for the answer to a poll. */
+  /** The deadline for the answer to a poll, below the 2 s that users wait for it. */
   private static final double QUERY_TIMEOUT_SECONDS = 1.8;
 
-  /** Below the 5 s that users wait for all other answers. */
+  /** The deadline for all other answers about jobs, below the 5 s that users wait for them. */
   private static final double CHANGE_TIMEOUT_SECONDS = 4.5;
 
   private final EventLoop loop;
@@ -31,10 +31,13 @@
   private final Metrics metrics;
   private final Map<String, Route> routesByPath;
 
-  /** Serves the optional paths that are switched on; answers 404 if there are none. */
-  private RequestHandler optionalService = UserApi::notFound;
+  /**
+   * Serves the paths without a route: those of the enabled optional services, and 404 for all
+   * others.
+   */
+  private RequestHandler optionalService = UserApi::answerNotFound;
 
-  /** What one path serves: its only method, and what answers a request with that. */
+  /** The only HTTP method that a path accepts, and the handler of its requests. */
   private record Route(String method, RouteHandler handler) {
     static Route get(RouteHandler handler) {
       return new Route("GET", handler);
@@ -49,7 +52,10 @@
     void handle(byte[] body, Consumer<HttpAnswer> respond);
   }
 
-  /** Serves requests through the given handlers; {@code /traces} only if the tracer is enabled. */
+  /**
+   * Creates the routes to the given handlers. {@code /traces} is served only if the tracer is
+   * enabled.
+   */
   public UserApi(
       EventLoop loop,
       JobSubmission jobSubmission,
@@ -74,7 +80,8 @@
         JobMessages.JOBS_PATH,
         Route.post(
             (body, respond) ->
-                jobSubmission.handle(body, timed("submit", CHANGE_TIMEOUT_SECONDS, respond))));
+                jobSubmission.handle(
+                    body, withDeadline("submit", CHANGE_TIMEOUT_SECONDS, respond))));
     routes.put(
         "/metrics",
         Route.get((body, respond) -> respond.accept(HttpAnswer.text(metrics.render()))));
@@ -89,12 +96,12 @@
   }
 
   /**
-   * Serves further paths beside those known here.
+   * Adds a service for paths that have no route here.
    *
-   * @param next makes the service from the one that served what is unknown so far
+   * @param wrapper returns the new service for such paths, given the current one
    */
-  public void addOptionalService(UnaryOperator<RequestHandler> next) {
-    optionalService = next.apply(optionalService);
+  public void addOptionalService(UnaryOperator<RequestHandler> wrapper) {
+    optionalService = wrapper.apply(optionalService);
   }
 
   @Override
@@ -111,35 +118,40 @@
     }
   }
 
-  /** The route of a path that names one job. */
+  /** Returns the route of a path that contains a job id. */
   private Route jobRoute(String path) {
     String subpath = path.substring(JOB_PATH_PREFIX.length());
     if (!path.endsWith(JobMessages.CANCEL_PATH_SUFFIX)) {
       return Route.get(
           (body, respond) ->
-              jobQuery.handle(subpath, timed("poll", QUERY_TIMEOUT_SECONDS, respond)));
+              jobQuery.handle(subpath, withDeadline("poll", QUERY_TIMEOUT_SECONDS, respond)));
     }
-    // The prefix and the suffix share their slash if there is no id between them.
+    // Without an id between them, the prefix and the suffix overlap in one slash.
     String id =
         subpath.substring(
             0, Math.max(0, subpath.length() - JobMessages.CANCEL_PATH_SUFFIX.length()));
     return Route.post(
         (body, respond) ->
-            jobCancellation.handle(id, timed("abort", CHANGE_TIMEOUT_SECONDS, respond)));
+            jobCancellation.handle(id, withDeadline("abort", CHANGE_TIMEOUT_SECONDS, respond)));
   }
 
-  /** Answers within the time, and records how long that took under the metric's label. */
-  private Consumer<HttpAnswer> timed(String label, double seconds, Consumer<HttpAnswer> respond) {
+  /**
+   * Wraps {@code respond} with a deadline of {@code seconds} and a latency metric with the label.
+   */
+  private Consumer<HttpAnswer> withDeadline(
+      String label, double seconds, Consumer<HttpAnswer> respond) {
     return metrics.recordLatency(label, new AnswerDeadline(loop, seconds, respond));
   }
 
   private static HttpAnswer healthAnswer(Readiness readiness) {
     return readiness.isReady()
         ? HttpAnswer.of(200, readiness.describe())
-        : HttpAnswer.unavailable("not ready");
+        : HttpAnswer.unavailable(
+            "not ready: the home entity is not active here, the lease is not valid, or the machine"
+                + " types are not known");
   }
 
-  private static void notFound(
+  private static void answerNotFound(
       String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
     respond.accept(HttpAnswer.empty(404));
   }
