--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -93,10 +93,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller: makes its parts, connects and starts them. The only class that knows them all.
+ * One controller. Creates all of its components, connects and starts them; no other class knows all
+ * components.
  *
- * <p>Everything runs on the thread of the event loop. Nothing here survives the process: what must
- * is in the state service.
+ * <p>Everything runs on the event loop's thread. All state in memory is lost with the process; what
+ * must survive is kept in the state service.
  */
 public final class Controller {
   private static final Logger EVIDENCE = LoggerFactory.getLogger(EvidenceLog.class);
@@ -131,12 +132,12 @@
   private final PeerService peerService;
 
   /**
-   * Makes a controller that does nothing before {@link #start}.
+   * Creates a controller that does nothing before {@link #start}.
    *
    * @param loop the controller's only thread, and its clocks
-   * @param http sends requests to the other programs
-   * @param random decides wherever choices are equal
-   * @param jobTracer notes the ways of jobs
+   * @param http sends requests to the state service, the cloud, workers and other controllers
+   * @param random source of all random choices
+   * @param jobTracer records traces of the jobs
    */
   public Controller(
       Settings settings,
@@ -150,7 +151,7 @@
     this.http = http;
     this.random = random;
 
-    // The state service, and what is known of the common rows.
+    // The state service, membership and configuration.
     leaseTiming = LeaseTiming.from(settings, options.leaseTtlSeconds());
     store = new StateStore(loop, http, settings);
     clusterView = new ClusterView(settings);
@@ -248,7 +249,7 @@
             new GangRepair(taskStopper),
             jobLifecycle);
 
-    // The fleet.
+    // Scale out and scale in.
     CloudClient cloud = new CloudClient(loop, http, settings);
     ScaleOutRequests scaleOutRequests =
         new ScaleOutRequests(loop, store, clusterView, membership, peerClient, cloud);
@@ -340,7 +341,7 @@
             new LongPollReplies(
                 loop, clusterView, membership, workerRouter, leaseRenewal, commandWriter));
 
-    // What is served.
+    // The HTTP API and the service for the other controllers.
     JobStateLookup jobStates = new JobStateLookup(membership, knownJobs);
     final LocalCancellation localCancellation =
         new LocalCancellation(membership, knownJobs, jobLifecycle, jobStates);
@@ -384,7 +385,7 @@
             peerCodec);
   }
 
-  /** Begins to renew the lease, to follow the rows and to work. */
+  /** Starts to renew the lease, to follow the rows of the state service, and all periodic work. */
   public void start() {
     membership.start();
     configuration.start();
@@ -399,20 +400,20 @@
     autoscaler.start();
     workerReachability.start();
     taskStopper.start();
-    loop.scheduleWithFixedDelay(ANNOUNCE_PERIOD_SECONDS, this::announceSeizedEntities);
+    loop.scheduleWithFixedDelay(ANNOUNCE_PERIOD_SECONDS, this::announceFailedOverEntities);
   }
 
-  /** What is served to users, workers and health checks. */
+  /** Returns the handler of requests from users, workers and health checks. */
   public RequestHandler api() {
     return api;
   }
 
-  /** What is served to the other controllers. */
+  /** Returns the handler of requests from other controllers. */
   public RequestHandler peerService() {
     return peerService;
   }
 
-  /** Serves and fires schedules. */
+  /** Starts to run schedules, and adds their paths to the API. */
   public void serveSchedules() {
     ScheduleRegistry scheduleRegistry =
         new ScheduleRegistry(
@@ -431,7 +432,7 @@
     api.addOptionalService(others -> scheduleApi);
   }
 
-  /** Serves the configuration's paths beside what is served already. */
+  /** Adds the configuration's paths to the API. */
   public void serveConfiguration() {
     ConfigurationWriter writer = new ConfigurationWriter(settings, loop, store);
     api.addOptionalService(
@@ -440,10 +441,10 @@
   }
 
   /**
-   * Makes and starts the subset of the Kubernetes API.
+   * Creates and starts the subset of the Kubernetes API.
    *
-   * @param port where all controllers serve it
-   * @return what is to be served there
+   * @param port the port at which all controllers serve it
+   * @return the handler of requests at that port
    */
   public KubernetesApi startKubernetes(int port) {
     KubernetesSubsystem kubernetes =
@@ -464,37 +465,37 @@
     return kubernetes.api();
   }
 
-  /** This controller's lease and entities, for tests. */
+  /** Returns this controller's lease and entities, for tests. */
   public Membership membership() {
     return membership;
   }
 
-  /** What is known here of the common rows, for tests. */
-  public ClusterView directory() {
+  /** Returns this controller's view of the common rows, for tests. */
+  public ClusterView clusterView() {
     return clusterView;
   }
 
-  /** The teams and objectives that this controller goes by, for tests. */
+  /** Returns the teams and objectives in force at this controller, for tests. */
   public Configuration configuration() {
     return configuration;
   }
 
-  /** Whether workers are heard here, for tests. */
+  /** Returns the detection of a partition between this controller and its workers, for tests. */
   public WorkerReachability reachability() {
     return workerReachability;
   }
 
-  /** The machine types known here, for tests. */
+  /** Returns the machine types that this controller knows, for tests. */
   public MachineTypes machineTypes() {
     return machineTypes;
   }
 
-  /** What the controller was started with, for tests. */
+  /** Returns the settings with which the controller was started, for tests. */
   public Settings settings() {
     return settings;
   }
 
-  /** Machines examined for placement so far, a measure of what that costs. */
+  /** Returns how many machines were examined so far, a measure of the cost of placement. */
   public long machinesExamined() {
     return taskScheduler.machinesExamined();
   }
@@ -505,20 +506,21 @@
     schedulingLoop.requestPass();
   }
 
-  /** This controller's state of the configuration, and then those of all peers. */
+  /** Returns the configuration state of this controller, followed by those of all peers. */
   private CompletableFuture<List<ConfigurationState>> configurationStates() {
-    List<CompletableFuture<ConfigurationState>> all = new ArrayList<>();
-    all.add(CompletableFuture.completedFuture(configuration.findState()));
-    all.addAll(peerClient.configurationStates());
-    return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new))
-        .thenApply(nothing -> all.stream().map(CompletableFuture::join).toList());
+    List<CompletableFuture<ConfigurationState>> states = new ArrayList<>();
+    states.add(CompletableFuture.completedFuture(configuration.findState()));
+    states.addAll(peerClient.configurationStates());
+    return CompletableFuture.allOf(states.toArray(CompletableFuture[]::new))
+        .thenApply(nothing -> states.stream().map(CompletableFuture::join).toList());
   }
 
   /**
-   * A former owner that the state service refuses learns of a failover from its peers alone, and
-   * one message may be lost: it is sent again until its grace period is over in any case.
+   * Announces again the entities that this controller acquired by failover. A former owner that the
+   * state service refuses to answer learns of the failover only from its peers, and a message may
+   * be lost. The announcement is repeated until the former owner's grace period is certainly over.
    */
-  private void announceSeizedEntities() {
+  private void announceFailedOverEntities() {
     for (OwnedEntity entity : membership.ownedEntities()) {
       double ownedSeconds = loop.monotonicSeconds() - entity.acquiredAtSeconds();
       if (!entity.acquiredGracefully()
@@ -540,7 +542,7 @@
       peerClient.announce(membership.ownedEntities());
     }
 
-    /** Machines may have been passed over to an entity owned here. */
+    /** Also adds machines that were transferred to an entity owned by this controller. */
     @Override
     public void onRowsChanged() {
       configuration.onRowsChanged();
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads what a former owner has stored of an entity that was just acquired, and activates the
- * entity. Until then nothing is decided for it; a read that fails is repeated.
+ * Loads the stored rows of an entity that this controller has just acquired, and then activates the
+ * entity. No scheduling decision is made for the entity before that. A read that fails is repeated.
  */
 final class EntityRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(EntityRecovery.class);
@@ -55,10 +55,13 @@
     this.schedulingLoop = schedulingLoop;
   }
 
-  /** The rows of one entity, as read after the move. */
+  /** The rows of one entity, read after its move to this controller. */
   private record EntityRows(List<StoredJob> openJobs, List<Entry> requests, List<Entry> progress) {}
 
-  /** Begins to read; the entity becomes active later, unless it is lost before. */
+  /**
+   * Starts to read the entity's rows. The entity becomes active once they are read, unless this
+   * controller has lost it by then.
+   */
   void recover(OwnedEntity entity) {
     if (entity.phase() != OwnedEntity.Phase.LOADING) {
       return;
@@ -69,7 +72,7 @@
             .thenCompose(listing -> jobRestorer.loadOpenJobs(entity, listing.entries()));
     var requests = store.list(StateSchema.scaleOutRequestPrefix(entity.id()));
     var progress = store.list(StateSchema.progressPrefix(entity.id()));
-    // Rows of machines as of after the move: from here on only this owner changes them.
+    // The machine rows must be read after the move. From then on only this owner changes them.
     var common = store.list(StateSchema.COMMON_PREFIX);
     Futures.logFailure(
         CompletableFuture.allOf(openJobs, requests, progress, common)
@@ -85,15 +88,15 @@
                       new EntityRows(
                           openJobs.join(), requests.join().entries(), progress.join().entries()));
                 }),
-        "read an entity's rows");
+        "read the rows of an entity");
   }
 
   private void activate(OwnedEntity entity, EntityRows rows) {
     if (entity.phase() != OwnedEntity.Phase.LOADING) {
       return;
     }
-    if (!machines.addAllRecorded(entity, unheardTasksGoneSeconds(entity))) {
-      LOG.info("entity {} waits for the machine types", entity.id());
+    if (!machines.addAllRecorded(entity, unreportedTasksGoneAtSeconds(entity))) {
+      LOG.info("entity {} not active yet: waiting for the machine types", entity.id());
       loop.schedule(RETRY_MACHINE_TYPES_SECONDS, () -> recover(entity));
       return;
     }
@@ -110,19 +113,22 @@
   }
 
   /**
-   * When the tasks of a machine that has not reported until then are certainly gone: no former
-   * owner can have kept its worker's lease longer.
+   * Returns when the tasks of a machine that has not reported by then have certainly terminated, in
+   * seconds of the monotonic clock. No former owner can have renewed the worker's lease for longer.
    */
-  private double unheardTasksGoneSeconds(OwnedEntity entity) {
-    double now = loop.monotonicSeconds();
-    double afterMove =
+  private double unreportedTasksGoneAtSeconds(OwnedEntity entity) {
+    double nowSeconds = loop.monotonicSeconds();
+    double goneAfterMoveAtSeconds =
         entity.acquiredAtSeconds()
             + (entity.acquiredGracefully()
                 ? leaseTiming.tasksGoneAfterReplySeconds()
                 : leaseTiming.tasksGoneAfterFailoverSeconds());
-    double gone = Math.max(afterMove, now + leaseTiming.tasksGoneAfterReplySeconds());
-    // Handed over soon after a failover: the owner before that may still be in its grace period.
+    double goneAtSeconds =
+        Math.max(goneAfterMoveAtSeconds, nowSeconds + leaseTiming.tasksGoneAfterReplySeconds());
+    // If the handover follows soon after a failover, the owner before the failover may still be in
+    // its grace period.
     return Math.max(
-        gone, now + leaseTiming.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
+        goneAtSeconds,
+        nowSeconds + leaseTiming.secondsUntilTasksGone(entity.row().history(), loop.wallMillis()));
   }
 }
--- a/src/main/java/io/violetrail/scheduling/BinPacker.java
+++ b/src/main/java/io/violetrail/scheduling/BinPacker.java
@@ -14,15 +14,19 @@
 import java.util.Random;
 
 /**
- * Chooses machines for tasks: the best ({@link MachineScorer}) of a few sampled machines that fit
- * ({@link PlacementConstraints}). It changes neither jobs nor machines.
+ * Chooses machines for tasks. Of the machines on which a task fits ({@link PlacementConstraints}),
+ * it compares a random sample and takes the one with the best score ({@link MachineScorer}). It
+ * changes neither jobs nor machines.
  *
  * <p>Called by {@link TaskScheduler} on the event loop's thread, between {@link #beginPass} and the
- * end of a pass. Nothing survives the process.
+ * end of the pass. Its state is lost with the process.
  */
 public final class BinPacker {
-  /** A machine used less than this may be emptied, so that it can be returned. */
-  private static final double LIGHT_USE_SHARE = 0.5;
+  /**
+   * A machine with a lower utilization may be left without new tasks, so that it becomes idle and
+   * can be returned.
+   */
+  private static final double LIGHT_UTILIZATION = 0.5;
 
   private final RecentAcceleratorDemand acceleratorDemand = new RecentAcceleratorDemand();
   private final PlacementConstraints constraints;
@@ -34,10 +38,10 @@
   private long examinedCount;
 
   /**
-   * Creates a bin packer without any demand recorded.
+   * Creates a bin packer with no recorded accelerator demand.
    *
-   * @param random samples machines
-   * @param sampleSize how many machines are compared for each task
+   * @param random selects the machines that are compared
+   * @param sampleSize the maximum number of machines that are compared for a task
    */
   public BinPacker(
       ServiceLevelObjectives objectives,
@@ -50,29 +54,29 @@
     this.sampleSize = sampleSize;
   }
 
-  /** Sets what the next decisions are based on: the time, prices, and the pending jobs. */
+  /** Sets the time, the prices and the pending jobs on which the next decisions are based. */
   void beginPass(double nowSeconds, Prices currentPrices, List<Job> pendingJobs) {
     passStartedAtSeconds = nowSeconds;
     prices = currentPrices;
     constraints.beginPass(currentPrices, pendingJobs);
   }
 
-  /** Machines examined so far: what placement costs, for metrics and tests. */
+  /** Returns how many machines were examined so far, a measure of the cost of placement. */
   long machinesExamined() {
     return examinedCount;
   }
 
-  /** A job is pending; work without accelerators leaves room for its class from now on. */
+  /** Records a pending job. If it needs accelerators, CPU-only tasks leave room for its class. */
   void recordDemand(JobSpec job, double nowSeconds) {
     acceleratorDemand.record(job, nowSeconds);
   }
 
-  /** Whether a job with accelerators was pending here lately. */
+  /** Returns whether a job that needs accelerators was pending in the last ten minutes. */
   public boolean hasRecentAcceleratorDemand(double nowSeconds) {
-    return acceleratorDemand.isPresent(nowSeconds);
+    return acceleratorDemand.hasRecentDemand(nowSeconds);
   }
 
-  /** The machines among {@code schedulableMachines} on which a next task of the job could start. */
+  /** Returns those of the machines on which the next task of the job may start now. */
   List<Machine> findFittingMachines(
       Job job,
       Collection<Machine> schedulableMachines,
@@ -87,39 +91,40 @@
     return fittingMachines;
   }
 
-  /** Whether a task of the job may start on the machine now. */
+  /** Returns whether a task of the job may start on the machine now. */
   boolean fits(
       Job job, Machine machine, Map<String, Integer> placedCountByZone, double nowSeconds) {
     examinedCount++;
     return constraints.fits(job, machine, placedCountByZone, nowSeconds);
   }
 
-  /** Whether a task of the job could start there if there were room. */
+  /** Returns whether a task of the job could start on the machine if it had enough free room. */
   boolean isSuitable(Job job, Machine machine, double nowSeconds) {
     return constraints.isSuitable(job, machine, nowSeconds);
   }
 
   /**
-   * Whether all pending tasks of the job have room on machines that are used more than this one.
-   * Then this one is left alone, so that it becomes idle and can be transferred or returned: if it
-   * were filled again after each report, every machine of a half-used fleet would stay half used.
+   * Returns whether this machine is lightly used and all pending tasks of the job fit on machines
+   * with a higher utilization. Then no task should be placed here, so that the machine becomes idle
+   * and can be transferred or returned. If it were filled again after each heartbeat, every machine
+   * of a half-used fleet would stay half used.
    */
-  boolean hasRoomOnFullerMachines(
+  boolean hasRoomOnBusierMachines(
       Job job, Machine machine, Collection<Machine> machines, double nowSeconds) {
-    double usedShare = machine.utilization();
-    if (usedShare >= LIGHT_USE_SHARE) {
+    double utilization = machine.utilization();
+    if (utilization >= LIGHT_UTILIZATION) {
       return false;
     }
-    int roomCount = 0;
+    int slotCount = 0;
     int unplacedCount = job.unplacedCount();
     Map<String, Integer> placedCountByZone = PlacementConstraints.countPlacedByZone(job);
     for (Machine other : machines) {
       if (other != machine
           && other.isSchedulable()
-          && other.utilization() > usedShare
+          && other.utilization() > utilization
           && fits(job, other, placedCountByZone, nowSeconds)) {
-        roomCount += other.freeCapacity().countFitting(job.spec().taskResources());
-        if (roomCount >= unplacedCount) {
+        slotCount += other.freeCapacity().countFitting(job.spec().taskResources());
+        if (slotCount >= unplacedCount) {
           return true;
         }
       }
@@ -127,13 +132,16 @@
     return false;
   }
 
-  /** The best of a few sampled machines; empty if there is none. The list's order is lost. */
+  /**
+   * Returns the best machine of a random sample; empty if the list is empty. Reorders the list. The
+   * machines must all fit the job.
+   */
   Optional<Machine> chooseBest(Job job, List<Machine> fittingMachines) {
     Machine bestMachine = null;
     double bestScore = Double.POSITIVE_INFINITY;
     int sampleCount = Math.min(sampleSize, fittingMachines.size());
     for (int i = 0; i < sampleCount; i++) {
-      // The first steps of a shuffle: a sample without repetition at the cost of the sample alone.
+      // A partial shuffle samples without repetition, at a cost that depends only on sampleCount.
       Collections.swap(fittingMachines, i, i + random.nextInt(fittingMachines.size() - i));
       Machine machine = fittingMachines.get(i);
       double score = scorer.score(job, machine, prices, passStartedAtSeconds);
@@ -147,9 +155,9 @@
   }
 
   /**
-   * Machines for all of a gang's tasks at once, one entry for each task; empty if the gang does not
-   * fit as a whole. A gang of a single zone gets the zone whose room exceeds its need the least, so
-   * that the widest room stays whole for a wide gang.
+   * Returns the machines for all of a gang's tasks, one entry for each task; empty if the gang does
+   * not fit as a whole. A single-zone gang gets the zone with the least room that suffices, so that
+   * zones with more room remain available to wider gangs.
    */
   Optional<List<Machine>> planGang(
       Job job, Collection<Machine> schedulableMachines, double nowSeconds) {
@@ -166,15 +174,15 @@
       machinesByZone.computeIfAbsent(machine.row().zone(), z -> new ArrayList<>()).add(machine);
     }
     List<Machine> bestZone = null;
-    int bestRoomCount = Integer.MAX_VALUE;
+    int bestSlotCount = Integer.MAX_VALUE;
     for (List<Machine> zoneMachines : machinesByZone.values()) {
-      int roomCount = 0;
+      int slotCount = 0;
       for (Machine machine : zoneMachines) {
-        roomCount += machine.freeCapacity().countFitting(job.spec().taskResources());
+        slotCount += machine.freeCapacity().countFitting(job.spec().taskResources());
       }
-      if (roomCount >= job.spec().taskCount() && roomCount < bestRoomCount) {
+      if (slotCount >= job.spec().taskCount() && slotCount < bestSlotCount) {
         bestZone = zoneMachines;
-        bestRoomCount = roomCount;
+        bestSlotCount = slotCount;
       }
     }
     return Optional.ofNullable(bestZone);
@@ -206,8 +214,8 @@
     return Optional.of(chosenMachines);
   }
 
-  /** Whether the job's tasks start one by one. */
-  static boolean startsTaskByTask(Job job) {
+  /** Returns whether the tasks of the job may start one by one, so that it is not a gang. */
+  static boolean startsTasksIndividually(Job job) {
     return job.spec().shape() != JobShape.GANG;
   }
 }
--- a/src/main/java/io/violetrail/scheduling/DeadlineSelection.java
+++ b/src/main/java/io/violetrail/scheduling/DeadlineSelection.java
@@ -6,26 +6,29 @@
 import java.util.PriorityQueue;
 
 /**
- * Orders pending jobs so that as many as possible meet their deadlines (after Moore and Hodgson):
- * by deadline, but where not all can meet theirs, those with the most work make way. By deadline
- * alone, an overload would be spent on jobs that are late in the end, and one after the other would
- * be late.
+ * Orders pending jobs so that as many as possible meet their deadlines (after the Moore-Hodgson
+ * algorithm). Jobs are ordered by deadline; where not all of them can meet it, the jobs with the
+ * most work are deferred. With the earliest deadline first alone, an overloaded entity would spend
+ * its capacity on jobs that are late in the end, and make one job after the other late.
  *
  * <p>Has no state.
  */
 final class DeadlineSelection {
   /**
-   * A pending job with the work that is left of it.
+   * A pending job and its remaining work.
    *
-   * @param deadlineAtSeconds in seconds of the monotonic clock; infinite if it cannot meet any
-   * @param workSeconds how long all machines of its kind together would work on it
-   * @param runtimeSeconds how long one task takes, a lower bound however much room there is
+   * @param deadlineAtSeconds the next deadline that the job can meet, in seconds of the monotonic
+   *     clock; infinite if there is none
+   * @param workSeconds how long the remaining work takes if all capacity that is available to the
+   *     job works on it
+   * @param runtimeSeconds how long one task takes, which bounds the completion time from below
+   *     however much capacity there is
    */
   record PendingJob(Job job, double deadlineAtSeconds, double workSeconds, double runtimeSeconds) {}
 
   private DeadlineSelection() {}
 
-  /** The jobs in the order in which they are to be placed. */
+  /** Returns the jobs in the order in which they are to be placed. */
   static List<PendingJob> orderByDeadline(List<PendingJob> jobs, double nowSeconds) {
     List<PendingJob> byDeadline = new ArrayList<>(jobs);
     byDeadline.sort(
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -10,13 +10,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The periodic work on each owned entity: silent machines, incomplete gangs, unstored progress, and
- * passes for pending jobs.
+ * The periodic work on each active entity that this controller owns. It detects unresponsive
+ * machines, stops incomplete gangs, stores the progress of jobs, and requests scheduling passes
+ * while jobs are pending.
  *
  * <p>Runs on the event loop's thread; has no state.
  */
 public final class EntityMaintenance {
-  /** How often it runs. */
+  /** The delay between two runs. */
   public static final double PERIOD_SECONDS = 0.5;
 
   private static final Logger LOG = LoggerFactory.getLogger(EntityMaintenance.class);
@@ -29,7 +30,7 @@
   private final GangRepair gangRepair;
   private final JobLifecycle jobLifecycle;
 
-  /** Works on what the membership says is owned here. */
+  /** Creates the maintenance of the entities that {@code membership} shows as owned. */
   public EntityMaintenance(
       EventLoop loop,
       Membership membership,
@@ -47,7 +48,7 @@
     this.jobLifecycle = jobLifecycle;
   }
 
-  /** Begins the periodic work. */
+  /** Starts the periodic work. */
   public void start() {
     loop.scheduleWithFixedDelay(PERIOD_SECONDS, this::runOnce);
   }
@@ -74,24 +75,25 @@
     if (!pendingQueues.inOrder(entity).isEmpty()) {
       schedulingLoop.requestPass();
     }
-    recordRecovery(entity, nowSeconds);
+    checkMachinesReconciled(entity, nowSeconds);
   }
 
   /**
-   * Once every machine has reported or has no tasks for certain, tasks may start that were open
-   * before the failover or handover and that no report has shown since.
+   * Marks the entity's machines as reconciled once each of them has reported or certainly has no
+   * tasks. From then on, tasks that were open before the failover or handover and that no heartbeat
+   * has shown since may be started.
    */
-  private static void recordRecovery(OwnedEntity entity, double nowSeconds) {
+  private static void checkMachinesReconciled(OwnedEntity entity, double nowSeconds) {
     if (entity.machinesReconciled() || entity.hasUncertainMachine(nowSeconds)) {
       return;
     }
     entity.markMachinesReconciled();
     LOG.info(
-        "entity {} version {}: {} s after its acquisition all of {} machines have reported or have"
-            + " no tasks; tasks that no report shows may start",
+        "entity {} version {}: reconciled {} s after its acquisition, all {} machines have reported"
+            + " or have no tasks; tasks that no heartbeat has shown may be started",
         entity.id(),
         entity.row().version(),
-        MachineLivenessMonitor.tenths(nowSeconds - entity.acquiredAtSeconds()),
+        MachineLivenessMonitor.roundToTenth(nowSeconds - entity.acquiredAtSeconds()),
         entity.machines().size());
   }
 }
--- a/src/main/java/io/violetrail/scheduling/FailureAttribution.java
+++ b/src/main/java/io/violetrail/scheduling/FailureAttribution.java
@@ -5,27 +5,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Attributes failures of tasks to their machines or to their jobs, by contrast: a machine on which
- * jobs fail that run well elsewhere is quarantined; a job that fails on several machines is
- * suspect, and its failures count little against machines. Without the latter, jobs that were
- * submitted with a mistake would drain one good machine after the other.
+ * Attributes task failures either to the machine or to the job. A machine is quarantined if jobs
+ * fail there that succeed on other machines. A job is suspect if it fails on several machines and
+ * has succeeded on none; its failures then count little against machines. Otherwise, faulty jobs
+ * would cause one healthy machine after the other to be drained.
  *
- * <p>Called on the event loop's thread; has no state. The evidence is kept in {@link Machine} and
- * {@link JobFailureHistory} and is lost with the process.
+ * <p>Called on the event loop's thread; has no state. The failures are kept in {@link Machine} and
+ * {@link JobFailureHistory} and are lost with the process.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
-  /** With so much evidence, one for each job that runs well elsewhere, a machine is quarantined. */
+  /**
+   * The sum of the evidence at which a machine is quarantined. Each failed job that succeeds on
+   * other machines adds 1.
+   */
   private static final double QUARANTINE_EVIDENCE = 2;
 
-  /** Of a job that has not run well anywhere yet: four of them are no coincidence. */
+  /**
+   * The evidence of a failed job that has not succeeded on any machine yet: four such jobs are
+   * unlikely to be a coincidence.
+   */
   private static final double UNPROVEN_JOB_EVIDENCE = 0.5;
 
-  /** Of a job that is itself suspect: eight of them are needed. */
+  /** The evidence of a failed job that is suspect itself: eight such jobs are needed. */
   private static final double SUSPECT_JOB_EVIDENCE = 0.25;
 
-  /** So many failures of one job that runs well elsewhere are enough by themselves. */
+  /**
+   * One job that succeeds elsewhere suffices for a quarantine if it has failed there this often.
+   */
   private static final int FAILURES_TO_QUARANTINE = 3;
 
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -33,9 +41,10 @@
   private FailureAttribution() {}
 
   /**
-   * A task has exited with an error.
+   * Records that a task has exited with an error, and updates whether its job is suspect and which
+   * machines are quarantined.
    *
-   * @param ranSeconds how long it ran; 0 if it was never seen running
+   * @param ranSeconds how long the task ran; 0 if it was never reported as running
    */
   public static void recordFailure(Machine machine, Job job, double ranSeconds, double nowSeconds) {
     job.failureHistory().recordFailure(machine, ranSeconds, nowSeconds);
@@ -46,12 +55,16 @@
         && job.failureHistory().countFailedMachinesInUse() >= 2) {
       job.failureHistory().markSuspect();
       LOG.info(
-          "job {} is suspect, it fails on every machine: one probe at a time", job.spec().id());
+          "job {} is suspect: it fails on every machine; retrying with one probe at a time",
+          job.spec().id());
       job.failureHistory().failedMachines().forEach(FailureAttribution::updateQuarantine);
     }
   }
 
-  /** A task is done: that clears its machine, and counts against those on which its job failed. */
+  /**
+   * Records that a task is done. This clears the failures of its machine, and is evidence against
+   * the machines on which its job has failed.
+   */
   public static void recordSuccess(Machine machine, Job job) {
     machine.clearFailures();
     if (job.failureHistory().hasFailures()) {
@@ -59,7 +72,10 @@
     }
   }
 
-  /** A task runs; if for long enough, that says as much as if it were done. */
+  /**
+   * Records that a task is running. A task that has run for long enough is as good a proof of its
+   * job as a task that is done.
+   */
   public static void recordRunning(Job job, double ranSeconds) {
     if (job.failureHistory().hasFailures()
         && !job.failureHistory().isProven()
@@ -74,7 +90,7 @@
     job.failureHistory().failedMachines().forEach(FailureAttribution::updateQuarantine);
   }
 
-  /** Whether no task of the job is done or was healthy anywhere yet. */
+  /** Returns whether no task of the job is done and none was healthy on any machine yet. */
   private static boolean isUnproven(Job job) {
     return job.doneCount() == 0 && !job.failureHistory().isProven();
   }
@@ -94,12 +110,12 @@
     boolean quarantined = evidence >= QUARANTINE_EVIDENCE - ROUNDING_TOLERANCE;
     if (quarantined && !machine.quarantined()) {
       LOG.info(
-          "machine {} quarantined: it fails jobs that run well elsewhere, or several others",
+          "machine {} quarantined: it fails jobs that succeed elsewhere, or several other jobs",
           machine.id());
       machine.startDraining();
     } else if (!quarantined && machine.quarantined() && !machine.returning()) {
       LOG.info(
-          "machine {} no longer quarantined: the jobs that failed there fail everywhere",
+          "machine {} no longer quarantined: the jobs that failed there fail on every machine",
           machine.id());
       machine.stopDraining();
     }
--- a/src/main/java/io/violetrail/scheduling/GangRepair.java
+++ b/src/main/java/io/violetrail/scheduling/GangRepair.java
@@ -6,26 +6,31 @@
 import io.violetrail.worker.TaskStopper;
 
 /**
- * Stops the rest of a gang that has lost a task, so that the whole gang can start again.
+ * Stops the remaining tasks of a gang that has lost a task, so that the whole gang can be
+ * restarted.
  *
  * <p>Called by {@link EntityMaintenance} on the event loop's thread; has no state.
  */
 public final class GangRepair {
   private final TaskStopper taskStopper;
 
-  /** Stops tasks through direct commands as well as in the replies to heartbeats. */
+  /**
+   * Creates a gang repair.
+   *
+   * @param taskStopper sends stops to workers directly, in addition to the replies to heartbeats
+   */
   public GangRepair(TaskStopper taskStopper) {
     this.taskStopper = taskStopper;
   }
 
-  /** Stops what is placed of the job if it is a gang of which some tasks are not placed. */
+  /** Stops all placed tasks of the job if it is a gang and some of its tasks are not placed. */
   void stopIncomplete(OwnedEntity entity, Job job, double nowSeconds) {
     if (job.spec().shape() != JobShape.GANG || job.hasNoPlacements() || job.unplacedCount() == 0) {
       return;
     }
-    // After a failover or handover its tasks are seen one by one, as their machines report: one
-    // that
-    // has not been seen yet is not lost. Without this, every failover would stop all gangs.
+    // After a failover or handover, the tasks of a gang reappear one by one as their machines
+    // report. A task that no heartbeat has shown yet is not lost. Without this check, every
+    // failover would stop all gangs.
     if (job.loadedFromStore() && entity.hasUncertainMachine(nowSeconds)) {
       return;
     }
@@ -34,7 +39,7 @@
         entity.removePlacement(placement, nowSeconds, TerminationEvidence.NEVER_SENT);
       } else {
         placement.requestStop(0);
-        // The sooner the rest is gone, the sooner the gang starts again.
+        // The gang can be restarted once all of its tasks are gone, so a direct stop saves time.
         taskStopper.enqueueStop(placement);
       }
     }
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -13,37 +13,43 @@
 import java.util.function.Supplier;
 
 /**
- * An open job of an entity that this controller owns: its phase, its tasks' states ({@link
- * JobTasks}), its failures ({@link JobFailureHistory}, {@link TaskRetries}), how long it waits, and
- * the order of its writes ({@link SerializedWrites}).
+ * A job of an entity that this controller owns. Holds its phase, the states of its tasks ({@link
+ * JobTasks}), its failures ({@link JobFailureHistory}, {@link TaskRetries}), its waiting time, and
+ * the order of its writes to the state store ({@link SerializedWrites}).
  *
- * <p>Used on the event loop's thread. After a crash the next owner loads its specification, its
- * done tasks and its end from the state store and begins with everything else anew.
+ * <p>Used on the event loop's thread. The specification, the done tasks and the final status are
+ * stored. After a crash or failover the next owner loads them; all other state starts afresh.
  */
 public final class Job {
   /**
-   * Where a job is between admission and its stored end. Transitions: {@link #OPEN} to {@link
-   * #CLOSING} or {@link #CANCELLING}, and any of these to {@link #FINISHED}.
+   * The phases of a job. Transitions: {@link #OPEN} to {@link #CLOSING} or {@link #CANCELLING}, and
+   * any of these to {@link #FINISHED}.
    */
   public enum Phase {
-    /** Its tasks run or are pending. */
+    /** Tasks of the job are running or pending. */
     OPEN,
-    /** All of its tasks are done; that is being stored. */
+    /** All tasks are done; this outcome is being stored. */
     CLOSING,
-    /** Its user has cancelled it; that is being stored. */
+    /** The user has cancelled the job; the cancellation is being stored. */
     CANCELLING,
-    /** Its end is stored and never changes. */
+    /** The final status is stored and never changes. */
     FINISHED
   }
 
-  /** After waiting so long a job is starving: it no longer keeps to what is merely better. */
+  /** A job that has waited for longer is starving; see {@link #isStarving}. */
   private static final double STARVATION_SECONDS = 60;
 
-  /** After waiting so long it takes accelerators that are reserved for work yet to arrive. */
-  private static final double LAST_RESORT_SECONDS = 75;
+  /**
+   * A job without placed tasks that has waited for longer may use the resources that are kept free
+   * for accelerator jobs yet to arrive.
+   */
+  private static final double ACCELERATOR_RESERVE_WAIT_SECONDS = 75;
 
-  /** Turns in which a job may and may not reserve what it cannot use yet have this length. */
-  private static final double RESERVATION_TURN_SECONDS = 80;
+  /**
+   * The length of the alternating periods in which a waiting job may and may not hold reservations;
+   * see {@link #mayHoldReservations}.
+   */
+  private static final double RESERVATION_PERIOD_SECONDS = 80;
 
   private final JobSpec spec;
   private final long arrivedAtMillis;
@@ -57,7 +63,10 @@
   private Phase phase = Phase.OPEN;
   private JobStatus finalStatus;
 
-  /** Valid at {@link #maxPriceRatioAtSeconds}: asked for each machine, the same for all. */
+  /**
+   * Cached, as computed at {@link #maxPriceRatioAtSeconds}: it is needed for each machine and is
+   * the same for all.
+   */
   private double maxPriceRatio;
 
   private double maxPriceRatioAtSeconds = Double.NEGATIVE_INFINITY;
@@ -92,34 +101,33 @@
     this.tasks = new JobTasks(spec.taskCount());
   }
 
-  /** What was submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** When it was accepted, in milliseconds of the time of day. */
+  /** Returns when the job was accepted, in milliseconds of wall-clock time. */
   public long arrivedAtMillis() {
     return arrivedAtMillis;
   }
 
   /**
-   * When it was accepted, in seconds of this controller's monotonic clock; before this process
-   * started for older jobs.
+   * Returns when the job was accepted, in seconds of this controller's monotonic clock. For a job
+   * that is older than this process, that is before the process started.
    */
   public double arrivedAtSeconds() {
     return arrivedAtSeconds;
   }
 
   /**
-   * Whether it was loaded from the state store: tasks of it may run on machines that have not
-   * reported yet.
+   * Returns whether the job was loaded from the state store, so that its tasks may be running on
+   * machines that have not reported yet.
    */
   public boolean loadedFromStore() {
     return loadedFromStore;
   }
 
   /**
-   * Whether it runs only in room and on machines that nobody else needs; see {@link
+   * Returns whether the job uses only capacity that no other job needs; see {@link
    * ServiceLevelObjectives#isBestEffort}.
    */
   public boolean bestEffort() {
@@ -128,20 +136,19 @@
 
   // Phase
 
-  /** Where it is between admission and its stored end. */
   public Phase phase() {
     return phase;
   }
 
-  /** Its end as stored; null before. */
+  /** Returns the stored final status; null unless the job is {@link Phase#FINISHED}. */
   public JobStatus finalStatus() {
     return finalStatus;
   }
 
   /**
-   * All of its tasks are done: what remains is to store that.
+   * Moves the job to {@link Phase#CLOSING}, since all of its tasks are done.
    *
-   * @throws IllegalStateException if it is not open
+   * @throws IllegalStateException if the job is not open
    */
   public void startClosing() {
     requireOpen();
@@ -149,9 +156,9 @@
   }
 
   /**
-   * Its user has cancelled it: what remains is to store that.
+   * Moves the job to {@link Phase#CANCELLING}, since its user has cancelled it.
    *
-   * @throws IllegalStateException if it is not open
+   * @throws IllegalStateException if the job is not open
    */
   public void startCancelling() {
     requireOpen();
@@ -160,11 +167,11 @@
 
   private void requireOpen() {
     if (phase != Phase.OPEN) {
-      throw new IllegalStateException("job " + spec.id() + " is " + phase);
+      throw new IllegalStateException("job " + spec.id() + " is " + phase + ", not " + Phase.OPEN);
     }
   }
 
-  /** Its end is stored, and all that is done with it. */
+  /** Moves the job to {@link Phase#FINISHED}: its final status and all done tasks are stored. */
   public void ended(JobStatus status) {
     phase = Phase.FINISHED;
     finalStatus = status;
@@ -172,14 +179,14 @@
   }
 
   /**
-   * Whether its end was requested and is not known to be stored: it may be stored, and other
-   * controllers may know.
+   * Returns whether the final status is being written and the outcome of the write is unknown. It
+   * may be stored already, and other controllers may have read it.
    */
   public boolean isEndUndecided() {
     return phase == Phase.CLOSING || phase == Phase.CANCELLING;
   }
 
-  /** What its user is shown of it. */
+  /** Returns the state of the job as shown to its user. */
   public JobView toView() {
     if (phase == Phase.FINISHED) {
       return new JobView(spec.id().value(), finalStatus, tasks.doneCount(), 0);
@@ -189,39 +196,37 @@
     return new JobView(spec.id().value(), status, tasks.doneCount(), runningCount);
   }
 
-  /** Runs this job's writes one after the other, so that none overtakes another. */
+  /** Starts the write once all earlier writes of this job have completed. */
   public void enqueueWrite(Supplier<CompletableFuture<?>> write) {
     writes.enqueue(write);
   }
 
   // Done tasks
 
-  /** Whether the task is done. */
   public boolean isDone(int index) {
     return tasks.isDone(index);
   }
 
-  /** Records that the task is done, which is final. */
+  /** Records that the task is done. A done task never changes its state again. */
   public void markDone(int index) {
     tasks.markDone(index);
   }
 
-  /** How many tasks are done. */
   public int doneCount() {
     return tasks.doneCount();
   }
 
-  /** Whether all of its tasks are done. */
+  /** Returns whether all tasks are done. */
   public boolean isComplete() {
     return tasks.areAllDone();
   }
 
-  /** A copy of which tasks are done. */
+  /** Returns a copy of the set of done tasks, by index. */
   public BitSet doneTasks() {
     return tasks.doneTasks();
   }
 
-  /** Whether the state store has the task as done. */
+  /** Returns whether the state store has the task as done. */
   public boolean isStored(int index) {
     return tasks.isStored(index);
   }
@@ -231,13 +236,14 @@
     tasks.markStored(index);
   }
 
-  /** Whether the state store has all tasks as done that are. */
+  /** Returns whether all done tasks are stored as done. */
   public boolean isProgressStored() {
     return tasks.areAllDoneStored();
   }
 
   /**
-   * Which tasks from {@code from} to before {@code to} are done without that being stored.
+   * Returns the tasks from {@code from}, inclusive, to {@code to}, exclusive, that are done but not
+   * stored as done.
    *
    * @return indices relative to {@code from}
    */
@@ -247,81 +253,83 @@
 
   // Placements
 
-  /** How many tasks are neither done nor placed. */
+  /** Returns how many tasks are neither done nor placed. */
   public int unplacedCount() {
     return tasks.unplacedCount();
   }
 
   /**
-   * The next task at or after {@code from} that is neither done nor placed; -1 if there is none.
+   * Returns the first task at or after {@code from} that is neither done nor placed; -1 if there is
+   * none.
    */
   public int findNextUnplaced(int from) {
     return tasks.findNextUnplaced(from);
   }
 
-  /** Where the task is placed; null if it is not. */
+  /** Returns the placement of the task; null if it is not placed. */
   public TaskPlacement findPlacement(int index) {
     return tasks.findPlacement(index);
   }
 
-  /** A copy of all placements. */
+  /** Returns a copy of all placements. */
   public List<TaskPlacement> placements() {
     return tasks.placements();
   }
 
-  /** Whether no task is placed. */
   public boolean hasNoPlacements() {
     return tasks.hasNoPlacements();
   }
 
-  /** Called by the owned entity alone, which accounts for what is placed. */
+  /** Adds a placement. Called only by the owned entity, which accounts for the resources used. */
   public void addPlacement(TaskPlacement placement) {
     lastPlacedAtSeconds = placement.placedAtSeconds();
     tasks.addPlacement(placement);
   }
 
   /**
-   * Removes a placement, unless the task has another one by now. Called by the owned entity alone.
+   * Removes a placement, unless the task has another one by now. Called only by the owned entity,
+   * which accounts for the resources used.
    */
   public void removePlacement(TaskPlacement placement) {
     tasks.removePlacement(placement);
   }
 
-  /** A task that is not done has left its machine. */
+  /** Records that a task that is not done has left its machine. */
   public void recordDeparture(int index, TaskDeparture departure) {
     tasks.recordDeparture(index, departure);
   }
 
-  /** Where a task that starts again was last; empty if it was nowhere as far as is known here. */
+  /**
+   * Removes and returns the last departure of a task that is started again; empty if this
+   * controller knows of none.
+   */
   public Optional<TaskDeparture> removeLastDeparture(int index) {
     return tasks.removeLastDeparture(index);
   }
 
   // Failures
 
-  /** What its failures say about the job and about the machines where they happened. */
   public JobFailureHistory failureHistory() {
     return failureHistory;
   }
 
-  /** Whether it fails wherever it runs; see {@link JobFailureHistory}. */
+  /** Returns whether the job fails on every machine; see {@link JobFailureHistory}. */
   public boolean isSuspect() {
     return failureHistory.isSuspect();
   }
 
-  /** How many times tasks of it have failed by an error of their own. */
+  /** Returns how many times tasks of the job have exited with an error. */
   public int errorCount() {
     return failureHistory.errorCount();
   }
 
-  /** When its failed tasks may be retried. */
   TaskRetries retries() {
     return retries;
   }
 
   /**
-   * How many of its tasks may be started now. A suspect job gets one probe (a whole gang is one
-   * probe), and nothing during its backoff.
+   * Returns how many tasks of the job may be started now. For a suspect job that is none during its
+   * backoff, and then one probe at a time: a single task, or the whole gang.
    */
   public int startableCount(double nowSeconds) {
     int unplacedCount = unplacedCount();
@@ -339,44 +347,50 @@
 
   // Urgency
 
-  /** When it should be complete, in seconds of the monotonic clock; infinite without a deadline. */
+  /** Returns the deadline in seconds of the monotonic clock; infinite if the job has none. */
   public double deadlineAtSeconds() {
     return spec.deadlineSeconds() == null
         ? Double.POSITIVE_INFINITY
         : arrivedAtSeconds + spec.deadlineSeconds();
   }
 
-  /** How long none of its pending tasks has been placed. */
+  /** Returns the time since the last placement of a task, or since the arrival if there is none. */
   private double waitedSeconds(double nowSeconds) {
     return Math.max(0, nowSeconds - Math.max(arrivedAtSeconds, lastPlacedAtSeconds));
   }
 
   /**
-   * Whether it has waited so long that other entities make room for it. Nothing may wait for long
-   * while a machine that fits has room.
+   * Returns whether the job has waited so long that rules which merely improve placement no longer
+   * apply to it, and that other entities make room for it. No job may wait for long while a machine
+   * that fits has room.
    */
   public boolean isStarving(double nowSeconds) {
     return waitedSeconds(nowSeconds) > STARVATION_SECONDS;
   }
 
-  /** Whether it may take what is reserved for work yet to arrive: no task of it runs at all. */
-  boolean isAtLastResort(double nowSeconds) {
-    return waitedSeconds(nowSeconds) > LAST_RESORT_SECONDS && hasNoPlacements();
+  /**
+   * Returns whether the job may use the resources that are kept free for accelerator jobs yet to
+   * arrive: it has waited long, and none of its tasks is placed.
+   */
+  boolean mayUseAcceleratorReserve(double nowSeconds) {
+    return waitedSeconds(nowSeconds) > ACCELERATOR_RESERVE_WAIT_SECONDS && hasNoPlacements();
   }
 
   /**
-   * Whether it may reserve what it cannot use yet, machines or quota shares, and keep others from
-   * it. That is so in every other turn only: a job that reserves in vain would otherwise keep the
-   * rest from running for as long as it waits.
+   * Returns whether the job may reserve machines or quota shares that it cannot use yet, and
+   * thereby block other jobs. While the job waits, this alternates: otherwise a job whose
+   * reservations never suffice would block the others for as long as it waits.
    */
   public boolean mayHoldReservations(double nowSeconds) {
-    return waitedSeconds(nowSeconds) % (2 * RESERVATION_TURN_SECONDS) < RESERVATION_TURN_SECONDS;
+    return waitedSeconds(nowSeconds) % (2 * RESERVATION_PERIOD_SECONDS)
+        < RESERVATION_PERIOD_SECONDS;
   }
 
   /**
-   * The highest price ratio at which it is worth starting a task, computed once for each moment.
+   * Returns the highest price ratio at which it is worth starting a task. The value is cached for
+   * calls with the same {@code nowSeconds}.
    *
-   * @param compute asked if {@code nowSeconds} differs from that of the last call
+   * @param compute computes the value if {@code nowSeconds} differs from that of the last call
    */
   double maxPriceRatio(double nowSeconds, DoubleSupplier compute) {
     if (maxPriceRatioAtSeconds != nowSeconds) {
@@ -386,22 +400,25 @@
     return maxPriceRatio;
   }
 
-  /** Whether tasks of others may be preempted for it now. */
+  /** Returns whether tasks of other jobs may be preempted for this job now. */
   boolean mayPreempt(double nowSeconds) {
     return nowSeconds >= nextPreemptionAtSeconds;
   }
 
-  /** No task of others is preempted for it before that second. */
-  void preemptNotBefore(double atSeconds) {
-    nextPreemptionAtSeconds = atSeconds;
+  /** Prevents that tasks of other jobs are preempted for this job before {@code untilSeconds}. */
+  void deferPreemptionUntil(double untilSeconds) {
+    nextPreemptionAtSeconds = untilSeconds;
   }
 
-  /** Whether it goes before others until it has its first task, since it has waited too long. */
+  /**
+   * Returns whether the job is ordered before others until its first task is placed, since it has
+   * waited too long.
+   */
   boolean prioritizedForFirstTask() {
     return prioritizedForFirstTask;
   }
 
-  /** Sets whether it goes before others until it has its first task. */
+  /** Sets whether the job is ordered before others until its first task is placed. */
   void prioritizeForFirstTask(boolean prioritized) {
     prioritizedForFirstTask = prioritized;
   }
--- a/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
+++ b/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
@@ -7,27 +7,30 @@
 import java.util.Map;
 
 /**
- * A job's failures and what they say about it. {@link FailureAttribution} makes a job suspect of
- * which no task has succeeded anywhere and that fails on several machines that are not quarantined.
- * It was accepted, and the fault may still be the machines', so it keeps being retried, but one
- * probe at a time and with exponential backoff of the whole job.
+ * The failures of a job. {@link FailureAttribution} marks a job as suspect if it fails on several
+ * machines that are not quarantined and none of its tasks has succeeded on any machine. A suspect
+ * job is still retried, since it was accepted and the machines may be at fault. But it is retried
+ * with one probe at a time, and the whole job waits with exponential backoff.
  *
- * <p>Part of one {@link Job}, used on the event loop's thread; lost with the process: the next
- * owner trusts the job again until it fails.
+ * <p>Part of one {@link Job}, used on the event loop's thread. Lost with the process: for the next
+ * owner the job is not suspect until it fails again.
  */
 public final class JobFailureHistory {
   private static final double MAX_BACKOFF_SECONDS = 60;
 
-  /** Having failed on so many machines a job avoids none of them any longer. */
+  /** A job that has failed on this many machines no longer avoids any of them. */
   private static final int AVOIDED_MACHINES_LIMIT = 3;
 
-  /** Failures this close together count as one attempt: tasks of a wide job start side by side. */
+  /**
+   * Failures within this time of the first one count as one attempt, since many tasks of a wide job
+   * start at the same time.
+   */
   private static final double SAME_ATTEMPT_SECONDS = 1;
 
-  /** A task that runs for so many times as long as any that failed is healthy. */
+  /** A task is healthy if it runs this many times as long as the longest run that failed. */
   private static final double HEALTHY_RUN_FACTOR = 3;
 
-  /** Heartbeats show starts and exits no more precisely. */
+  /** A lower bound, since heartbeats do not show starts and exits more precisely. */
   private static final double MIN_HEALTHY_RUN_SECONDS = 10;
 
   private final Map<MachineId, Machine> failedMachinesById = new HashMap<>();
@@ -38,13 +41,13 @@
   private double longestFailedRunSeconds;
   private boolean suspect;
 
-  /** A task of the job was healthy after the job had failed. */
+  /** Whether a task of the job was healthy or done after the job had failed. */
   private boolean proven;
 
   /**
-   * A task of the job has failed by an error of its own, which extends the backoff.
+   * Records that a task of the job has exited with an error, and extends the backoff.
    *
-   * @param ranSeconds how long it ran; 0 if it was never seen running
+   * @param ranSeconds how long the task ran; 0 if it was never reported as running
    */
   void recordFailure(Machine machine, double ranSeconds, double nowSeconds) {
     errorCount++;
@@ -60,7 +63,10 @@
             nowSeconds + Math.min(MAX_BACKOFF_SECONDS, Math.pow(2, failedAttemptCount)));
   }
 
-  /** A task of the job is healthy or done: the failures before were the machines'. */
+  /**
+   * Records that a task of the job is healthy or done, so that the earlier failures are attributed
+   * to the machines. Ends the backoff.
+   */
   void recordSuccess() {
     suspect = false;
     proven = true;
@@ -68,28 +74,30 @@
     backoffUntilSeconds = Double.NEGATIVE_INFINITY;
   }
 
-  /** Whether a task has run for so much longer than any that failed that it counts as healthy. */
+  /**
+   * Returns whether a task that has run for so long is healthy; see {@link #HEALTHY_RUN_FACTOR}.
+   */
   boolean isHealthyRun(double ranSeconds) {
     return ranSeconds
         > Math.max(MIN_HEALTHY_RUN_SECONDS, HEALTHY_RUN_FACTOR * longestFailedRunSeconds);
   }
 
-  /** The job fails wherever it runs; this ends with {@link #recordSuccess}. */
+  /** Marks the job as suspect, since it fails on every machine, until {@link #recordSuccess}. */
   void markSuspect() {
     suspect = true;
   }
 
-  /** Whether the job fails wherever it runs. */
+  /** Returns whether the job fails on every machine. */
   public boolean isSuspect() {
     return suspect;
   }
 
-  /** Whether a task of it was healthy somewhere after the job had failed. */
+  /** Returns whether a task of the job was healthy or done after the job had failed. */
   boolean isProven() {
     return proven;
   }
 
-  /** How many times tasks of the job have failed by an error of their own. */
+  /** Returns how many times tasks of the job have exited with an error. */
   int errorCount() {
     return errorCount;
   }
@@ -98,17 +106,17 @@
     return !failedMachinesById.isEmpty();
   }
 
-  /** Whether the whole job waits before its next probe. */
+  /** Returns whether the job is suspect and the backoff before its next probe has not ended. */
   boolean isBackingOff(double nowSeconds) {
     return suspect && nowSeconds < backoffUntilSeconds;
   }
 
-  /** When a task that has failed may be retried. */
+  /** Returns when a failed task may be retried, in seconds of the monotonic clock. */
   double retryAtSeconds() {
     return backoffUntilSeconds;
   }
 
-  /** On how many machines it has failed that are not quarantined. */
+  /** Returns on how many machines that are not quarantined the job has failed. */
   int countFailedMachinesInUse() {
     int count = 0;
     for (Machine machine : failedMachinesById.values()) {
@@ -118,8 +126,8 @@
   }
 
   /**
-   * Whether the machine is not given the job again: it has failed there, and not on several other
-   * machines as well.
+   * Returns whether the job must not be placed on the machine again. That is so if it has failed
+   * there and on fewer than {@link #AVOIDED_MACHINES_LIMIT} machines in all.
    */
   boolean avoidsMachine(MachineId machineId) {
     return failedMachinesById.size() < AVOIDED_MACHINES_LIMIT
--- a/src/main/java/io/violetrail/scheduling/JobTasks.java
+++ b/src/main/java/io/violetrail/scheduling/JobTasks.java
@@ -7,27 +7,29 @@
 import org.agrona.collections.Int2ObjectHashMap;
 
 /**
- * The states of a job's tasks by their index: placed, done, done and stored, or none of these, and
- * where each was last.
+ * The states of a job's tasks, by task index. A task is pending, placed, done, or done and stored
+ * as done in the state store. Also keeps where each pending task ran last.
  *
- * <p>Invariant: a task is done or placed exactly if it is in {@link #doneOrPlaced}; a stored task
- * is done. Part of one {@link Job}, used on the event loop's thread. After a crash the next owner
- * loads what is stored; placements come back with the reports of workers, departures are lost.
+ * <p>Invariants: {@link #doneOrPlaced} contains exactly the tasks that are done or placed, and
+ * every stored task is done.
+ *
+ * <p>Part of one {@link Job}, used on the event loop's thread. After a crash the next owner loads
+ * the stored tasks and rebuilds the placements from the workers' heartbeats. Departures are lost.
  */
 final class JobTasks {
   private final int taskCount;
   private final BitSet done = new BitSet();
   private int doneCount;
 
-  /** Those among the done tasks that the state store has as done. */
+  /** The done tasks that are stored as done. */
   private final BitSet storedDone = new BitSet();
 
   private final Int2ObjectHashMap<TaskPlacement> placementsByIndex = new Int2ObjectHashMap<>();
 
-  /** Lets the next unplaced task of a wide job be found without a search. */
+  /** Kept in addition, so that the next unplaced task of a wide job is found quickly. */
   private final BitSet doneOrPlaced = new BitSet();
 
-  /** Where tasks were last that wait to start again. */
+  /** Where tasks that wait to be started again ran last. */
   private final Int2ObjectHashMap<TaskDeparture> lastDepartures = new Int2ObjectHashMap<>();
 
   JobTasks(int taskCount) {
@@ -54,7 +56,7 @@
     return doneCount == taskCount;
   }
 
-  /** A copy. */
+  /** Returns a copy. */
   BitSet doneTasks() {
     return (BitSet) done.clone();
   }
@@ -75,7 +77,7 @@
     return storedDone.cardinality() >= doneCount;
   }
 
-  /** Relative to {@code from}; {@code to} is exclusive. */
+  /** Returns indices relative to {@code from}; {@code to} is exclusive. */
   BitSet doneNotStored(int from, int to) {
     BitSet notStored = done.get(from, to);
     notStored.andNot(storedDone.get(from, to));
@@ -86,18 +88,18 @@
     return taskCount - doneOrPlaced.cardinality();
   }
 
-  /** The next task at or after {@code from} that is neither done nor placed; -1 if none is. */
+  /** Returns the first task at or after {@code from} that is neither done nor placed, or -1. */
   int findNextUnplaced(int from) {
     int index = doneOrPlaced.nextClearBit(from);
     return index < taskCount ? index : -1;
   }
 
-  /** Null if the task is not placed. */
+  /** Returns null if the task is not placed. */
   TaskPlacement findPlacement(int index) {
     return placementsByIndex.get(index);
   }
 
-  /** A copy. */
+  /** Returns a copy. */
   List<TaskPlacement> placements() {
     return List.copyOf(placementsByIndex.values());
   }
@@ -119,7 +121,7 @@
     doneOrPlaced.set(placement.taskIndex());
   }
 
-  /** Nothing happens if the task has another placement by now. */
+  /** Does nothing if the task has another placement by now. */
   void removePlacement(TaskPlacement placement) {
     int index = placement.taskIndex();
     if (placementsByIndex.get(index) == placement) {
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Drains machines: stops what runs there, with time to save a checkpoint.
+ * Drains machines: stops their tasks and leaves them time to save a checkpoint.
  *
  * <p>Called on the event loop's thread; has no state.
  */
@@ -16,15 +16,17 @@
   private final EventLoop loop;
   private final Preemption preemption;
 
-  /** Stops tasks through the given preemption. */
+  /** Creates a drainer that evicts tasks through {@code preemption}. */
   public MachineDrainer(EventLoop loop, Preemption preemption) {
     this.loop = loop;
     this.preemption = preemption;
   }
 
   /**
-   * Stops what runs on a machine that its cloud preempts or that is draining; nothing happens on
-   * others. On a preempted machine only tasks with checkpoints are stopped, and whole gangs.
+   * Requests stops of the launched tasks on a machine that is draining or that its provider
+   * preempts; does nothing for other machines. On a machine that is only preempted, tasks without
+   * checkpoints run on, except those of gangs. Gangs are stopped as a whole, on all of their
+   * machines.
    */
   public void drain(Machine machine) {
     if (machine.preemptionNoticeSeconds() == null && !machine.draining()) {
@@ -39,14 +41,18 @@
         placement
             .job()
             .placements()
-            .forEach(other -> other.requestStop(spec.checkpointSaveSeconds()));
+            .forEach(gangPlacement -> gangPlacement.requestStop(spec.checkpointSaveSeconds()));
       } else if (spec.checkpointIntervalSeconds() > 0 || machine.draining()) {
         placement.requestStop(spec.checkpointSaveSeconds());
       }
     }
   }
 
-  /** Stops best-effort work on a machine that others need, and bars it from there for a while. */
+  /**
+   * Evicts best-effort tasks from a machine that other jobs need. Starts no best-effort tasks there
+   * until the grace period and {@link Preemption#RESERVATION_SECONDS} are over. Does nothing if an
+   * earlier call still has this effect.
+   */
   public void clearBestEffortWork(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
     if (nowSeconds < machine.bestEffortBarredUntilSeconds()) {
@@ -61,7 +67,10 @@
     machine.barBestEffortUntil(nowSeconds + graceSeconds + Preemption.RESERVATION_SECONDS);
   }
 
-  /** Stops all tasks on a machine and starts none there for {@code reservedSeconds} after that. */
+  /**
+   * Evicts all tasks from a machine. Starts no tasks there until {@code reservedSeconds} after the
+   * grace period.
+   */
   public void evictAll(OwnedEntity entity, Machine machine, double reservedSeconds) {
     double nowSeconds = loop.monotonicSeconds();
     double graceSeconds = 0;
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -10,21 +10,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects machines whose heartbeats stop. First nothing more is placed there; once their worker's
- * lease has expired for certain, their tasks are gone ({@link TerminationEvidence#LEASE_OVER}) and
- * may start elsewhere.
+ * Detects machines whose heartbeats have stopped. No more tasks are placed on such an unresponsive
+ * machine. Once its worker's lease has certainly expired, its tasks have terminated ({@link
+ * TerminationEvidence#LEASE_OVER}) and may be started elsewhere.
  *
- * <p>Called by {@link EntityMaintenance} on the event loop's thread; has no state. What is known of
- * a machine's lease is in {@link Machine}; after a failover the new owner waits for the longest
- * lease that its worker may have.
+ * <p>Called by {@link EntityMaintenance} on the event loop's thread; has no state. The lease times
+ * are kept in {@link Machine}. After a failover the new owner waits for the longest lease that the
+ * worker may have.
  */
 public final class MachineLivenessMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MachineLivenessMonitor.class);
 
-  /** A machine is silent after this many heartbeat intervals, and a second on top. */
-  private static final double SILENT_INTERVALS = 3;
+  /**
+   * A machine is unresponsive after this many heartbeat intervals plus {@link
+   * #UNRESPONSIVE_SLACK_SECONDS}.
+   */
+  private static final double UNRESPONSIVE_INTERVALS = 3;
 
-  private static final double SILENT_SLACK_SECONDS = 1;
+  private static final double UNRESPONSIVE_SLACK_SECONDS = 1;
 
   private final ClusterView clusterView;
   private final LeaseTiming leaseTiming;
@@ -48,19 +51,24 @@
     this.periodSeconds = periodSeconds;
   }
 
-  /** Checks one machine of an active entity; {@code nowSeconds} is of the monotonic clock. */
+  /**
+   * Checks one machine of an active entity.
+   *
+   * @param nowSeconds the current time in seconds of the monotonic clock
+   */
   void check(OwnedEntity entity, Machine machine, double nowSeconds) {
     if (!machine.row().hasReported()) {
       return;
     }
     machine.countUse(periodSeconds);
     if (!machine.unresponsive()
-        && nowSeconds - machine.lastHeartbeatAtSeconds() > silentAfterSeconds()) {
-      markSilent(entity, machine, nowSeconds);
+        && nowSeconds - machine.lastHeartbeatAtSeconds() > unresponsiveAfterSeconds()) {
+      markUnresponsive(entity, machine, nowSeconds);
     }
     if (!machine.tasksKnown() && clusterView.anyControllerRepliesWithoutToken()) {
-      // Its worker may have seen no token yet, and then that controller's replies renew its lease.
-      // This ends with the upgrade, or with the machine's return to the cloud.
+      // During an upgrade, a controller of an earlier release may reply without a fencing token.
+      // Such a reply renews the lease of a worker that has seen no token yet. This ends when the
+      // upgrade is complete or the machine is returned to the provider.
       double leaseKeptUntilSeconds =
           nowSeconds + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
       machine.extendUnreportedTasksUntil(leaseKeptUntilSeconds);
@@ -72,8 +80,8 @@
     }
   }
 
-  private double silentAfterSeconds() {
-    return SILENT_INTERVALS * heartbeatSeconds + SILENT_SLACK_SECONDS;
+  private double unresponsiveAfterSeconds() {
+    return UNRESPONSIVE_INTERVALS * heartbeatSeconds + UNRESPONSIVE_SLACK_SECONDS;
   }
 
   private boolean isLeaseExpired(Machine machine, double nowSeconds) {
@@ -82,13 +90,13 @@
         : nowSeconds > machine.unreportedTasksGoneAtSeconds();
   }
 
-  private static void markSilent(OwnedEntity entity, Machine machine, double nowSeconds) {
+  private static void markUnresponsive(OwnedEntity entity, Machine machine, double nowSeconds) {
     machine.markUnresponsive();
     LOG.info(
-        "machine {} of entity {} is silent: last heartbeat {} s ago in session {}, {} tasks",
+        "machine {} of entity {} is unresponsive: last heartbeat {} s ago in session {}, {} tasks",
         machine.id(),
         entity.id(),
-        tenths(nowSeconds - machine.lastHeartbeatAtSeconds()),
+        roundToTenth(nowSeconds - machine.lastHeartbeatAtSeconds()),
         machine.lastSession(),
         machine.placements().size());
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
@@ -100,12 +108,12 @@
 
   private void expireLease(OwnedEntity entity, Machine machine, double nowSeconds) {
     LOG.info(
-        "machine {}: its worker's lease has expired and {} tasks are gone: last reply {} s ago, a"
-            + " lease expires after {} s; has reported under this version: {}",
+        "machine {}: its worker's lease has expired and {} tasks have terminated: last reply {} s"
+            + " ago, a lease expires after {} s; has reported under this version: {}",
         machine.id(),
         machine.placements().size(),
-        tenths(nowSeconds - machine.latestRenewalAtSeconds()),
-        tenths(leaseTiming.tasksGoneAfterReplySeconds()),
+        roundToTenth(nowSeconds - machine.latestRenewalAtSeconds()),
+        roundToTenth(leaseTiming.tasksGoneAfterReplySeconds()),
         machine.tasksKnown());
     machine.expireLease();
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
@@ -113,8 +121,8 @@
     }
   }
 
-  /** Seconds rounded to a tenth, for log lines. */
-  static double tenths(double seconds) {
+  /** Rounds to a tenth of a second, for log lines. */
+  static double roundToTenth(double seconds) {
     return Math.round(seconds * 10) / 10.0;
   }
 }
--- a/src/main/java/io/violetrail/scheduling/MachineScorer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineScorer.java
@@ -6,25 +6,26 @@
 import io.violetrail.model.Resources;
 
 /**
- * Scores machines for a task: lower is better. Little is left over, no accelerators stay idle, the
- * price is low, and the image is there.
+ * Scores machines for a task; a lower score is better. The score favors machines on which the task
+ * leaves few resources unused and no accelerators idle, whose price is low, and that have the image
+ * cached.
  *
  * <p>Part of {@link BinPacker}, used on the event loop's thread; has no state.
  */
 final class MachineScorer {
-  /** Weight of the price, relative to that of the cores left over. */
+  /** Weight of the price; the share of cores that remain free has weight 1. */
   private static final double PRICE_WEIGHT = 0.6;
 
   /** Weight of a machine's idle time, below those of price and images. */
   private static final double IDLENESS_WEIGHT = 0.3;
 
-  /** The idle time at which all of {@link #IDLENESS_WEIGHT} is added. */
+  /** The idle time from which on the full {@link #IDLENESS_WEIGHT} is added. */
   private static final double FULL_IDLENESS_SECONDS = 60;
 
-  /** The duration of an image fetch at which all of its own weight is added. */
+  /** The duration of an image fetch from which on its full weight of 1 is added. */
   private static final double FULL_FETCH_SECONDS = 20;
 
-  /** Weight of a fetch that takes all of the time within which the job is to start. */
+  /** Weight of an image fetch that takes the whole time within which the job should start. */
   private static final double URGENT_FETCH_WEIGHT = 1.5;
 
   private final ServiceLevelObjectives objectives;
@@ -45,7 +46,7 @@
       score += spec.taskResources().gpus() > 0 ? remaining.gpus() / capacity.gpus() : 1;
     }
     if (machine.isEmpty()) {
-      // The machine that became idle last is best. With a random choice, each of many idle machines
+      // Prefers the machine that became idle last. With a random choice, each of many idle machines
       // would be used again just before its scale-in.
       score +=
           IDLENESS_WEIGHT
--- a/src/main/java/io/violetrail/scheduling/PendingQueue.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueue.java
@@ -12,8 +12,9 @@
 import java.util.TreeMap;
 
 /**
- * Jobs of an entity with unplaced tasks, the most urgent first. The order is cached for a moment:
- * deadlines pass slowly, and heartbeats that need the order arrive many times a second.
+ * The open jobs of an entity that have unplaced tasks, the most urgent first. The order is cached
+ * for {@link #ORDER_CACHE_SECONDS}, since heartbeats that need it arrive many times a second and
+ * deadlines pass slowly.
  *
  * <p>Part of {@link PendingQueues}, used on the event loop's thread.
  */
@@ -21,11 +22,12 @@
   private static final double ORDER_CACHE_SECONDS = 0.5;
 
   /**
-   * So long at most an array waits for its first task because others can meet their deadlines and
-   * it cannot. Without a limit, while there is more work than room, the widest arrays would make
-   * way without end: in an overload a third of them had not started after four minutes. With a
-   * lower limit, too many go before those that could still meet their deadlines. A gang is not
-   * helped by going first: its room is never free at once.
+   * The maximum time that an array waits for its first task behind jobs that can still meet their
+   * deadlines while it cannot. Without a limit, the widest arrays are deferred indefinitely while
+   * there is more work than capacity: in an overload a third of them had not started after four
+   * minutes. With a lower limit, too many arrays are ordered before jobs that could still meet
+   * their deadlines. Gangs are excluded: going first does not help them, since the room for a whole
+   * gang is never free at one time.
    */
   private static final double MAX_FIRST_TASK_WAIT_SECONDS = 180;
 
@@ -42,7 +44,7 @@
     this.runtimeEstimates = runtimeEstimates;
   }
 
-  /** A job has arrived, or tasks of one are pending again. */
+  /** Discards the cached order, since a job has arrived or tasks are pending again. */
   void invalidateOrder() {
     orderedAtSeconds = Double.NEGATIVE_INFINITY;
   }
@@ -57,43 +59,47 @@
 
   private List<Job> sortJobs(double nowSeconds) {
     List<Job> sorted = new ArrayList<>();
-    for (List<Job> jobs : groupByKind().values()) {
-      List<Job> firstTaskJobs = new ArrayList<>();
+    for (List<Job> jobs : groupByPriorityAndAccelerators().values()) {
+      List<Job> overdueForFirstTask = new ArrayList<>();
       List<PendingJob> pendingJobs = new ArrayList<>();
-      double totalRoom = totalRoomFor(jobs.get(0));
+      double availableCapacity = capacityAvailableTo(jobs.get(0));
       for (Job job : jobs) {
         job.prioritizeForFirstTask(isOverdueForFirstTask(job, nowSeconds));
         if (job.prioritizedForFirstTask()) {
-          firstTaskJobs.add(job);
+          overdueForFirstTask.add(job);
         } else {
-          pendingJobs.add(toPendingJob(job, totalRoom, nowSeconds));
+          pendingJobs.add(toPendingJob(job, availableCapacity, nowSeconds));
         }
       }
-      // For the first task only: with it the job makes way again, so that others meet deadlines.
-      firstTaskJobs.sort(Comparator.comparingDouble(Job::arrivedAtSeconds));
-      sorted.addAll(firstTaskJobs);
+      // The job goes first only until its first task is placed. Then it is ordered as before, so
+      // that other jobs can meet their deadlines.
+      overdueForFirstTask.sort(Comparator.comparingDouble(Job::arrivedAtSeconds));
+      sorted.addAll(overdueForFirstTask);
       DeadlineSelection.orderByDeadline(pendingJobs, nowSeconds)
           .forEach(pendingJob -> sorted.add(pendingJob.job()));
     }
     return sorted;
   }
 
-  /** By priority and by kind, in the order in which they are placed. */
-  private Map<String, List<Job>> groupByKind() {
-    Map<String, List<Job>> jobsByKind = new TreeMap<>();
+  /**
+   * Groups the pending jobs by priority and by whether they use accelerators. The groups are in the
+   * order in which their jobs are placed.
+   */
+  private Map<String, List<Job>> groupByPriorityAndAccelerators() {
+    Map<String, List<Job>> jobsByGroup = new TreeMap<>();
     for (Job job : entity.jobs().values()) {
       if (job.phase() == Job.Phase.OPEN && job.unplacedCount() > 0) {
-        // Priorities come one after the other; kinds of one priority do not compete for room.
-        String kind = job.spec().priority().ordinal() + (usesAccelerators(job) ? " a" : " b");
-        jobsByKind.computeIfAbsent(kind, k -> new ArrayList<>()).add(job);
+        // Groups of the same priority may be in any order: they do not compete for machines.
+        String groupKey = job.spec().priority().ordinal() + (usesAccelerators(job) ? " a" : " b");
+        jobsByGroup.computeIfAbsent(groupKey, k -> new ArrayList<>()).add(job);
       }
     }
-    return jobsByKind;
+    return jobsByGroup;
   }
 
-  private PendingJob toPendingJob(Job job, double totalRoom, double nowSeconds) {
+  private PendingJob toPendingJob(Job job, double availableCapacity, double nowSeconds) {
     double runtimeSeconds = runtimeEstimates.expectedRuntimeSeconds(job.spec());
-    // A job that fails on every machine comes after all that may meet their deadlines.
+    // A job that fails on every machine is ordered after all jobs that may meet their deadlines.
     double deadlineAtSeconds =
         job.isSuspect()
             ? Double.POSITIVE_INFINITY
@@ -101,8 +107,8 @@
     double workSeconds =
         job.unplacedCount()
             * runtimeSeconds
-            * amountOfKind(job.spec().taskResources(), usesAccelerators(job))
-            / totalRoom;
+            * gpusOrCpus(job.spec().taskResources(), usesAccelerators(job))
+            / availableCapacity;
     return new PendingJob(job, deadlineAtSeconds, workSeconds, runtimeSeconds);
   }
 
@@ -119,24 +125,28 @@
     return job.spec().taskResources().gpus() > 0;
   }
 
-  private static double amountOfKind(Resources resources, boolean gpus) {
+  private static double gpusOrCpus(Resources resources, boolean gpus) {
     return gpus ? resources.gpus() : resources.cpus();
   }
 
-  /** The room of the entity's machines for work of this kind, less what is more urgent. */
-  private double totalRoomFor(Job sampleJob) {
+  /**
+   * Returns the capacity of the entity's schedulable machines that is available to jobs like the
+   * given one, less what tasks of higher priority use: accelerators on accelerator machines, or
+   * cores on the others. At least 1.
+   */
+  private double capacityAvailableTo(Job sampleJob) {
     boolean gpus = usesAccelerators(sampleJob);
-    double room = 0;
+    double availableCapacity = 0;
     for (Machine machine : entity.machines().values()) {
       if (machine.isSchedulable() && (machine.type().capacity().gpus() > 0) == gpus) {
-        room += amountOfKind(machine.type().capacity(), gpus);
+        availableCapacity += gpusOrCpus(machine.type().capacity(), gpus);
         for (TaskPlacement placement : machine.placements().values()) {
           if (placement.job().spec().priority().compareTo(sampleJob.spec().priority()) < 0) {
-            room -= amountOfKind(placement.job().spec().taskResources(), gpus);
+            availableCapacity -= gpusOrCpus(placement.job().spec().taskResources(), gpus);
           }
         }
       }
     }
-    return Math.max(1, room);
+    return Math.max(1, availableCapacity);
   }
 }
--- a/src/main/java/io/violetrail/scheduling/PendingQueues.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueues.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 
 /**
- * The queues of pending jobs, one for each entity owned here.
+ * The queues of pending jobs, one for each entity that this controller owns.
  *
- * <p>Called on the event loop's thread; nothing survives the process, the order is computed again.
+ * <p>Called on the event loop's thread. The queues are not stored; the next owner computes the
+ * order anew.
  */
 public final class PendingQueues {
   private final EventLoop loop;
@@ -19,7 +20,7 @@
   private final SchedulingLoop schedulingLoop;
   private final Map<OwnedEntity, PendingQueue> queues = new HashMap<>();
 
-  /** Queues are ordered by the objectives and by the expected runtimes of jobs. */
+  /** Creates queues that are ordered by the objectives and the expected runtimes of the jobs. */
   public PendingQueues(
       EventLoop loop,
       ServiceLevelObjectives objectives,
@@ -31,14 +32,17 @@
     this.schedulingLoop = schedulingLoop;
   }
 
-  /** Jobs of the entity with unplaced tasks, the most urgent first. */
+  /** Returns the open jobs of the entity that have unplaced tasks, the most urgent first. */
   public List<Job> inOrder(OwnedEntity entity) {
     return queues
         .computeIfAbsent(entity, owned -> new PendingQueue(owned, objectives, runtimeEstimates))
         .orderedJobs(loop.monotonicSeconds());
   }
 
-  /** A job has arrived, or tasks of one are pending again: the order is computed again. */
+  /**
+   * Discards the cached order and requests a scheduling pass. To be called when a job has arrived
+   * or tasks are pending again.
+   */
   public void jobsChanged(OwnedEntity entity) {
     PendingQueue queue = queues.get(entity);
     if (queue != null) {
@@ -47,7 +51,7 @@
     schedulingLoop.requestPass();
   }
 
-  /** Drops the queues of entities that are no longer owned here. */
+  /** Removes the queues of entities that this controller no longer owns. */
   void retainOnly(Collection<OwnedEntity> entities) {
     queues.keySet().retainAll(entities);
   }
--- a/src/main/java/io/violetrail/scheduling/PlacementConstraints.java
+++ b/src/main/java/io/violetrail/scheduling/PlacementConstraints.java
@@ -9,10 +9,12 @@
 import java.util.Map;
 
 /**
- * Whether a task of a job may be placed on a machine: room, reservations, the job's constraints on
- * types, zones and spot machines, room left for accelerators, and the price.
+ * Decides whether a task of a job may be placed on a machine. It checks the free room,
+ * reservations, the job's constraints on types, zones and spot machines, the room to be left for
+ * accelerator jobs, and the price.
  *
- * <p>Part of {@link BinPacker}, used on the event loop's thread; nothing survives the process.
+ * <p>Part of {@link BinPacker}, used on the event loop's thread. Its state is lost with the
+ * process.
  */
 final class PlacementConstraints {
   private final ServiceLevelObjectives objectives;
@@ -30,14 +32,14 @@
     this.acceleratorDemand = acceleratorDemand;
   }
 
-  /** Sets what the next decisions are based on. */
+  /** Sets the prices and the pending jobs on which the next decisions are based. */
   void beginPass(Prices currentPrices, List<Job> pendingJobs) {
     prices = currentPrices;
     acceleratorJobPending =
         pendingJobs.stream().anyMatch(job -> job.spec().taskResources().gpus() > 0);
   }
 
-  /** Whether a task of the job may start there now. */
+  /** Returns whether a task of the job may start on the machine now. */
   boolean fits(
       Job job, Machine machine, Map<String, Integer> placedCountByZone, double nowSeconds) {
     return job.spec().taskResources().fitsIn(machine.freeCapacity())
@@ -47,18 +49,21 @@
         && nowSeconds > machine.reservedForTransferUntilSeconds()
         && !(job.bestEffort() && nowSeconds < machine.bestEffortBarredUntilSeconds())
         && isAllowed(job, machine, placedCountByZone)
-        && leavesRoomForAccelerators(job, machine, nowSeconds)
+        && keepsAcceleratorReserve(job, machine, nowSeconds)
         && isAffordable(job, machine, nowSeconds);
   }
 
-  /** Whether a task of the job could start there if there were room. */
+  /** Returns whether a task of the job could start on the machine if it had enough free room. */
   boolean isSuitable(Job job, Machine machine, double nowSeconds) {
     return (machine.type().capacity().gpus() == 0 || job.spec().taskResources().gpus() > 0)
         && isAllowed(job, machine, countPlacedByZone(job))
         && isAffordable(job, machine, nowSeconds);
   }
 
-  /** Whether the job's own constraints, on type, zone and spot machines, admit the machine. */
+  /**
+   * Returns whether the job's constraints on types, zones and spot machines allow the machine, and
+   * the job does not avoid it because of failures there.
+   */
   static boolean isAllowed(Job job, Machine machine, Map<String, Integer> placedCountByZone) {
     JobSpec spec = job.spec();
     String zone = machine.row().zone();
@@ -75,7 +80,10 @@
         || placedCountByZone.getOrDefault(zone, 0) < spec.maxTasksPerZone();
   }
 
-  /** How many of the job's placed tasks are in each zone; empty where zones do not matter. */
+  /**
+   * Returns how many of the job's placed tasks are in each zone; empty if the job has no
+   * constraints that depend on this.
+   */
   static Map<String, Integer> countPlacedByZone(Job job) {
     if (!job.spec().singleZone() && !job.spec().spreadAcrossZones()) {
       return Map.of();
@@ -87,21 +95,28 @@
     return placedCountByZone;
   }
 
-  /** Work without accelerators takes only what recent work with accelerators cannot use. */
-  private boolean leavesRoomForAccelerators(Job job, Machine machine, double nowSeconds) {
+  /**
+   * Returns whether the task leaves enough room for accelerator jobs. A CPU-only task may use only
+   * the resources of an accelerator machine that recent accelerator jobs could not use.
+   */
+  private boolean keepsAcceleratorReserve(Job job, Machine machine, double nowSeconds) {
     if (job.spec().taskResources().gpus() > 0 || machine.type().capacity().gpus() == 0) {
       return true;
     }
-    if (job.isAtLastResort(nowSeconds) && !acceleratorJobPending) {
-      // Room that is left for work that may never come must not stay empty while this job waits.
+    if (job.mayUseAcceleratorReserve(nowSeconds) && !acceleratorJobPending) {
+      // Room is kept free for accelerator jobs that may never arrive. It must not stay unused while
+      // this job waits.
       return true;
     }
-    Resources room = machine.freeCapacity();
-    Resources remaining = room.minus(job.spec().taskResources());
-    return !acceleratorDemand.losesRoom(room, remaining, nowSeconds);
+    Resources freeBefore = machine.freeCapacity();
+    Resources freeAfter = freeBefore.minus(job.spec().taskResources());
+    return !acceleratorDemand.reducesAcceleratorSlots(freeBefore, freeAfter, nowSeconds);
   }
 
-  /** An expensive machine is not kept from scale-in by work that could run on a cheap one. */
+  /**
+   * Returns whether the job is worth the price of the machine. Without this check, tasks that could
+   * run on a cheap machine would keep an expensive one from scale-in.
+   */
   private boolean isAffordable(Job job, Machine machine, double nowSeconds) {
     int sharingTaskCount = job.unplacedCount() + machine.placements().size();
     double maxPriceRatio =
@@ -110,26 +125,29 @@
             () ->
                 objectives.maxPriceRatio(
                     job, nowSeconds, runtimeEstimates.expectedRuntimeSeconds(job.spec())));
-    // Cores beside accelerators: late small tasks there would keep expensive machines that have no
-    // other use. So neither best effort nor a high worth is a reason to take them.
-    boolean usesLeftoverCpus =
+    // Small, late CPU-only tasks on accelerator machines would keep these expensive machines rented
+    // without another use. So neither best effort nor a high price ratio admits such tasks there.
+    boolean usesAcceleratorMachineCpus =
         job.spec().taskResources().gpus() == 0
             && machine.type().capacity().gpus() > 0
-            && acceleratorDemand.isPresent(nowSeconds);
-    if (!usesLeftoverCpus && job.bestEffort()) {
-      // It may use what is there, since it does not keep an ordinary machine from scale-in.
+            && acceleratorDemand.hasRecentDemand(nowSeconds);
+    if (!usesAcceleratorMachineCpus && job.bestEffort()) {
+      // It may use existing machines, since it does not keep an on-demand machine from scale-in.
       return true;
     }
-    if (!usesLeftoverCpus
+    if (!usesAcceleratorMachineCpus
         && prices.isWorthwhile(
             job.spec(), machine.type(), machine.row().spot(), sharingTaskCount, maxPriceRatio)) {
       return true;
     }
-    return isKeptByAcceleratorWork(job, machine);
+    return isHeldByMoreAccelerators(job, machine);
   }
 
-  /** Whether the machine cannot be returned anyway, for work that uses more accelerators. */
-  private static boolean isKeptByAcceleratorWork(Job job, Machine machine) {
+  /**
+   * Returns whether the machine cannot be returned in any case, since it runs tasks that use more
+   * accelerators than those of this job.
+   */
+  private static boolean isHeldByMoreAccelerators(Job job, Machine machine) {
     for (TaskPlacement placement : machine.placements().values()) {
       if (placement.job().spec().taskResources().gpus() > job.spec().taskResources().gpus()) {
         return true;
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -15,30 +15,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Preempts less urgent tasks where that makes room for a more urgent job with the least work lost.
+ * Preempts tasks of lower priority to make room for a job of higher priority. Chooses the tasks
+ * whose preemption loses the least work, and reserves the freed room for the job.
  *
- * <p>Called on the event loop's thread; has no state. The reservations that it makes are kept in
- * {@link Machine} and are lost with the process.
+ * <p>Called on the event loop's thread; has no state. The reservations are kept in {@link Machine}
+ * and are lost with the process.
  */
 public final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
   /**
-   * Room that is being made is reserved for this long beyond the time to save a checkpoint; two
-   * heartbeats arrive meanwhile.
+   * How long a reservation lasts beyond the grace period for saving checkpoints. Two heartbeats
+   * arrive within this time.
    */
   static final double RESERVATION_SECONDS = 6;
 
-  /** The search for victims is expensive, so it is repeated for a job no sooner than after this. */
+  /** The minimum interval between two searches for victims for one job; a search is expensive. */
   private static final double RETRY_SECONDS = 1;
 
-  /** An accelerator counts like so many cores in what is lost. */
+  /** The number of cores to which one accelerator is equivalent when lost work is computed. */
   private static final double CPUS_PER_GPU = 8;
 
   private final Consumer<TaskPlacement> onStopRequested;
 
   /**
-   * Creates a preemption that stops tasks through a callback.
+   * Creates a preemption.
    *
    * @param onStopRequested called with each placement whose stop is requested
    */
@@ -46,20 +47,23 @@
     this.onStopRequested = onStopRequested;
   }
 
-  /** A machine that would take some tasks of the job, after stopping some of others. */
+  /**
+   * A machine that has room for {@code taskCount} tasks of the job once the victims are stopped.
+   */
   private record PreemptionCandidate(
       Machine machine, int taskCount, List<TaskPlacement> victims, double lostCpuSeconds) {}
 
   /**
-   * Makes room for a pending job: for one task of an array, and for a gang as a whole or not at
-   * all, since gangs that reserve parts of each other's room would all wait. The job is placed once
-   * the preempted tasks are gone; until then the room is reserved for it.
+   * Makes room for a pending job and reserves it until the preempted tasks are gone and the job can
+   * be placed. For a gang, room is made for all of its tasks or not at all, since gangs that each
+   * reserve a part of the room would all wait for each other. For other jobs, room is made for one
+   * task.
    */
   void preemptFor(OwnedEntity entity, Job job, double nowSeconds) {
     if (!job.mayPreempt(nowSeconds) || !entity.hasPlacedTaskBelow(job.spec().priority())) {
       return;
     }
-    job.preemptNotBefore(nowSeconds + RETRY_SECONDS);
+    job.deferPreemptionUntil(nowSeconds + RETRY_SECONDS);
     if (hasReservation(entity, job, nowSeconds)) {
       return;
     }
@@ -74,8 +78,8 @@
     int neededTaskCount = job.spec().shape() == JobShape.GANG ? job.spec().taskCount() : 1;
     List<PreemptionCandidate> bestCandidates = List.of();
     double bestLostCpuSeconds = Double.POSITIVE_INFINITY;
-    for (List<PreemptionCandidate> zone : candidatesByZone.values()) {
-      List<PreemptionCandidate> cheapest = selectCheapest(zone, neededTaskCount);
+    for (List<PreemptionCandidate> zoneCandidates : candidatesByZone.values()) {
+      List<PreemptionCandidate> cheapest = selectCheapest(zoneCandidates, neededTaskCount);
       double lostCpuSeconds = 0;
       for (PreemptionCandidate chosen : cheapest) {
         lostCpuSeconds += chosen.lostCpuSeconds();
@@ -99,7 +103,10 @@
     return false;
   }
 
-  /** The candidates with the least loss per task that take so many tasks; empty if all do not. */
+  /**
+   * Selects candidates in the order of lost work per task until they have room for {@code
+   * neededTaskCount} tasks. Returns an empty list if all candidates together have too little room.
+   */
   private static List<PreemptionCandidate> selectCheapest(
       List<PreemptionCandidate> candidates, int neededTaskCount) {
     candidates.sort(
@@ -120,27 +127,28 @@
   private void preemptAndReserve(
       OwnedEntity entity, Job job, List<PreemptionCandidate> candidates, double nowSeconds) {
     double graceSeconds = 0;
-    int stoppedCount = 0;
+    int preemptedCount = 0;
     for (PreemptionCandidate candidate : candidates) {
       for (TaskPlacement placement : candidate.victims()) {
         graceSeconds = Math.max(graceSeconds, preempt(entity, placement, nowSeconds));
-        stoppedCount++;
+        preemptedCount++;
       }
     }
     for (PreemptionCandidate candidate : candidates) {
       candidate.machine().reserve(job, nowSeconds + graceSeconds + RESERVATION_SECONDS);
     }
     LOG.info(
-        "job {}: {} less urgent tasks preempted on {} machines",
+        "job {}: preempted {} tasks of lower priority on {} machines",
         job.spec().id(),
-        stoppedCount,
+        preemptedCount,
         candidates.size());
   }
 
   /**
-   * Preempts a task, or its whole gang, and lets it save a checkpoint if it can.
+   * Preempts a task, or its whole gang. Tasks with checkpoints get a grace period to save one; a
+   * task whose launch was not sent yet is removed without a stop.
    *
-   * @return how long the saving may take, in seconds
+   * @return the grace period in seconds; 0 without checkpoints
    */
   double preempt(OwnedEntity entity, TaskPlacement placement, double nowSeconds) {
     double saveSeconds =
@@ -161,7 +169,10 @@
     return saveSeconds;
   }
 
-  /** What the machine could take of the job after preemptions; null if nothing. */
+  /**
+   * Returns the machine as a candidate with its current free room or, if no task of the job fits
+   * there, with the victims for one task. Returns null if the machine is not eligible.
+   */
   private static PreemptionCandidate findCandidate(Job job, Machine machine, double nowSeconds) {
     Resources taskResources = job.spec().taskResources();
     boolean reserved =
@@ -173,10 +184,11 @@
       return null;
     }
     if (machine.type().capacity().gpus() > 0 && taskResources.gpus() == 0) {
-      // Work without accelerators is not placed there either while others may need them.
+      // CPU-only tasks do not preempt tasks on accelerator machines: placement keeps them away from
+      // these machines, too, while accelerator jobs may need them.
       return null;
     }
-    // The time to fetch the image counts like work lost.
+    // The time to fetch the image counts as lost work.
     double fetchCpuSeconds =
         machine.hasImage(job.spec().image())
             ? 0
@@ -189,39 +201,44 @@
     return findVictims(job, machine, nowSeconds, fetchCpuSeconds);
   }
 
-  /** The least loss that makes room for one task; null if all less urgent tasks do not. */
+  /**
+   * Returns the victims for one task of the job, those with the least lost work first; null if
+   * there is no room even after preempting all tasks of lower priority.
+   */
   private static PreemptionCandidate findVictims(
       Job job, Machine machine, double nowSeconds, double fetchCpuSeconds) {
     Resources taskResources = job.spec().taskResources();
-    List<TaskPlacement> lessUrgent = new ArrayList<>();
-    Resources room = machine.freeCapacity();
+    List<TaskPlacement> lowerPriority = new ArrayList<>();
+    Resources capacityAfterPreemption = machine.freeCapacity();
     for (TaskPlacement placement : machine.placements().values()) {
       if (placement.job().spec().priority().compareTo(job.spec().priority()) > 0) {
-        lessUrgent.add(placement);
-        room = room.plus(placement.job().spec().taskResources());
+        lowerPriority.add(placement);
+        capacityAfterPreemption =
+            capacityAfterPreemption.plus(placement.job().spec().taskResources());
       }
     }
-    if (!taskResources.fitsIn(room)) {
+    if (!taskResources.fitsIn(capacityAfterPreemption)) {
       return null;
     }
-    lessUrgent.sort(Comparator.comparingDouble(p -> lostCpuSeconds(p, nowSeconds)));
-    room = machine.freeCapacity();
+    lowerPriority.sort(Comparator.comparingDouble(p -> lostCpuSeconds(p, nowSeconds)));
+    capacityAfterPreemption = machine.freeCapacity();
     List<TaskPlacement> victims = new ArrayList<>();
-    double loss = 0;
-    for (TaskPlacement placement : lessUrgent) {
-      if (taskResources.fitsIn(room)) {
+    double totalLostCpuSeconds = 0;
+    for (TaskPlacement placement : lowerPriority) {
+      if (taskResources.fitsIn(capacityAfterPreemption)) {
         break;
       }
-      room = room.plus(placement.job().spec().taskResources());
+      capacityAfterPreemption =
+          capacityAfterPreemption.plus(placement.job().spec().taskResources());
       victims.add(placement);
-      loss += lostCpuSeconds(placement, nowSeconds);
+      totalLostCpuSeconds += lostCpuSeconds(placement, nowSeconds);
     }
-    return new PreemptionCandidate(machine, 1, victims, loss + fetchCpuSeconds);
+    return new PreemptionCandidate(machine, 1, victims, totalLostCpuSeconds + fetchCpuSeconds);
   }
 
   /**
-   * Work lost if all of a machine's tasks are stopped, and gangs with all their tasks, in seconds
-   * of one core.
+   * Returns the work that is lost if all tasks of a machine are stopped, in core-seconds. A gang
+   * with a task there is counted with all of its tasks, since all of them are stopped.
    */
   public static double lostCpuSeconds(Machine machine, double nowSeconds) {
     double totalCpuSeconds = 0;
@@ -237,7 +254,10 @@
     return totalCpuSeconds;
   }
 
-  /** Work lost with a task, in seconds of one core; little with checkpoints. */
+  /**
+   * Returns the work that is lost if a task is stopped, in core-seconds. For a task with
+   * checkpoints that is at most the time to save one.
+   */
   private static double lostCpuSeconds(TaskPlacement placement, double nowSeconds) {
     double runSeconds = nowSeconds - placement.placedAtSeconds();
     double lostSeconds =
--- a/src/main/java/io/violetrail/scheduling/RecentAcceleratorDemand.java
+++ b/src/main/java/io/violetrail/scheduling/RecentAcceleratorDemand.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * Job classes with accelerators that were pending here lately, for which work without accelerators
- * leaves room.
+ * The job classes that need accelerators and of which a job was pending recently. CPU-only tasks
+ * leave room for them on accelerator machines.
  *
- * <p>Part of {@link BinPacker}, used on the event loop's thread; lost with the process and learnt
+ * <p>Part of {@link BinPacker}, used on the event loop's thread. Lost with the process and learnt
  * again from the pending jobs.
  */
 final class RecentAcceleratorDemand {
-  /** No room is left for a job class that was not pending for this long. */
+  /** Once no job of a class has been pending for this long, no room is left for the class. */
   private static final double RECENT_SECONDS = 600;
 
   private record Demand(Resources taskResources, double seenAtSeconds) {
@@ -24,23 +24,23 @@
 
   private final Map<String, Demand> demandByJobClass = new HashMap<>();
 
-  /** A job is pending; nothing happens if it needs no accelerators. */
+  /** Records that the job is pending, if it needs accelerators. */
   void record(JobSpec job, double nowSeconds) {
     if (job.taskResources().gpus() > 0) {
       demandByJobClass.put(job.jobClass(), new Demand(job.taskResources(), nowSeconds));
     }
   }
 
-  boolean isPresent(double nowSeconds) {
+  boolean hasRecentDemand(double nowSeconds) {
     return demandByJobClass.values().stream().anyMatch(demand -> demand.isRecent(nowSeconds));
   }
 
-  /** Whether fewer tasks of some recent job class fit in what remains than in the room before. */
-  boolean losesRoom(Resources room, Resources remaining, double nowSeconds) {
+  /** Returns whether fewer tasks of some recent job class fit in {@code freeAfter} than before. */
+  boolean reducesAcceleratorSlots(Resources freeBefore, Resources freeAfter, double nowSeconds) {
     for (Demand demand : demandByJobClass.values()) {
       if (demand.isRecent(nowSeconds)
-          && remaining.countFitting(demand.taskResources())
-              < room.countFitting(demand.taskResources())) {
+          && freeAfter.countFitting(demand.taskResources())
+              < freeBefore.countFitting(demand.taskResources())) {
         return true;
       }
     }
--- a/src/main/java/io/violetrail/scheduling/RuntimeEstimates.java
+++ b/src/main/java/io/violetrail/scheduling/RuntimeEstimates.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * How long tasks really run, as a multiple of their users' estimates, learnt for each job class.
+ * Estimates how long tasks run. Learns for each job class the ratio of the measured runtimes to the
+ * users' estimates.
  *
- * <p>Called on the event loop's thread; lost with the process and learnt again.
+ * <p>Called on the event loop's thread. Lost with the process and learnt again.
  */
 public final class RuntimeEstimates {
-  /** Weight of the newest task: some ten tasks outweigh what was learnt before. */
+  /** Weight of the newest task. Some ten tasks outweigh what was learnt before. */
   private static final double NEWEST_WEIGHT = 0.1;
 
   private static final double MIN_RUNTIME_SECONDS = 1;
@@ -18,7 +19,7 @@
   private static final double MAX_FACTOR = 10;
   private final Map<String, Double> factorByJobClass = new HashMap<>();
 
-  /** A task has run to its end without being stopped. */
+  /** Records the runtime of a task that has run to completion without being stopped. */
   public void recordRuntime(JobSpec job, double ranSeconds) {
     if (job.estimatedRuntimeSeconds() > 0) {
       double factor =
@@ -27,7 +28,7 @@
     }
   }
 
-  /** The expected runtime of a task, in seconds, at least one. */
+  /** Returns the expected runtime of a task in seconds; at least 1. */
   public double expectedRuntimeSeconds(JobSpec job) {
     return Math.max(
         MIN_RUNTIME_SECONDS,
--- a/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
+++ b/src/main/java/io/violetrail/scheduling/SchedulingLoop.java
@@ -4,17 +4,17 @@
 import io.violetrail.net.EventLoop;
 
 /**
- * Decides when a scheduling pass runs. Requests are debounced, since events come in bunches, and a
- * pass is followed by a pause in proportion to its own length, so that heartbeats and lease
- * renewals get their turn however slow the processor is: with hundreds of machines and a small
- * processor, a pass after each event would leave no time for anything else.
+ * Decides when a scheduling pass runs. Requests are debounced, since events arrive in bursts. A
+ * pass is followed by a pause in proportion to its duration, so that heartbeats and lease renewals
+ * are handled in time on a slow processor, too. With hundreds of machines and a small processor, a
+ * pass after each event would leave no time for anything else.
  *
- * <p>Runs on the event loop's thread; nothing survives the process.
+ * <p>Runs on the event loop's thread. Its state is lost with the process.
  */
 public final class SchedulingLoop {
   private static final double DEBOUNCE_SECONDS = 0.02;
 
-  /** Length of the pause after a pass, as a multiple of the pass. */
+  /** Duration of the pause after a pass, as a multiple of the duration of the pass. */
   private static final double PAUSE_FACTOR = 5;
 
   private final EventLoop loop;
@@ -22,7 +22,7 @@
   private Runnable pass = () -> {};
   private double pausedUntilSeconds;
 
-  /** Runs passes as turns of the event loop. */
+  /** Creates a loop that runs passes on the event loop. */
   public SchedulingLoop(EventLoop loop) {
     this.loop = loop;
     this.nextPass = new CoalescingTimer(loop, this::runPass);
@@ -33,7 +33,7 @@
     this.pass = pass;
   }
 
-  /** Something has changed that may let a task be placed. */
+  /** Requests a pass, since something has changed that may let a task be placed. */
   public void requestPass() {
     nextPass.schedule(Math.max(DEBOUNCE_SECONDS, pausedUntilSeconds - loop.monotonicSeconds()));
   }
--- a/src/main/java/io/violetrail/scheduling/SerializedWrites.java
+++ b/src/main/java/io/violetrail/scheduling/SerializedWrites.java
@@ -6,8 +6,8 @@
 import java.util.function.Supplier;
 
 /**
- * Writes to the state store that run one after the other, so that none overtakes another: a later
- * state of a job must not be overwritten by an earlier one.
+ * Runs a job's writes to the state store one after the other, in the order in which they were
+ * enqueued. Otherwise an earlier state of the job could overwrite a later one.
  *
  * <p>Part of one {@link Job}, used on the event loop's thread. Queued writes are lost with the
  * process.
@@ -16,7 +16,7 @@
   private final ArrayDeque<Supplier<CompletableFuture<?>>> queued = new ArrayDeque<>();
   private boolean inFlight;
 
-  /** Starts the write once all before it have completed, successfully or not. */
+  /** Starts the write once all earlier ones have completed, successfully or not. */
   void enqueue(Supplier<CompletableFuture<?>> write) {
     queued.add(write);
     startNext();
@@ -36,6 +36,6 @@
                   inFlight = false;
                   startNext();
                 }),
-        "write a job's state");
+        "write the state of a job");
   }
 }
--- a/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
@@ -11,43 +11,46 @@
 import java.util.List;
 
 /**
- * When jobs are expected to start and to be complete, by their deadlines and by the users'
- * service-level objectives, and what they are worth while they wait.
+ * Computes from the jobs' deadlines and the users' service-level objectives when jobs should start
+ * and complete, and which price is acceptable for them while they wait.
  *
- * <p>Called on the event loop's thread; has no state, the objectives are read from the
+ * <p>Called on the event loop's thread. Has no state: the objectives are read from the
  * configuration each time.
  */
 public final class ServiceLevelObjectives {
-  /** The worth of a job without a reachable deadline, as a price ratio, when it arrives. */
+  /** The maximum price ratio on arrival of a job that has no reachable deadline. */
   private static final double BASE_PRICE_RATIO = 3;
 
-  /** A job without a reachable deadline is worth 1 more for each such time that it waits. */
+  /** A job without a reachable deadline gets 1 added to its maximum price ratio per this wait. */
   private static final double SECONDS_PER_PRICE_RATIO_STEP = 15;
 
   /**
-   * The worth of a job with a reachable deadline, when it arrives: ordinary machines that are not
-   * much more expensive than the cheapest.
+   * The maximum price ratio on arrival of a job that has a reachable deadline. It admits on-demand
+   * machines that are not much more expensive than the cheapest.
    */
   private static final double RELAXED_PRICE_RATIO = 1.4;
 
-  /** What is added to {@link #RELAXED_PRICE_RATIO} by the last moment to start in time. */
+  /**
+   * The increase over {@link #RELAXED_PRICE_RATIO} that is reached at the latest time to start and
+   * still meet the deadline.
+   */
   private static final double URGENT_PRICE_RATIO_INCREASE = 2;
 
-  /** Best-effort work is worth less than any ordinary machine, however long it waits. */
+  /** The price ratio of best-effort jobs: below any on-demand machine, however long they wait. */
   private static final double BEST_EFFORT_PRICE_RATIO = 0.99;
 
   private final Configuration configuration;
 
-  /** Reads objectives and teams from the configuration. */
+  /** Creates objectives that read the configuration's objectives and teams. */
   public ServiceLevelObjectives(Configuration configuration) {
     this.configuration = configuration;
   }
 
   /**
-   * Whether the job is best effort: of the lowest priority, of a team without a guaranteed quota,
-   * without a deadline or an objective for its class. It runs in room that is there anyway and on
-   * spot machines. If machines were scaled out for it as for other work, it would be paid for at
-   * the highest price once it had waited long.
+   * Returns whether the job is best effort. That is a job of the lowest priority, of a team without
+   * a guaranteed quota, that has neither a deadline nor an objective for its class. It runs on
+   * existing free capacity and on spot machines. If the fleet were scaled out for it as for other
+   * jobs, it would get the most expensive machines after a long wait.
    */
   public boolean isBestEffort(JobSpec job) {
     Team team = configuration.findTeam(job.team());
@@ -60,9 +63,9 @@
   }
 
   /**
-   * The first of the job's deadlines that it can still meet with {@code runtimeSeconds} more
-   * seconds, in seconds of the monotonic clock; infinite if there is none, so that jobs that are
-   * late in any case make way for those that are not.
+   * Returns the earliest deadline that the job can still meet if it runs for {@code runtimeSeconds}
+   * from now, in seconds of the monotonic clock. Infinite if there is none, so that jobs that will
+   * be late in any case are ordered after those that need not be.
    */
   public double nextReachableDeadlineSeconds(Job job, double nowSeconds, double runtimeSeconds) {
     double earliestAtSeconds = Double.POSITIVE_INFINITY;
@@ -75,13 +78,16 @@
   }
 
   /**
-   * The moment by which the job is to be complete to meet the next objective that it can still
-   * meet, those for its start included: a job that can still start in time goes before one that has
-   * missed its start and has longer until its end. By ends alone, a burst would be served in the
-   * order of arrival, and nearly every urgent job of it would start late.
+   * Returns the time by which the job must complete to meet the earliest objective that it can
+   * still meet, in seconds of the monotonic clock; infinite if there is none. Includes objectives
+   * for the start, so that a job that can still start in time is ordered before one that has missed
+   * its start objective and has more time until its completion. By completion objectives alone, a
+   * burst of jobs would be served in the order of arrival, and nearly every urgent job of it would
+   * start late.
    *
-   * <p>Starts count for gangs only. An array starts task by task and goes by its end; if starts
-   * counted, the widest arrays would make way too early.
+   * <p>Start objectives count for gangs only. The tasks of other jobs start one by one, so these
+   * jobs are ordered by completion; with start objectives, the widest arrays would be deferred too
+   * early.
    */
   double nextReachableObjectiveSeconds(Job job, double nowSeconds, double runtimeSeconds) {
     double earliestAtSeconds = nextReachableDeadlineSeconds(job, nowSeconds, runtimeSeconds);
@@ -97,7 +103,10 @@
     return earliestAtSeconds;
   }
 
-  /** Within how long after arrival jobs of this class are to start; infinite if not stated. */
+  /**
+   * Returns within how many seconds after arrival jobs of this class should start; infinite without
+   * such an objective.
+   */
   public double startObjectiveSeconds(JobSpec job) {
     double withinSeconds = Double.POSITIVE_INFINITY;
     for (Objective objective : configuration.objectives()) {
@@ -109,13 +118,13 @@
   }
 
   /**
-   * How many times the cheapest ordinary price a pending task is worth. With a reachable deadline
-   * that grows as the time left to start in time runs out: a job with time left waits for a cheap
-   * machine.
+   * Returns the maximum acceptable price for a pending task, as a multiple of the cheapest
+   * on-demand price. For a job with a reachable deadline it increases as the latest start time
+   * approaches, so that a job with time left waits for a cheap machine.
    */
   public double maxPriceRatio(Job job, double nowSeconds, double runtimeSeconds) {
-    // A starving job that may not use spot machines is worth more: it would wait for ever once all
-    // ordinary machines are returned.
+    // A starving best-effort job that may not use spot machines gets the ordinary ratio. Otherwise
+    // it would wait forever once all on-demand machines are returned.
     if (job.bestEffort() && (job.spec().spotAllowed() || !job.isStarving(nowSeconds))) {
       return BEST_EFFORT_PRICE_RATIO;
     }
@@ -130,7 +139,10 @@
     return RELAXED_PRICE_RATIO + URGENT_PRICE_RATIO_INCREASE * slackUsedShare * slackUsedShare;
   }
 
-  /** By the objectives of its class; its own deadline counts if there is none. */
+  /**
+   * Returns the completion times that the objectives of the job's class demand. Without any,
+   * returns the job's own deadline if it has one.
+   */
   private List<Double> completionDeadlinesSeconds(Job job) {
     JobSpec spec = job.spec();
     List<Double> deadlines = new ArrayList<>();
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -7,23 +7,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides when a task that has exited without being done may be retried.
+ * Decides when a task that has exited without being done may be retried, and records failures that
+ * are errors of the task.
  *
  * <p>Called on the event loop's thread; has no state.
  */
 public final class TaskFailureHandler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailureHandler.class);
-  private static final double RETRY_AFTER_REFUSAL_SECONDS = 1.5;
+  private static final double RETRY_AFTER_REJECTION_SECONDS = 1.5;
   private static final double RETRY_AFTER_UNKNOWN_SECONDS = 5;
 
   private final EventLoop loop;
 
-  /** Reads the time of failures from the loop's clock. */
+  /** Creates a handler that reads the time of failures from the loop's clock. */
   public TaskFailureHandler(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** A task has exited on the machine without being done. */
+  /** Handles the exit of a task that is not done. */
   public void taskFailed(Machine machine, TaskPlacement placement, ExitCause cause) {
     double nowSeconds = loop.monotonicSeconds();
     Job job = placement.job();
@@ -32,7 +33,7 @@
       case ERROR -> {
         double ranSeconds = placement.hasRun() ? placement.ranSeconds(nowSeconds) : 0;
         LOG.info(
-            "task {}/{} failed on {} after {} s",
+            "task {}/{} failed on machine {} after {} s",
             job.spec().id(),
             index,
             machine.id(),
@@ -41,7 +42,7 @@
         job.retries().retryNotBefore(index, job.failureHistory().retryAtSeconds());
       }
       case INSUFFICIENT_RESOURCES, BUSY ->
-          job.retries().retryNotBefore(index, nowSeconds + RETRY_AFTER_REFUSAL_SECONDS);
+          job.retries().retryNotBefore(index, nowSeconds + RETRY_AFTER_REJECTION_SECONDS);
       case UNKNOWN -> job.retries().retryNotBefore(index, nowSeconds + RETRY_AFTER_UNKNOWN_SECONDS);
       default -> job.retries().retryAtOnce(index);
     }
--- a/src/main/java/io/violetrail/scheduling/TaskPlacement.java
+++ b/src/main/java/io/violetrail/scheduling/TaskPlacement.java
@@ -5,12 +5,14 @@
 import io.violetrail.wire.HeartbeatMessages.TaskState;
 
 /**
- * One attempt of a task on a machine, from the scheduling decision until there is evidence that the
- * task is gone.
+ * One attempt to run a task on a machine, from the scheduling decision until there is evidence that
+ * the task has terminated.
  *
- * <p>Until its launch is sent it is revocable and can be dropped without a trace; from then on only
- * {@link io.violetrail.evidence.TerminationEvidence} removes it. Used on the event loop's thread.
- * Not stored: after a failover the reports of workers show what was placed.
+ * <p>Until its launch is sent, a placement is revocable: it can be removed without further action.
+ * After that, it is removed only on {@link io.violetrail.evidence.TerminationEvidence}.
+ *
+ * <p>Used on the event loop's thread. Not stored: after a failover, placements are rebuilt from the
+ * workers' heartbeats.
  */
 public final class TaskPlacement {
   private static final double NO_STOP = -1;
@@ -20,10 +22,10 @@
   private final Machine machine;
   private final long attempt;
 
-  /** The report in whose reply the launch was sent; null before that. */
+  /** The heartbeat in whose reply the launch was sent; null before that. */
   private ReportId launchReport;
 
-  /** As last reported; null before the first report that shows it. */
+  /** The state in the last heartbeat that showed the task; null before the first. */
   private TaskState reportedState;
 
   /** The grace period of the requested stop; {@link #NO_STOP} if none is requested. */
@@ -31,20 +33,20 @@
 
   private final double placedAtSeconds;
 
-  /** When it was first reported as running; 0 before. */
+  /** When the task was last reported to have started running; 0 before. */
   private double runningSinceSeconds;
 
-  /** Whether the entity counts its resources as used; kept by the entity alone. */
+  /** Whether the entity counts its resources as used; changed only by the entity. */
   private boolean countedAsUsed;
 
-  /** Identifies a report of a machine's worker. */
+  /** Identifies a heartbeat of a machine's worker: the worker's session and a number within it. */
   public record ReportId(long session, long sequence) {}
 
   /**
-   * A decision made now; nothing is sent to the worker yet.
+   * Creates a placement whose launch was not sent yet.
    *
-   * @param attempt tells this start of the task from all others
-   * @param placedAtSeconds now, in seconds of the monotonic clock
+   * @param attempt identifies this attempt among all attempts to run the task
+   * @param placedAtSeconds the current time in seconds of the monotonic clock
    */
   public TaskPlacement(
       Job job, int taskIndex, Machine machine, long attempt, double placedAtSeconds) {
@@ -55,121 +57,127 @@
     this.placedAtSeconds = placedAtSeconds;
   }
 
-  /** The job that the task belongs to. */
   public Job job() {
     return job;
   }
 
-  /** The task's number within its job, from 0. */
+  /** Returns the index of the task within its job, from 0. */
   public int taskIndex() {
     return taskIndex;
   }
 
-  /** Where the task is, or is to be. */
+  /** Returns the machine on which the task runs or is to be launched. */
   public Machine machine() {
     return machine;
   }
 
-  /** Tells this start of the task from all others. */
+  /** Returns the number that identifies this attempt among all attempts to run the task. */
   public long attempt() {
     return attempt;
   }
 
-  /** The report in whose reply the launch was sent; null before that. */
+  /**
+   * Returns the heartbeat in whose reply the launch was sent; null before that. For a launch by a
+   * former owner or process, both numbers are 0.
+   */
   public ReportId launchReport() {
     return launchReport;
   }
 
-  /** The launch is sent in the reply to the machine's newest report. */
+  /** Records that the launch is sent in the reply to the machine's newest heartbeat. */
   public void launched() {
     launchReport = new ReportId(machine.lastSession(), machine.lastSequence());
   }
 
-  /** A report shows a task that another owner, or this one before a restart, has launched. */
+  /**
+   * Records that a heartbeat shows a task that was launched by another owner, or by this one before
+   * a restart.
+   */
   public void foundByReport() {
     launchReport = new ReportId(0, 0);
   }
 
-  /** As last reported; null before the first report that shows it. */
+  /** Returns the state in the last heartbeat that showed the task; null before the first. */
   public TaskState reportedState() {
     return reportedState;
   }
 
   /**
-   * A report shows the task in that state.
+   * Records the state of the task in a heartbeat.
    *
-   * @return whether this is the first report that shows it running, after another state
+   * @return whether the task is running now and was not in the previous heartbeat
    */
   public boolean reported(TaskState newState, double nowSeconds) {
-    boolean starts = reportedState != newState && newState == TaskState.RUNNING;
-    if (starts) {
+    boolean startedRunning = reportedState != newState && newState == TaskState.RUNNING;
+    if (startedRunning) {
       runningSinceSeconds = nowSeconds;
     }
     reportedState = newState;
-    return starts;
+    return startedRunning;
   }
 
-  /** Whether it is to stop. */
   public boolean isStopRequested() {
     return stopGraceSeconds >= 0;
   }
 
-  /** The grace period of the requested stop, in seconds; negative if none is requested. */
+  /** Returns the grace period of the requested stop in seconds; negative if none is requested. */
   public double stopGraceSeconds() {
     return stopGraceSeconds;
   }
 
-  /** When it was decided, in seconds of the monotonic clock. */
+  /** Returns the time of the scheduling decision, in seconds of the monotonic clock. */
   public double placedAtSeconds() {
     return placedAtSeconds;
   }
 
-  /** When it was first reported as running, in seconds of the monotonic clock; 0 before. */
+  /**
+   * Returns when the task was last reported to have started running, in seconds of the monotonic
+   * clock; 0 before.
+   */
   public double runningSinceSeconds() {
     return runningSinceSeconds;
   }
 
-  /** Whether it was ever reported as running. */
+  /** Returns whether the task was ever reported as running. */
   public boolean hasRun() {
     return runningSinceSeconds > 0;
   }
 
-  /** How long ago it was first reported as running; call it only if {@link #hasRun}. */
+  /** Returns the time since {@link #runningSinceSeconds}. Valid only if {@link #hasRun}. */
   public double ranSeconds(double nowSeconds) {
     return nowSeconds - runningSinceSeconds;
   }
 
-  /** Whether the entity counts its resources as used. */
+  /** Returns whether the entity counts the task's resources as used. */
   public boolean countedAsUsed() {
     return countedAsUsed;
   }
 
-  /** For the entity alone, which counts what is placed. */
-  public void setCounted(boolean nowCounted) {
-    countedAsUsed = nowCounted;
+  /** Sets whether the task's resources are counted as used. Called only by the entity. */
+  public void setCounted(boolean counted) {
+    countedAsUsed = counted;
   }
 
-  /** The identifier of the task, the same for all attempts. */
+  /** Returns the identifier of the task, which is the same for all attempts. */
   public TaskId taskId() {
     return new TaskId(job.spec().id(), taskIndex);
   }
 
-  /**
-   * Whether it is only decided and was never sent to a worker: it can be dropped without a trace.
-   */
+  /** Returns whether no launch was sent to a worker yet, so that the placement can be removed. */
   public boolean isRevocable() {
     return launchReport == null && reportedState == null;
   }
 
-  /** Whether it runs or saves a checkpoint, as last reported. */
+  /** Returns whether the task was last reported as running or as saving a checkpoint. */
   public boolean isRunning() {
     return reportedState == TaskState.RUNNING || reportedState == TaskState.CHECKPOINTING;
   }
 
   /**
-   * Requests a stop; of several grace periods the shortest applies.
+   * Requests that the task be stopped. If several stops are requested, the shortest grace period
+   * applies.
    *
-   * @param graceSeconds 0 for a stop at once
+   * @param graceSeconds 0 to stop the task immediately
    */
   public void requestStop(double graceSeconds) {
     stopGraceSeconds = isStopRequested() ? Math.min(stopGraceSeconds, graceSeconds) : graceSeconds;
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -21,14 +21,37 @@
 import java.util.Set;
 
 /**
- * Places pending tasks on the machines of their entity: all pending jobs in a pass, and those that
- * fit on a single machine when its heartbeat shows free room.
+ * Places the pending tasks of each entity that this controller owns on that entity's machines.
  *
- * <p>Called on the event loop's thread. Nothing survives the process: what was placed comes back
- * with the workers' reports.
+ * <p>Scheduling is triggered in two ways:
+ *
+ * <ul>
+ *   <li>A pass ({@link #runPass}) considers all pending jobs and all machines with free capacity.
+ *       {@link SchedulingLoop} runs it after changes that may let a task be placed, and repeatedly
+ *       while jobs are pending.
+ *   <li>When a heartbeat shows that tasks on a machine have ended, {@link #fillMachine} reuses the
+ *       freed capacity at once, so that the reply to that heartbeat can launch the next tasks. It
+ *       considers only that machine; a few gangs whose tasks fit there are tried on all machines.
+ * </ul>
+ *
+ * <p>Both take the jobs in the order of {@link PendingQueues}, the most urgent first, and stay
+ * within the part of each team's quota that the entity holds. {@link BinPacker} chooses the
+ * machines. A gang is placed as a whole or not at all; the tasks of other jobs are placed one by
+ * one. For a job that does not fit, {@link Preemption} may stop tasks of lower priority and reserve
+ * their room, in which a later pass places the job. At the end of a pass, {@link TransferRequests}
+ * asks other entities for the machines and quota that are still missing.
+ *
+ * <p>Placing a task only records a {@link TaskPlacement}. The launch is sent in the reply to a
+ * heartbeat of the machine's worker. If the worker waits in a long poll, that reply is sent at
+ * once.
+ *
+ * <p>Called on the event loop's thread. Placements are not stored: after a restart or failover they
+ * are rebuilt from the workers' heartbeats. Until every machine has reported, or certainly has no
+ * tasks, jobs that were loaded from the state store are not placed, since their tasks may still be
+ * running.
  */
 public final class TaskScheduler {
-  /** Gangs that one heartbeat may try to place; the next pass tries the rest. */
+  /** The number of gangs that one heartbeat may try to place; the next pass tries the others. */
   private static final int MAX_GANG_ATTEMPTS_PER_HEARTBEAT = 2;
 
   private final EventLoop loop;
@@ -43,10 +66,10 @@
   private final TransferRequests transferRequests;
   private final LongPolls longPolls;
 
-  /** Machines with new placements, whose workers may wait in a long poll. */
-  private final Set<MachineId> machinesToNotify = new LinkedHashSet<>();
+  /** Machines with new placements. Their workers may be waiting for launches in a long poll. */
+  private final Set<MachineId> machinesWithNewPlacements = new LinkedHashSet<>();
 
-  /** Places the jobs of {@code pendingQueues} through the bin packer, within the teams' quotas. */
+  /** Creates a scheduler; it places nothing until {@link #runPass} or {@link #fillMachine}. */
   public TaskScheduler(
       EventLoop loop,
       Membership membership,
@@ -72,7 +95,10 @@
     this.longPolls = longPolls;
   }
 
-  /** Runs a pass: places what is pending in all owned entities, if tasks may be started now. */
+  /**
+   * Runs a scheduling pass over all active entities that this controller owns. Does nothing while
+   * the controller's lease is not valid or its configuration is not fresh.
+   */
   public void runPass() {
     if (!membership.isLeaseValid() || !configuration.isFresh()) {
       return;
@@ -82,10 +108,10 @@
         placePendingJobs(entity);
       }
     }
-    answerWaitingWorkers();
+    endLongPolls();
   }
 
-  /** Machines examined so far: what placement costs, for metrics and tests. */
+  /** Returns how many machines were examined so far, a measure of the cost of placement. */
   public long machinesExamined() {
     return binPacker.machinesExamined();
   }
@@ -109,7 +135,7 @@
           remainingQuotaByTeam.computeIfAbsent(
               job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, nowSeconds));
       Resources used =
-          BinPacker.startsTaskByTask(job)
+          BinPacker.startsTasksIndividually(job)
               ? placeTasks(entity, job, schedulableMachines, quota, nowSeconds)
               : placeGang(entity, job, schedulableMachines, quota, nowSeconds);
       remainingQuotaByTeam.put(job.spec().team(), quota.minus(used));
@@ -128,8 +154,11 @@
   }
 
   /**
-   * Fills what has become free on a machine, for the reply to its heartbeat; a gang may get room on
-   * other machines as well. Only for an active entity, under a valid lease.
+   * Places tasks on a machine whose heartbeat has shown that tasks ended, before the heartbeat is
+   * answered. A gang that fits there may also be placed on other machines of the entity. Does
+   * nothing while the machine is not schedulable or the configuration is not fresh.
+   *
+   * <p>The caller must have checked that the entity is active and the controller's lease valid.
    */
   public void fillMachine(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
@@ -152,8 +181,8 @@
           remainingQuotaByTeam.computeIfAbsent(
               job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, nowSeconds));
       Resources used = Resources.NONE;
-      if (BinPacker.startsTaskByTask(job)) {
-        if (binPacker.hasRoomOnFullerMachines(
+      if (BinPacker.startsTasksIndividually(job)) {
+        if (binPacker.hasRoomOnBusierMachines(
             job, machine, entity.machines().values(), nowSeconds)) {
           continue;
         }
@@ -169,18 +198,18 @@
       }
       remainingQuotaByTeam.put(job.spec().team(), quota.minus(used));
     }
-    answerWaitingWorkers();
+    endLongPolls();
   }
 
   private void queueNotification(Machine machine) {
-    machinesToNotify.add(machine.id());
+    machinesWithNewPlacements.add(machine.id());
   }
 
-  /** Ends the long polls of machines with new placements. */
-  private void answerWaitingWorkers() {
-    List<MachineId> notified = List.copyOf(machinesToNotify);
-    machinesToNotify.clear();
-    notified.forEach(longPolls::answer);
+  /** Ends the long polls of machines with new placements, so that their launches are sent now. */
+  private void endLongPolls() {
+    List<MachineId> machineIds = List.copyOf(machinesWithNewPlacements);
+    machinesWithNewPlacements.clear();
+    machineIds.forEach(longPolls::answer);
   }
 
   private static boolean isStartable(Job job, boolean awaitingFirstReports, double nowSeconds) {
@@ -189,6 +218,11 @@
         && !(job.loadedFromStore() && awaitingFirstReports);
   }
 
+  /**
+   * Places as many of the job's pending tasks as the machines and the quota allow, one by one.
+   *
+   * @return the resources of the placed tasks
+   */
   private Resources placeTasks(
       OwnedEntity entity,
       Job job,
@@ -215,12 +249,12 @@
         fittingMachines =
             binPacker.findFittingMachines(job, schedulableMachines, placedCountByZone, nowSeconds);
       }
-      // A machine once chosen takes as many tasks as it can: they share its image.
+      // Each chosen machine is filled before the next one, since the tasks share the cached image.
       while (machine == null || !binPacker.fits(job, machine, placedCountByZone, nowSeconds)) {
         fittingMachines.remove(machine);
         machine = binPacker.chooseBest(job, fittingMachines).orElse(null);
         if (machine == null) {
-          preemptIfWorthwhile(entity, job, nowSeconds);
+          preemptUnlessSuspect(entity, job, nowSeconds);
           return taskResources.times(placedCount);
         }
       }
@@ -236,20 +270,25 @@
     return taskResources.times(placedCount);
   }
 
-  /** No healthy task is preempted for a job that fails on every machine. */
-  private void preemptIfWorthwhile(OwnedEntity entity, Job job, double nowSeconds) {
+  /**
+   * Tries to make room for the job by preemption, unless it is suspect: no healthy task is
+   * preempted for a job that fails on every machine. For a job that is not a gang, best-effort
+   * tasks are preempted first, and other tasks only if no best-effort task could be.
+   */
+  private void preemptUnlessSuspect(OwnedEntity entity, Job job, double nowSeconds) {
     if (!job.isSuspect()
-        && !(BinPacker.startsTaskByTask(job) && preemptBestEffortFor(entity, job, nowSeconds))) {
+        && !(BinPacker.startsTasksIndividually(job)
+            && preemptBestEffortFor(entity, job, nowSeconds))) {
       preemption.preemptFor(entity, job, nowSeconds);
     }
   }
 
   /**
-   * Preempts best-effort work on as many machines as the job's pending tasks need, all at once: the
-   * ordinary preemption of one task a second would be too slow, and best-effort work may always be
-   * preempted.
+   * Preempts best-effort tasks on as many machines as the job's pending tasks need, all at once.
+   * The ordinary preemption makes room for one task a second, which would be too slow, and
+   * best-effort tasks may always be preempted.
    *
-   * @return whether any machine was cleared
+   * @return whether best-effort tasks were evicted from at least one machine
    */
   private boolean preemptBestEffortFor(OwnedEntity entity, Job job, double nowSeconds) {
     if (job.bestEffort() || !entity.hasPlacedTaskBelow(job.spec().priority())) {
@@ -257,7 +296,7 @@
     }
     Resources taskResources = job.spec().taskResources();
     int missingCount = job.startableCount(nowSeconds);
-    boolean cleared = false;
+    boolean preempted = false;
     for (Machine machine : entity.machines().values()) {
       int additionalCount =
           machine.freeCapacityWithoutBestEffort().countFitting(taskResources)
@@ -267,14 +306,18 @@
           && machine.isSchedulable()
           && binPacker.isSuitable(job, machine, nowSeconds)) {
         missingCount -= additionalCount;
-        cleared = true;
+        preempted = true;
         drainer.clearBestEffortWork(entity, machine);
       }
     }
-    return cleared;
+    return preempted;
   }
 
-  /** Places all of a gang's tasks at once, or none. */
+  /**
+   * Places all of a gang's tasks at once, or none.
+   *
+   * @return the resources of the placed tasks
+   */
   private Resources placeGang(
       OwnedEntity entity,
       Job job,
@@ -289,7 +332,7 @@
     }
     Optional<List<Machine>> plan = binPacker.planGang(job, schedulableMachines, nowSeconds);
     if (plan.isEmpty()) {
-      preemptIfWorthwhile(entity, job, nowSeconds);
+      preemptUnlessSuspect(entity, job, nowSeconds);
       return Resources.NONE;
     }
     List<Machine> chosenMachines = plan.get();
--- a/src/test/java/io/violetrail/scheduling/DeadlineSelectionTest.java
+++ b/src/test/java/io/violetrail/scheduling/DeadlineSelectionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class DeadlineSelectionTest {
-  private static PendingJob dueJob(int id, double dueS, double workS) {
+  private static PendingJob pendingJob(int id, double deadlineAtSeconds, double workSeconds) {
     JobSpec spec =
         new JobSpec(
             new JobId("job-" + id),
@@ -32,13 +32,13 @@
             10,
             0,
             0,
-            dueS);
-    return new PendingJob(new Job(spec, 0, id, false), dueS, workS, 1);
+            deadlineAtSeconds);
+    return new PendingJob(new Job(spec, 0, id, false), deadlineAtSeconds, workSeconds, 1);
   }
 
   private static List<String> jobIdsInOrder(PendingJob... jobs) {
     return DeadlineSelection.orderByDeadline(List.of(jobs), 0).stream()
-        .map(d -> d.job().spec().id().value())
+        .map(pendingJob -> pendingJob.job().spec().id().value())
         .toList();
   }
 
@@ -46,15 +46,15 @@
   void jobsThatAllFitAreOrderedByDeadline() {
     assertEquals(
         List.of("job-2", "job-3", "job-1"),
-        jobIdsInOrder(dueJob(1, 60, 20), dueJob(2, 20, 10), dueJob(3, 40, 20)));
+        jobIdsInOrder(pendingJob(1, 60, 20), pendingJob(2, 20, 10), pendingJob(3, 40, 20)));
   }
 
   @Test
   void largestJobIsDeferredWhenNotAllFit() {
-    // By due times alone, job-1 takes until 50 and all three are late.
+    // By earliest deadline alone, job-1 would come first and make all three jobs late.
     assertEquals(
         List.of("job-2", "job-3", "job-1"),
-        jobIdsInOrder(dueJob(1, 30, 29), dueJob(2, 35, 10), dueJob(3, 40, 10)));
+        jobIdsInOrder(pendingJob(1, 30, 29), pendingJob(2, 35, 10), pendingJob(3, 40, 10)));
   }
 
   @Test
@@ -62,8 +62,8 @@
     assertEquals(
         List.of("job-3", "job-2", "job-1"),
         jobIdsInOrder(
-            dueJob(1, Double.POSITIVE_INFINITY, 9),
-            dueJob(2, Double.POSITIVE_INFINITY, 5),
-            dueJob(3, 40, 10)));
+            pendingJob(1, Double.POSITIVE_INFINITY, 9),
+            pendingJob(2, Double.POSITIVE_INFINITY, 5),
+            pendingJob(3, 40, 10)));
   }
 }
--- a/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
+++ b/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What urgent jobs are given before others. */
+/** Tests the order in which pending jobs are placed. */
 class PendingQueueTest {
   private static final MachineType TYPE =
       new MachineType("plain", new Resources(32, 0, 64), 50, 1, 1, 0.3, 30, List.of("a"));
@@ -100,7 +100,7 @@
 
   @Test
   void jobsThatCanMeetTheirObjectiveComeFirst() {
-    // In the order of arrival, a burst made nearly every job of it start late.
+    // With order of arrival, nearly every job of a burst started late.
     addWaitingJob(1, 0);
     addWaitingJob(2, 45);
     addWaitingJob(3, 20);
@@ -109,13 +109,13 @@
     }
     List<String> order =
         new PendingQueue(ownedEntity, serviceLevelObjectives, new RuntimeEstimates())
-            .orderedJobs(50).stream().map(j -> j.spec().id().value()).toList();
+            .orderedJobs(50).stream().map(job -> job.spec().id().value()).toList();
     assertEquals(List.of("job-3", "job-2", "job-1"), order);
   }
 
   @Test
   void lateJobIsNotStarvedByJobsThatFitInTime() {
-    // Where there is always more work than room, what is late made way for ever.
+    // While there is always more work than capacity, late jobs were deferred forever.
     addMachine(1);
     for (int i = 1; i < 6; i++) {
       JobSpec spec = jobSpec(i, Priority.HIGH, 30, JobShape.ARRAY);
--- a/src/test/java/io/violetrail/simulation/LargeFleetLoadTest.java
+++ b/src/test/java/io/violetrail/simulation/LargeFleetLoadTest.java
@@ -167,7 +167,7 @@
     for (Controller number : simulation.controllers().values()) {
       assertEquals(
           "c1",
-          number.directory().machineRowsOf(number.membership().findHomeEntity().id()).isEmpty()
+          number.clusterView().machineRowsOf(number.membership().findHomeEntity().id()).isEmpty()
               ? "c1"
               : number.settings().self().value());
     }
--- a/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
+++ b/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
@@ -60,7 +60,7 @@
           simulation
                   .controllers()
                   .get("c" + i)
-                  .directory()
+                  .clusterView()
                   .findMachineRow(new MachineId(worker.id()))
               == null);
     }
