--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -512,7 +512,7 @@
     states.add(CompletableFuture.completedFuture(configuration.findState()));
     states.addAll(peerClient.configurationStates());
     return CompletableFuture.allOf(states.toArray(CompletableFuture[]::new))
-        .thenApply(nothing -> states.stream().map(CompletableFuture::join).toList());
+        .thenApply(ignored -> states.stream().map(CompletableFuture::join).toList());
   }
 
   /**
--- a/src/main/java/io/violetrail/controller/EntityRecovery.java
+++ b/src/main/java/io/violetrail/controller/EntityRecovery.java
@@ -73,16 +73,17 @@
     var requests = store.list(StateSchema.scaleOutRequestPrefix(entity.id()));
     var progress = store.list(StateSchema.progressPrefix(entity.id()));
     // The machine rows must be read after the move. From then on only this owner changes them.
-    var common = store.list(StateSchema.COMMON_PREFIX);
+    var commonRows = store.list(StateSchema.COMMON_PREFIX);
     Futures.logFailure(
-        CompletableFuture.allOf(openJobs, requests, progress, common)
+        CompletableFuture.allOf(openJobs, requests, progress, commonRows)
             .whenComplete(
-                (nothing, failure) -> {
+                (ignored, failure) -> {
                   if (failure != null) {
                     loop.schedule(RETRY_READ_SECONDS, () -> recover(entity));
                     return;
                   }
-                  clusterView.replaceWithListing(common.join().entries(), common.join().revision());
+                  clusterView.replaceWithListing(
+                      commonRows.join().entries(), commonRows.join().revision());
                   activate(
                       entity,
                       new EntityRows(
--- a/src/main/java/io/violetrail/scheduling/FailureAttribution.java
+++ b/src/main/java/io/violetrail/scheduling/FailureAttribution.java
@@ -44,15 +44,15 @@
    * Records that a task has exited with an error, and updates whether its job is suspect and which
    * machines are quarantined.
    *
-   * @param ranSeconds how long the task ran; 0 if it was never reported as running
+   * @param runSeconds how long the task ran; 0 if it was never reported as running
    */
-  public static void recordFailure(Machine machine, Job job, double ranSeconds, double nowSeconds) {
-    job.failureHistory().recordFailure(machine, ranSeconds, nowSeconds);
+  public static void recordFailure(Machine machine, Job job, double runSeconds, double nowSeconds) {
+    job.failureHistory().recordFailure(machine, runSeconds, nowSeconds);
     machine.countFailure(job);
     updateQuarantine(machine);
     if (isUnproven(job)
         && !job.failureHistory().isSuspect()
-        && job.failureHistory().countFailedMachinesInUse() >= 2) {
+        && job.failureHistory().countFailedMachinesNotQuarantined() >= 2) {
       job.failureHistory().markSuspect();
       LOG.info(
           "job {} is suspect: it fails on every machine; retrying with one probe at a time",
@@ -76,10 +76,10 @@
    * Records that a task is running. A task that has run for long enough is as good a proof of its
    * job as a task that is done.
    */
-  public static void recordRunning(Job job, double ranSeconds) {
+  public static void recordRunning(Job job, double runSeconds) {
     if (job.failureHistory().hasFailures()
         && !job.failureHistory().isProven()
-        && job.failureHistory().isHealthyRun(ranSeconds)) {
+        && job.failureHistory().isHealthyRun(runSeconds)) {
       markJobProven(job);
     }
   }
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -390,12 +390,12 @@
    * Returns the highest price ratio at which it is worth starting a task. The value is cached for
    * calls with the same {@code nowSeconds}.
    *
-   * @param compute computes the value if {@code nowSeconds} differs from that of the last call
+   * @param computeRatio computes the value if {@code nowSeconds} differs from that of the last call
    */
-  double maxPriceRatio(double nowSeconds, DoubleSupplier compute) {
+  double maxPriceRatio(double nowSeconds, DoubleSupplier computeRatio) {
     if (maxPriceRatioAtSeconds != nowSeconds) {
       maxPriceRatioAtSeconds = nowSeconds;
-      maxPriceRatio = compute.getAsDouble();
+      maxPriceRatio = computeRatio.getAsDouble();
     }
     return maxPriceRatio;
   }
--- a/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
+++ b/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
@@ -47,12 +47,12 @@
   /**
    * Records that a task of the job has exited with an error, and extends the backoff.
    *
-   * @param ranSeconds how long the task ran; 0 if it was never reported as running
+   * @param runSeconds how long the task ran; 0 if it was never reported as running
    */
-  void recordFailure(Machine machine, double ranSeconds, double nowSeconds) {
+  void recordFailure(Machine machine, double runSeconds, double nowSeconds) {
     errorCount++;
     failedMachinesById.put(machine.id(), machine);
-    longestFailedRunSeconds = Math.max(longestFailedRunSeconds, ranSeconds);
+    longestFailedRunSeconds = Math.max(longestFailedRunSeconds, runSeconds);
     if (nowSeconds - lastFailedAttemptAtSeconds > SAME_ATTEMPT_SECONDS) {
       failedAttemptCount++;
       lastFailedAttemptAtSeconds = nowSeconds;
@@ -77,8 +77,8 @@
   /**
    * Returns whether a task that has run for so long is healthy; see {@link #HEALTHY_RUN_FACTOR}.
    */
-  boolean isHealthyRun(double ranSeconds) {
-    return ranSeconds
+  boolean isHealthyRun(double runSeconds) {
+    return runSeconds
         > Math.max(MIN_HEALTHY_RUN_SECONDS, HEALTHY_RUN_FACTOR * longestFailedRunSeconds);
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** Returns on how many machines that are not quarantined the job has failed. */
-  int countFailedMachinesInUse() {
+  int countFailedMachinesNotQuarantined() {
     int count = 0;
     for (Machine machine : failedMachinesById.values()) {
       count += machine.quarantined() ? 0 : 1;
--- a/src/main/java/io/violetrail/scheduling/RuntimeEstimates.java
+++ b/src/main/java/io/violetrail/scheduling/RuntimeEstimates.java
@@ -20,10 +20,11 @@
   private final Map<String, Double> factorByJobClass = new HashMap<>();
 
   /** Records the runtime of a task that has run to completion without being stopped. */
-  public void recordRuntime(JobSpec job, double ranSeconds) {
+  public void recordRuntime(JobSpec job, double runtimeSeconds) {
     if (job.estimatedRuntimeSeconds() > 0) {
       double factor =
-          Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, ranSeconds / job.estimatedRuntimeSeconds()));
+          Math.max(
+              MIN_FACTOR, Math.min(MAX_FACTOR, runtimeSeconds / job.estimatedRuntimeSeconds()));
       factorByJobClass.merge(job.jobClass(), factor, (old, f) -> old + NEWEST_WEIGHT * (f - old));
     }
   }
--- a/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
@@ -21,7 +21,10 @@
   /** The maximum price ratio on arrival of a job that has no reachable deadline. */
   private static final double BASE_PRICE_RATIO = 3;
 
-  /** A job without a reachable deadline gets 1 added to its maximum price ratio per this wait. */
+  /**
+   * The waiting time, in seconds, after which 1 more is added to the maximum price ratio of a job
+   * that has no reachable deadline.
+   */
   private static final double SECONDS_PER_PRICE_RATIO_STEP = 15;
 
   /**
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -31,14 +31,14 @@
     int index = placement.taskIndex();
     switch (cause) {
       case ERROR -> {
-        double ranSeconds = placement.hasRun() ? placement.ranSeconds(nowSeconds) : 0;
+        double runSeconds = placement.hasRun() ? placement.ranSeconds(nowSeconds) : 0;
         LOG.info(
             "task {}/{} failed on machine {} after {} s",
             job.spec().id(),
             index,
             machine.id(),
-            Math.round(ranSeconds));
-        FailureAttribution.recordFailure(machine, job, ranSeconds, nowSeconds);
+            Math.round(runSeconds));
+        FailureAttribution.recordFailure(machine, job, runSeconds, nowSeconds);
         job.retries().retryNotBefore(index, job.failureHistory().retryAtSeconds());
       }
       case INSUFFICIENT_RESOURCES, BUSY ->
--- a/src/main/java/io/violetrail/scheduling/TaskRetries.java
+++ b/src/main/java/io/violetrail/scheduling/TaskRetries.java
@@ -26,9 +26,9 @@
     return true;
   }
 
-  /** Prevents the task from being started before {@code atSeconds}. */
-  void retryNotBefore(int index, double atSeconds) {
-    notBeforeSeconds.put(index, (Double) atSeconds);
+  /** Prevents the task from being started before {@code retryAtSeconds}. */
+  void retryNotBefore(int index, double retryAtSeconds) {
+    notBeforeSeconds.put(index, (Double) retryAtSeconds);
   }
 
   void retryAtOnce(int index) {
