--- a/src/main/java/io/violetrail/fleet/Autoscaler.java
+++ b/src/main/java/io/violetrail/fleet/Autoscaler.java
@@ -5,8 +5,8 @@
 import io.violetrail.ownership.OwnedEntity;
 
 /**
- * Scales the fleet of each owned entity in and out, once a second on the event loop's thread, while
- * this controller's lease is valid.
+ * Scales the fleet of each active owned entity in and out, once a second on the event loop's
+ * thread, while this controller's lease is valid.
  */
 public final class Autoscaler {
   private static final double PERIOD_SECONDS = 1;
@@ -19,7 +19,7 @@
   private final ScaleOutRequests scaleOutRequests;
   private final OrphanedMachines orphanedMachines;
 
-  /** Works on what the membership says is owned here. */
+  /** Creates an autoscaler for the entities that the membership lists as owned. */
   public Autoscaler(
       EventLoop loop,
       Membership membership,
@@ -37,28 +37,28 @@
     this.orphanedMachines = orphanedMachines;
   }
 
-  /** Begins the periodic work, and asks for the machine types at once. */
+  /** Starts the periodic passes, and fetches the machine types at once. */
   public void start() {
     loop.scheduleWithFixedDelay(PERIOD_SECONDS, this::runOnce);
-    loop.execute(machineTypeRefresh::refresh);
+    loop.execute(machineTypeRefresh::refreshIfStale);
   }
 
   private void runOnce() {
     double nowSeconds = loop.monotonicSeconds();
     scaleOut.drawTieBreak();
-    scaleOutRequests.dropStale(nowSeconds);
+    scaleOutRequests.removeStale(nowSeconds);
     if (!membership.isLeaseValid()) {
       return;
     }
     for (OwnedEntity entity : membership.ownedEntities()) {
       if (entity.isActive()) {
-        scaleIn.returnUseless(entity, nowSeconds);
-        scaleOutRequests.resendUncertain(entity);
-        scaleOut.rent(entity, nowSeconds);
+        scaleIn.returnUnneededMachines(entity, nowSeconds);
+        scaleOutRequests.resendUnanswered(entity);
+        scaleOut.rentForPendingTasks(entity, nowSeconds);
       }
     }
-    machineTypeRefresh.refresh();
-    machineTypeRefresh.store();
+    machineTypeRefresh.refreshIfStale();
+    machineTypeRefresh.storeIfMissing();
     orphanedMachines.scanIfDue(nowSeconds);
   }
 }
--- a/src/main/java/io/violetrail/fleet/BootTimes.java
+++ b/src/main/java/io/violetrail/fleet/BootTimes.java
@@ -6,33 +6,37 @@
 import java.util.Map;
 
 /**
- * How long boots of each type have taken of late. A boot far over its time is not counted on, and
- * after a while its machine is returned; but where all boots are slow, that must neither double the
- * fleet nor return machines just before they would have come up. Called on the event loop's thread;
- * lost in a crash, after which the types' own boot times are assumed.
+ * Recent boot times of each machine type. A machine that is late in booting no longer counts as
+ * capacity and is returned after a while. If all boots are slow, this must neither double the fleet
+ * nor return machines just before they would have booted. Called on the event loop's thread; lost
+ * in a crash, after which the types' configured boot times are assumed.
  */
 public final class BootTimes {
-  /** The protocol's usual boot takes up to this many times what its type says. */
+  /** Under the protocol, a usual boot takes up to this many times the type's boot time. */
   private static final double USUAL_BOOT_RATIO = 1.6;
 
-  /** Deciding, the cloud's answer and the first report come on top. */
+  /** Added to the boot time for the decision, the provider's answer and the first report. */
   public static final double OVERHEAD_SECONDS = 5;
 
-  /** A boot of so many times the slowest seen of late is not counted on any more. */
+  /** A boot is late if it takes this many times as long as the slowest recent or usual one. */
   private static final double LATE_FACTOR = 1.25;
 
-  /** What is remembered of a slow boot fades with each later one. */
+  /** The factor by which the excess of the slowest boot decays with each later boot. */
   private static final double DECAY_FACTOR = 0.9;
 
-  /** After so many usual boots, a machine rented before them is taken not to come up. */
+  /** After this many usual boots, a machine rented before them is expected not to boot. */
   private static final int RECENT_BOOTS = 3;
 
-  /** How much longer is waited after none of those returned had come up, and how often at most. */
+  /**
+   * How much longer to wait for boots after a machine was returned that had not booted, unless
+   * another one has booted since it was rented.
+   */
   private static final double BACKOFF_FACTOR = 1.5;
 
+  /** The limit of the factor by which repeated such returns extend the wait. */
   private static final double MAX_BACKOFF_FACTOR = 4;
 
-  /** No machine is given up sooner after it was rented. */
+  /** The least time after renting a machine before it is given up. */
   private static final double MIN_WAIT_SECONDS = 40;
 
   private final Map<String, TypeHistory> historyByType = new HashMap<>();
@@ -47,7 +51,7 @@
     return historyByType.computeIfAbsent(type.name(), t -> new TypeHistory());
   }
 
-  /** A machine rented here has come up. */
+  /** Records that a rented machine has booted and reported. */
   public void recordBoot(MachineType type, double bootSeconds, double nowSeconds) {
     TypeHistory history = historyOf(type);
     history.slowestBootRatio =
@@ -60,7 +64,7 @@
     }
   }
 
-  /** A machine was returned that had never come up. */
+  /** Records that a machine was returned that had never reported. */
   public void recordNeverBooted(MachineType type, double rentedAtSeconds) {
     TypeHistory history = historyOf(type);
     if (history.recentBootsAtSeconds.isEmpty()
@@ -69,7 +73,7 @@
     }
   }
 
-  /** Whether a machine that is not up should have been by now. */
+  /** Returns whether a machine that has not reported should have done so by now. */
   public boolean isLate(MachineType type, double rentedAtSeconds, double nowSeconds) {
     return nowSeconds - rentedAtSeconds
         > LATE_FACTOR
@@ -78,7 +82,7 @@
             + OVERHEAD_SECONDS;
   }
 
-  /** Whether a machine that is not up is not waited for any longer. */
+  /** Returns whether a machine that has not reported is no longer expected to, and is returned. */
   public boolean isGivenUp(MachineType type, double rentedAtSeconds, double nowSeconds) {
     TypeHistory history = historyOf(type);
     boolean laterRentalsBooted =
--- a/src/main/java/io/violetrail/fleet/CapacityBin.java
+++ b/src/main/java/io/violetrail/fleet/CapacityBin.java
@@ -4,7 +4,7 @@
 import io.violetrail.model.Resources;
 import io.violetrail.scheduling.Job;
 
-/** A machine that is there or coming, as room that a {@link ScaleOutPlan} fills with tasks. */
+/** The capacity of a running, booting or planned machine, which a {@link ScaleOutPlan} fills. */
 final class CapacityBin {
   private final MachineOffering offering;
   private final boolean booting;
@@ -14,8 +14,9 @@
   /**
    * Creates a bin.
    *
-   * @param sequentialCapacity room for tasks that need not run side by side, one after the other
-   * @param booting whether the machine is not up yet
+   * @param sequentialCapacity additional capacity for an array's tasks, which can run one after the
+   *     other
+   * @param booting whether the machine is planned, requested or booting, so not running yet
    */
   CapacityBin(
       MachineOffering offering,
@@ -36,12 +37,12 @@
     return booting;
   }
 
-  /** How many of the job's tasks fit side by side. */
+  /** Returns how many of the job's tasks fit at the same time. */
   int freeTaskSlots(Job job) {
     return freeCapacity.countFitting(job.spec().taskResources());
   }
 
-  /** Takes room for as many of the job's tasks as fit, and returns how many those are. */
+  /** Uses capacity for up to {@code taskCount} of the job's tasks; returns how many have fit. */
   int fill(Job job, int taskCount) {
     Resources task = job.spec().taskResources();
     int placed = Math.min(taskCount, freeCapacity.countFitting(task));
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of the entities owned here: how they join an entity, come up, get another fencing
- * token and leave. What must outlive the process goes through {@link OwnedEntity#machineRecords}.
- * Called on the event loop's thread.
+ * Manages the machines of the entities owned here: adds them, records their first report, raises
+ * their fencing tokens and removes them. What must survive a crash is written through {@link
+ * OwnedEntity#machineRecords}. Called on the event loop's thread.
  */
 public final class EntityMachines {
   private static final Logger LOG = LoggerFactory.getLogger(EntityMachines.class);
@@ -33,10 +33,10 @@
   private final BootTimes bootTimes;
   private final SchedulingLoop schedulingLoop;
 
-  /** Machines that the provider has taken back while their rows are not removed yet. */
-  private final Set<MachineId> returned = new HashSet<>();
+  /** Machines that were returned to the provider and whose rows are not removed yet. */
+  private final Set<MachineId> returnedMachineIds = new HashSet<>();
 
-  /** Creates the machines' keeper, which requests scheduling passes as machines become usable. */
+  /** Creates an object for one controller; it requests a scheduling pass when machines change. */
   public EntityMachines(
       EventLoop loop,
       ClusterView clusterView,
@@ -52,14 +52,14 @@
     this.schedulingLoop = schedulingLoop;
   }
 
-  /** Finds a machine of an owned entity, or adds it; null while its type is not known. */
+  /** Finds or adds a machine of an owned entity; returns null while its type is not known. */
   public Machine findOrAdd(OwnedEntity entity, MachineRow row) {
     Machine machine = entity.machines().get(row.id());
     if (machine != null) {
       return machine;
     }
-    // A machine from outside the entity can hide none of its tasks: they start only on recorded
-    // machines.
+    // A machine that was not recorded for the entity holds none of the entity's tasks: they start
+    // only on recorded machines.
     return add(entity, row, loop.monotonicSeconds());
   }
 
@@ -84,11 +84,11 @@
   }
 
   /**
-   * Adds all recorded machines of an entity that was just taken over.
+   * Adds all recorded machines of an entity that this controller has just acquired.
    *
-   * @param unreportedTasksGoneAtSeconds when the tasks of a machine that has not reported until
-   *     then are certainly gone, in seconds of the steady clock
-   * @return false, with no machine added, while some machine's type is not known
+   * @param unreportedTasksGoneAtSeconds when the tasks of a machine that has not reported are
+   *     certainly gone, in seconds of the monotonic clock
+   * @return false if some machine's type is not known; then no machine is added
    */
   public boolean addAllRecorded(OwnedEntity entity, double unreportedTasksGoneAtSeconds) {
     for (MachineRow row : clusterView.machineRowsOf(entity.id())) {
@@ -110,15 +110,15 @@
   }
 
   private void addTransferred(OwnedEntity entity, MachineRow row) {
-    if (entity.machines().containsKey(row.id()) || returned.contains(row.id())) {
+    if (entity.machines().containsKey(row.id()) || returnedMachineIds.contains(row.id())) {
       return;
     }
     Machine machine = add(entity, row, loop.monotonicSeconds());
     if (machine != null) {
-      // A machine is transferred empty, so it hides nothing.
-      machine.markJoinedEmpty();
+      // Machines are transferred empty, so this one has no unreported tasks.
+      machine.markTasksKnown();
       LOG.info(
-          "machine {} joins entity {} with fencing token {}",
+          "machine {} joined entity {} with fencing token {}",
           row.id(),
           entity.id(),
           machine.acquiredVersion());
@@ -126,7 +126,10 @@
     }
   }
 
-  /** Records that a machine has reported, before anything may be launched on it. */
+  /**
+   * Stores that a machine has sent its first report. No task may be launched on it before that is
+   * stored.
+   */
   public void markUp(OwnedEntity entity, Machine machine) {
     if (mayWriteRow(entity, machine)) {
       writeRow(entity, machine, machine.row().withReported());
@@ -134,33 +137,36 @@
   }
 
   /**
-   * The worker has seen a higher fencing token than this controller's: the machine's is raised
-   * above that one, since the worker obeys no lower one.
+   * Raises the machine's fencing token above the higher one that its worker has seen, since the
+   * worker rejects commands with a lower one.
    */
-  public void raiseTerm(OwnedEntity entity, Machine machine, Version seen) {
+  public void raiseTerm(OwnedEntity entity, Machine machine, Version seenToken) {
     if (mayWriteRow(entity, machine)) {
-      Version term = seen.nextOwnedBy(entity.row().version().ownerIndex());
+      Version newTerm = seenToken.nextOwnedBy(entity.row().version().ownerIndex());
       LOG.info(
-          "machine {} has seen fencing token {}: its own becomes {}", machine.id(), seen, term);
-      writeRow(entity, machine, machine.row().withTerm(term));
+          "machine {}: worker has seen higher fencing token {}, raising the machine's to {}",
+          machine.id(),
+          seenToken,
+          newTerm);
+      writeRow(entity, machine, machine.row().withTerm(newTerm));
     }
   }
 
   private boolean mayWriteRow(OwnedEntity entity, Machine machine) {
-    return !machine.rowWriteInFlight() && entity.isActive() && membership.isLeaseValid();
+    return !machine.isRowWriteInFlight() && entity.isActive() && membership.isLeaseValid();
   }
 
-  private void writeRow(OwnedEntity entity, Machine machine, MachineRow next) {
+  private void writeRow(OwnedEntity entity, Machine machine, MachineRow newRow) {
     machine.startRowWrite();
     Futures.logFailure(
         entity
             .machineRecords()
-            .rewrite(machine.row(), next)
+            .rewrite(machine.row(), newRow)
             .whenComplete(
                 (stored, failure) -> {
                   machine.endRowWrite();
                   if (failure == null) {
-                    rowWritten(machine, stored);
+                    applyWrittenRow(machine, stored);
                   } else {
                     membership.relist();
                   }
@@ -168,38 +174,42 @@
         "rewrite a machine's record");
   }
 
-  private void rowWritten(Machine machine, MachineRow stored) {
+  private void applyWrittenRow(Machine machine, MachineRow stored) {
     double nowSeconds = loop.monotonicSeconds();
     if (!machine.row().hasReported()) {
       bootTimes.recordBoot(machine.type(), nowSeconds - machine.rentedAtSeconds(), nowSeconds);
-      // Its boot is not idleness: dear machines were returned the moment they came up.
+      // The boot time must not count as idle time: expensive machines were returned as soon as they
+      // had booted.
       machine.markIdle(nowSeconds);
     }
     machine.replaceRow(stored);
     schedulingLoop.requestPass();
   }
 
-  /** Removes a machine that the provider has certainly taken back. */
+  /** Removes a machine that was certainly returned to the provider, with its placements. */
   public void remove(OwnedEntity entity, Machine machine) {
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
       entity.removePlacement(placement, loop.monotonicSeconds(), TerminationEvidence.RETURNED);
     }
     entity.removeMachine(machine);
-    returned.add(machine.id());
+    returnedMachineIds.add(machine.id());
     schedulingLoop.requestPass();
   }
 
-  /** Whether the provider has taken the machine back while its row is not removed yet. */
-  public boolean wasReturned(MachineId machine) {
-    return returned.contains(machine);
+  /** Returns whether the machine was returned to the provider and its row is not removed yet. */
+  public boolean wasReturned(MachineId machineId) {
+    return returnedMachineIds.contains(machineId);
   }
 
-  /** The row of a machine that was taken back is removed. */
-  void rowRemoved(MachineId machine) {
-    returned.remove(machine);
+  /** Forgets a returned machine, whose row is removed. */
+  void forgetReturned(MachineId machineId) {
+    returnedMachineIds.remove(machineId);
   }
 
-  /** After a write with an uncertain outcome: finds out whether the machine is still here. */
+  /**
+   * Determines after a transfer with an uncertain outcome whether the machine still belongs to the
+   * entity, by listing the stored rows again; if not, removes it.
+   */
   public void verifyOwner(OwnedEntity entity, Machine machine) {
     membership.relistThen(
         () -> {
@@ -207,7 +217,7 @@
           if (row == null || !row.entity().equals(entity.id())) {
             entity.removeMachine(machine);
           } else {
-            machine.transferFailed(row);
+            machine.abortTransfer(row);
           }
         });
   }
--- a/src/main/java/io/violetrail/fleet/FreeCapacityForecast.java
+++ b/src/main/java/io/violetrail/fleet/FreeCapacityForecast.java
@@ -6,13 +6,14 @@
 import io.violetrail.scheduling.TaskPlacement;
 
 /**
- * Predicts what a machine that is up will have free by the time that another of its type would have
- * booted. A plain computation on the runtime estimates, used by {@link ScaleOut} on the event
- * loop's thread.
+ * Predicts the free capacity of a running machine at the time at which another of its type would
+ * have booted. Computed from the runtime estimates without side effects; used by {@link ScaleOut}
+ * on the event loop's thread.
  */
 final class FreeCapacityForecast {
   /**
-   * Tasks of a job that one place is to run one after the other; estimates are too rough for more.
+   * The most tasks of a job planned one after the other in the same capacity; the runtime estimates
+   * are too rough for more.
    */
   static final double MAX_SEQUENTIAL_TASKS = 4;
 
@@ -22,7 +23,7 @@
     this.runtimeEstimates = runtimeEstimates;
   }
 
-  /** What the machine will have free by the time that another of its type would be up. */
+  /** Returns what the machine will have free by the time that another of its type has booted. */
   Resources freeAtBootTime(Machine machine, double nowSeconds) {
     Resources capacity = machine.freeCapacity();
     for (TaskPlacement placement : machine.placements().values()) {
@@ -34,24 +35,26 @@
   }
 
   /**
-   * What may start there after those, one task after the other like what runs there now, before
-   * another machine would be up. Without it, dear machines were rented for short tasks, and had
-   * nothing to do when they came up.
+   * Returns the additional capacity for further array tasks that could start on the machine, one
+   * after the other and as long as the running ones, before another machine has booted. Without it,
+   * expensive machines were rented for short tasks and had nothing to do once they had booted.
    */
   Resources sequentialCapacity(Machine machine, double nowSeconds) {
     Resources capacity = Resources.NONE;
     for (TaskPlacement placement : machine.placements().values()) {
       double secondsLeft = machine.type().bootSeconds() - remainingSeconds(placement, nowSeconds);
-      int rounds =
+      int sequentialTasks =
           (int) (secondsLeft / runtimeEstimates.expectedRuntimeSeconds(placement.job().spec()));
-      if (secondsLeft > 0 && rounds > 0 && placement.job().spec().shape() == JobShape.ARRAY) {
+      if (secondsLeft > 0
+          && sequentialTasks > 0
+          && placement.job().spec().shape() == JobShape.ARRAY) {
         capacity =
             capacity.plus(
                 placement
                     .job()
                     .spec()
                     .taskResources()
-                    .times((int) Math.min(MAX_SEQUENTIAL_TASKS, rounds)));
+                    .times((int) Math.min(MAX_SEQUENTIAL_TASKS, sequentialTasks)));
       }
     }
     return capacity;
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -17,13 +17,13 @@
 import java.util.Set;
 
 /**
- * A machine of an entity that this controller owns: its type, its stored record and life cycle, its
- * worker's status, the tasks placed on it, and what is reserved on it. Each of these is an object
- * of its own; what depends on several of them is decided here.
+ * A machine of an entity that this controller owns. It combines the machine's type, its stored
+ * record and lifecycle ({@link MachineLifecycle}), its worker's status ({@link WorkerStatus}), the
+ * tasks placed on it ({@link PlacedTasks}) and its reservations ({@link MachineReservations}), and
+ * decides what depends on several of them.
  *
- * <p>Called on the event loop's thread only, by scheduling, by the heartbeats' handling and by
- * scaling. Only the record ({@link #row()}) survives a crash. All times are seconds of the steady
- * clock.
+ * <p>Called only on the event loop's thread, by scheduling, heartbeat handling and scaling. Only
+ * the record ({@link #row()}) survives a crash. All times are seconds of the monotonic clock.
  */
 public final class Machine {
   private final MachineType type;
@@ -40,7 +40,7 @@
   private double idleSinceSeconds;
   private double fullUseSeconds;
 
-  /** Creates a machine that was rented just now for the entity, so certainly without tasks. */
+  /** Creates a machine that was rented just now for the entity and therefore has no tasks. */
   public Machine(MachineRow row, MachineType type, Version acquiredVersion, double nowSeconds) {
     this(row, type, acquiredVersion, nowSeconds, nowSeconds, 0);
   }
@@ -48,11 +48,12 @@
   /**
    * Creates a machine that joins an entity.
    *
-   * @param acquiredVersion the version under which this controller's ownership of it begins
-   * @param nowSeconds steady clock reading, in seconds
-   * @param rentedAtSeconds when it was rented, by the same clock
-   * @param unreportedTasksGoneAtSeconds until when it may hold tasks that this controller does not
-   *     know, by the same clock
+   * @param acquiredVersion the fencing token at the start of this controller's ownership of the
+   *     machine
+   * @param nowSeconds the present time
+   * @param rentedAtSeconds when the machine was rented
+   * @param unreportedTasksGoneAtSeconds until when the machine may run tasks that this controller
+   *     does not know of
    */
   public Machine(
       MachineRow row,
@@ -75,365 +76,394 @@
     return row().id();
   }
 
-  /** The machine type, as the provider offers it under its name. */
+  /** Returns the machine type as the provider offers it. */
   public MachineType type() {
     return type;
   }
 
   /**
-   * The version under which this controller's ownership of the machine began. Heartbeats with an
-   * older fencing token do not prove that a task is absent.
+   * Returns the fencing token at the start of this controller's ownership of the machine. A
+   * heartbeat with an older fencing token does not prove that a task is absent.
    */
   public Version acquiredVersion() {
     return acquiredVersion;
   }
 
-  /** When it was rented. */
+  /** Returns when the machine was rented. */
   public double rentedAtSeconds() {
     return rentedAtSeconds;
   }
 
-  /** When it came to this entity's present owner. */
+  /** Returns when the machine joined the entity under its present owner. */
   public double joinedAtSeconds() {
     return joinedAtSeconds;
   }
 
-  /** Whether new tasks may be placed on this machine. */
+  /** Returns whether new tasks may be placed on this machine. */
   public boolean isSchedulable() {
     return lifecycle.isInService() && worker.isReadyForTasks();
   }
 
-  /** Whether the job's constraints on types, zones and spot machines allow this machine. */
+  /** Returns whether the job's constraints on types, zones and spot machines allow this machine. */
   public boolean isAllowedFor(JobSpec job) {
     return job.allowsMachine(row().type(), row().zone(), row().spot());
   }
 
-  // ---- the stored record and the life cycle
+  // ---- the stored record and the lifecycle
 
-  /** The machine's record as it was last stored. */
+  /** Returns the machine's record as it was last stored. */
   public MachineRow row() {
     return lifecycle.row();
   }
 
-  /** Whether a write of its record is in flight. */
-  boolean rowWriteInFlight() {
+  boolean isRowWriteInFlight() {
     return lifecycle.isRowWriteInFlight();
   }
 
-  /** A write of its record begins. */
+  /** Records that a write of the machine's record has been started. */
   void startRowWrite() {
     lifecycle.startRowWrite();
   }
 
-  /** The write of its record has ended, with or without effect. */
+  /** Records that the write of the machine's record has ended, whether it was applied or not. */
   void endRowWrite() {
     lifecycle.endRowWrite();
   }
 
-  /** Its record was stored. */
+  /** Replaces the record by the one that was stored. */
   void replaceRow(MachineRow stored) {
     lifecycle.replaceRow(stored);
   }
 
-  /** Whether it goes out of service: what runs is checkpointed, and nothing new starts. */
+  /** Returns whether the machine is draining: its tasks are checkpointed, and none are started. */
   public boolean draining() {
     return lifecycle.isDraining();
   }
 
-  /** Takes it out of service: what runs is checkpointed, and nothing new starts. */
+  /** Starts to drain the machine: its tasks are checkpointed, and none are started. */
   public void startDraining() {
     lifecycle.startDraining();
   }
 
-  /** Takes it back into service. */
+  /** Stops draining, so that tasks may be placed here again. */
   public void stopDraining() {
     lifecycle.stopDraining();
   }
 
-  /** Whether it is being returned to the provider. */
+  /** Returns whether the machine is being returned to the provider. */
   public boolean returning() {
     return lifecycle.isReturning();
   }
 
-  /** It is to be returned to the provider. */
+  /** Marks the machine as being returned to the provider. */
   void startReturn() {
     lifecycle.startReturn();
   }
 
   /**
-   * The provider has refused to take it back. It is in service again, unless an earlier request had
-   * an uncertain outcome and may still be carried out: without this, idle machines were out of use
-   * for all of a provider outage.
+   * Puts the machine back into service after the provider has refused its return, unless the
+   * outcome of an earlier return request is uncertain, as that request may still be carried out. If
+   * refused machines stayed out of service, idle machines could not be used for the length of a
+   * provider outage.
    */
   void cancelReturn() {
     lifecycle.cancelReturn();
   }
 
-  /** A return request had an uncertain outcome: the provider may still carry it out. */
+  /** Records that the provider may still carry out a return request whose outcome is uncertain. */
   void markReturnUncertain() {
     lifecycle.markReturnUncertain();
   }
 
-  /** Whether its transfer to another entity is in flight. */
-  boolean transferInFlight() {
+  /** Returns whether the machine's transfer to another entity is in flight. */
+  boolean isTransferInFlight() {
     return lifecycle.isTransferInFlight();
   }
 
-  /** Its transfer to another entity begins: nothing starts here meanwhile. */
+  /** Marks the transfer to another entity as in flight; no task is placed here meanwhile. */
   void startTransfer() {
     lifecycle.startTransfer();
   }
 
-  /** It was not transferred after all; its record is now the one given. */
-  void transferFailed(MachineRow stored) {
-    lifecycle.transferFailed(stored);
+  /** Ends a transfer that did not take place, and replaces the record by the one stored. */
+  void abortTransfer(MachineRow stored) {
+    lifecycle.abortTransfer(stored);
   }
 
   // ---- the worker's status
 
-  /** The worker session of the newest heartbeat; 0 before the first. */
+  /** Returns the worker session of the newest heartbeat, or 0 before the first one. */
   public long lastSession() {
     return worker.lastSession();
   }
 
-  /** The newest heartbeat's number within its session. */
+  /** Returns the newest heartbeat's sequence number within its session. */
   public long lastSequence() {
     return worker.lastSequence();
   }
 
-  /** Heartbeats of earlier sessions are outdated: the leases of those sessions have expired. */
+  /**
+   * Returns the first worker session whose lease is not known to have expired. Heartbeats of
+   * earlier sessions are outdated.
+   */
   public long firstValidSession() {
     return worker.firstValidSession();
   }
 
-  /** A heartbeat has arrived; nothing is concluded from its contents yet. */
+  /** Records when a heartbeat arrived and the worker's endpoint, but nothing about its tasks. */
   public void recordHeartbeat(HostPort workerEndpoint, double nowSeconds) {
     worker.recordHeartbeat(workerEndpoint, nowSeconds);
   }
 
-  /** A heartbeat that was kept open as a long poll is answered now. */
+  /**
+   * Records the reply to a heartbeat that was held open as a long poll; the reply may renew the
+   * worker's lease.
+   */
   public void recordReply(double nowSeconds) {
     worker.recordReply(nowSeconds);
   }
 
-  /** Records which heartbeat of the worker is the newest. */
+  /** Records the session and sequence number of the worker's newest heartbeat. */
   public void recordNewestReport(long session, long sequence) {
     worker.recordNewestReport(session, sequence);
   }
 
   /**
-   * A heartbeat under the current fencing token was reconciled: the machine's tasks are known.
+   * Records that a heartbeat under the current fencing token was reconciled: the machine's tasks
+   * are known, and it is responsive.
    *
-   * @param preemptionNoticeSeconds seconds until the provider preempts it; null without a notice
+   * @param preemptionNoticeSeconds seconds until the provider preempts the machine; null without a
+   *     notice
    */
   public void markReconciled(Double preemptionNoticeSeconds) {
     worker.recordStatus(preemptionNoticeSeconds);
   }
 
-  /** It was transferred here empty, so its tasks are known. */
-  void markJoinedEmpty() {
+  /** Marks the tasks as known for a machine that was transferred here empty. */
+  void markTasksKnown() {
     worker.markTasksKnown();
   }
 
-  /** Whether it has reported under this controller's fencing token, so that its tasks are known. */
+  /**
+   * Returns whether the machine's tasks are known: it has reported under this controller's fencing
+   * token, or cannot hold unreported tasks since it joined empty.
+   */
   public boolean tasksKnown() {
     return worker.tasksKnown();
   }
 
-  /** Until then, a machine that has not reported may hold tasks. */
+  /** Returns until when the machine may hold unreported tasks while its tasks are not known. */
   public double unreportedTasksGoneAtSeconds() {
     return worker.unreportedTasksGoneAtSeconds();
   }
 
-  /** Another controller may renew its worker's lease until then. */
+  /**
+   * Extends the time for which the machine may hold unreported tasks, as its worker's lease may
+   * have been renewed since. Never shortens it.
+   */
   public void extendUnreportedTasksUntil(double untilSeconds) {
     worker.extendUnreportedTasksUntil(untilSeconds);
   }
 
-  /** Whether it may hold a task that this controller does not know of. */
+  /** Returns whether the machine may hold a task that this controller does not know of. */
   public boolean mayHoldUnreportedTasks(double nowSeconds) {
     return worker.mayHoldUnreportedTasks(nowSeconds);
   }
 
-  /** When its last heartbeat came. */
+  /** Returns when the last heartbeat arrived, or when the machine joined if none has. */
   public double lastHeartbeatAtSeconds() {
     return worker.lastHeartbeatAtSeconds();
   }
 
   /**
-   * The latest time at which a reply may have renewed its worker's lease, in seconds of the steady
-   * clock; when it joined the entity, before the first heartbeat.
+   * Returns the latest time at which a reply may have renewed the worker's lease, or when the
+   * machine joined the entity if no heartbeat has arrived.
    */
   public double latestRenewalAtSeconds() {
     return worker.latestRenewalAtSeconds();
   }
 
-  /** Seconds until the provider preempts it, as last reported; null if there is no notice. */
+  /**
+   * Returns the seconds until the provider preempts the machine, as last reported, or null without
+   * a preemption notice.
+   */
   public Double preemptionNoticeSeconds() {
     return worker.preemptionNoticeSeconds();
   }
 
-  /** Whether its heartbeats have stopped coming. */
+  /** Returns whether the worker's heartbeats have stopped arriving. */
   public boolean unresponsive() {
     return worker.unresponsive();
   }
 
-  /** Its heartbeats have stopped coming. */
+  /** Records that the worker's heartbeats have stopped arriving. */
   public void markUnresponsive() {
     worker.markUnresponsive();
   }
 
   /**
-   * Its worker's lease has certainly expired, and with it its session and its unknown tasks; the
-   * caller removes the placements.
+   * Records that the worker's lease has certainly expired: its session is outdated, and its unknown
+   * tasks are gone. The caller removes the placements.
    */
   public void expireLease() {
     worker.expireLease();
     tasks.replaceUnknownTasks(Map.of());
   }
 
-  /** Where its worker answers; null before the first heartbeat here. */
+  /** Returns the worker's endpoint, or null before this controller has received a heartbeat. */
   public HostPort endpoint() {
     return worker.endpoint();
   }
 
   // ---- reservations
 
-  /** A more urgent job for which room is being made here; null if there is none. */
+  /** Returns the more urgent job that tasks are preempted for here, or null if there is none. */
   public Job reservedForJob() {
     return reservations.job();
   }
 
-  /** Until when other jobs keep out of the reserved room. */
+  /** Returns until when no other job's tasks are placed here. */
   public double reservedUntilSeconds() {
     return reservations.jobUntilSeconds();
   }
 
-  /** Reserves the room that is made here for a more urgent job. */
+  /** Reserves the machine for the more urgent job that tasks are preempted for. */
   public void reserve(Job job, double untilSeconds) {
     reservations.reserveForJob(job, untilSeconds);
   }
 
-  /** No best-effort work is started here until then: others need the machine. */
+  /** Returns until when no best-effort work is placed here, as other work needs the machine. */
   public double bestEffortBarredUntilSeconds() {
     return reservations.bestEffortBarredUntilSeconds();
   }
 
-  /** Starts no best-effort work here until then. */
+  /** Keeps best-effort work off the machine until the given time. */
   public void barBestEffortUntil(double untilSeconds) {
     reservations.barBestEffortUntil(untilSeconds);
   }
 
-  /** Nothing is started here until then: it is drained for another entity. */
+  /** Returns until when no task is placed here, as the machine is drained for another entity. */
   public double reservedForTransferUntilSeconds() {
     return reservations.transferUntilSeconds();
   }
 
-  /** Starts nothing here until then. */
+  /** Keeps all new tasks off the machine until the given time, for a transfer to another entity. */
   public void reserveForTransferUntil(double untilSeconds) {
     reservations.reserveForTransferUntil(untilSeconds);
   }
 
   // ---- images, failures and use
 
-  /** Whether the image is cached there, as far as heartbeats have shown. */
+  /** Returns whether the image is cached on the machine, as far as heartbeats have shown. */
   public boolean hasImage(String image) {
     return cachedImages.contains(image);
   }
 
-  /** A task with the image has run here. */
+  /** Records that a task with the image has run here. */
   public void recordImage(String image) {
     cachedImages.add(image);
   }
 
-  /** Failures here of each job since a task last succeeded here; not to be changed. */
+  /** Returns an unmodifiable view of each job's failures since a task last succeeded here. */
   public Map<Job, Integer> failuresByJob() {
     return Collections.unmodifiableMap(failuresByJob);
   }
 
-  /** A task of the job has failed here. */
+  /** Counts one failed task of the job. */
   public void countFailure(Job job) {
     failuresByJob.merge(job, 1, Integer::sum);
   }
 
-  /** A task has succeeded here. */
+  /** Forgets the failures of all jobs, after a task has succeeded here. */
   public void clearFailures() {
     failuresByJob.clear();
   }
 
-  /** Whether it fails what it starts, by what its failures say now. */
+  /** Returns whether the machine is quarantined because tasks keep failing on it. */
   public boolean quarantined() {
     return quarantined;
   }
 
-  /** Says whether it fails what it starts. */
-  public void setQuarantined(boolean nowQuarantined) {
-    quarantined = nowQuarantined;
+  public void setQuarantined(boolean newQuarantined) {
+    quarantined = newQuarantined;
   }
 
-  /** Since when nothing but best-effort work has been here. */
+  /**
+   * Returns since when the machine has had only best-effort work, or since when it has been empty
+   * if it is a spot machine.
+   */
   public double idleSinceSeconds() {
     return idleSinceSeconds;
   }
 
-  /** It has no regular work from now on. */
+  /** Sets the start of the idle time. */
   public void markIdle(double nowSeconds) {
     idleSinceSeconds = nowSeconds;
   }
 
-  /** Seconds of full use so far, by the scarcer of processors and accelerators. */
+  /**
+   * Returns the seconds of use so far, weighted by {@link #utilization()}: a machine that is half
+   * used for two seconds counts one.
+   */
   public double fullUseSeconds() {
     return fullUseSeconds;
   }
 
-  /** Counts the present use for so many seconds more. */
+  /** Adds the given number of seconds at the present utilization to the use. */
   public void countUse(double seconds) {
     fullUseSeconds += seconds * utilization();
   }
 
   // ---- tasks and free capacity
 
-  /** Tasks placed here, by name, in the order of their placement; not to be changed. */
+  /** Returns an unmodifiable view of the tasks placed here, in the order of their placement. */
   public Map<TaskId, TaskPlacement> placements() {
     return tasks.placements();
   }
 
-  /** Returns the task's placement here, or null if it has none. */
+  /** Returns the task's placement on this machine, or null if it has none. */
   public TaskPlacement findPlacement(TaskId taskId) {
     return tasks.find(taskId);
   }
 
-  /** Adds a task; a placement of the same task is replaced. */
+  /** Adds a placement, replacing a former one of the same task. */
   public void addPlacement(TaskPlacement placement) {
     tasks.add(placement);
   }
 
-  /** Removes a task if exactly this placement is recorded, and returns whether it was. */
+  /** Removes exactly this placement, and returns false if it is not recorded here. */
   public boolean removePlacement(TaskPlacement placement) {
     return tasks.remove(placement);
   }
 
-  /** Tasks that the worker reports but no open job has, with what they use; not to be changed. */
+  /**
+   * Returns an unmodifiable view of the tasks that the worker reports but that belong to no open
+   * job, with the resources that they use.
+   */
   public Map<TaskId, Resources> unknownTasks() {
     return tasks.unknownTasks();
   }
 
-  /** Replaces the tasks that the worker reports but no open job has, with what they use. */
+  /**
+   * Replaces the tasks that the worker reports but that belong to no open job.
+   *
+   * @param reported the resources that each of the tasks uses
+   */
   public void replaceUnknownTasks(Map<TaskId, Resources> reported) {
     tasks.replaceUnknownTasks(reported);
   }
 
-  /** The free resources; computed again only after the tasks have changed. */
+  /** Returns the free resources. The value is cached until the tasks change. */
   public Resources freeCapacity() {
     return tasks.freeCapacity();
   }
 
-  /** What would be free without the best-effort work here. */
+  /** Returns the resources that would be free without the best-effort work on this machine. */
   public Resources freeCapacityWithoutBestEffort() {
     return tasks.freeCapacityWithoutBestEffort();
   }
 
-  /** The fraction in use now, by the scarcer of processors and accelerators. */
+  /** Returns the fraction in use of processors or of accelerators, whichever is higher. */
   public double utilization() {
     return tasks.utilization();
   }
@@ -442,7 +472,9 @@
     return tasks.isEmpty();
   }
 
-  /** Whether nothing but best-effort work is here, if anything. */
+  /**
+   * Returns whether the machine has no tasks except best-effort work. True for an empty machine.
+   */
   public boolean hasOnlyBestEffortTasks() {
     return tasks.hasOnlyBestEffortTasks();
   }
--- a/src/main/java/io/violetrail/fleet/MachineLifecycle.java
+++ b/src/main/java/io/violetrail/fleet/MachineLifecycle.java
@@ -3,13 +3,14 @@
 import io.violetrail.ownership.StateSchema.MachineRow;
 
 /**
- * One machine's stored record, and what keeps it out of service: that it boots, drains, is being
- * returned to the provider or transferred to another entity. These overlap (a machine that drains
- * is returned next, and one may become quarantined while its transfer is in flight), so they are
- * separate states with transitions of their own. At most one write of the record is in flight.
+ * One machine's stored record, and the conditions that keep the machine out of service: it is
+ * booting, draining, being returned to the provider or being transferred to another entity. These
+ * conditions overlap (a draining machine is returned next, and a machine may become quarantined
+ * while its transfer is in flight), so each is a separate state with its own transitions. At most
+ * one write of the record is in flight.
  *
- * <p>Used by its {@link Machine} alone, on the event loop's thread. The record survives a crash;
- * the rest does not, and the next owner decides it anew.
+ * <p>Used only by its {@link Machine}, on the event loop's thread. The record survives a crash; the
+ * other state does not, and the next owner decides it anew.
  */
 final class MachineLifecycle {
   private MachineRow row;
@@ -19,11 +20,11 @@
   private ReturnPhase returnPhase = ReturnPhase.NOT_RETURNING;
 
   private enum ReturnPhase {
-    /** The provider has not been asked, or has certainly refused. */
+    /** No return was requested, or the provider has certainly refused it. */
     NOT_RETURNING,
-    /** The provider is being asked; a certain refusal brings the machine back into service. */
+    /** A return is requested; a certain refusal puts the machine back into service. */
     REQUESTED,
-    /** A request's outcome is unknown, so the machine may vanish at any time from now on. */
+    /** The outcome of a return request is unknown, so the machine may be terminated at any time. */
     UNCERTAIN
   }
 
@@ -35,7 +36,7 @@
     return row;
   }
 
-  /** Whether the machine has booted, and nothing takes it out of service. */
+  /** Returns whether the machine has booted and no condition keeps it out of service. */
   boolean isInService() {
     return row.hasReported() && !draining && !isReturning() && !transferInFlight;
   }
@@ -63,7 +64,8 @@
   }
 
   /**
-   * Ends a return that the provider refused, unless an earlier request may still be carried out.
+   * Ends a return that the provider has refused, unless an earlier request may still be carried
+   * out.
    */
   void cancelReturn() {
     if (returnPhase == ReturnPhase.REQUESTED) {
@@ -83,7 +85,7 @@
     transferInFlight = true;
   }
 
-  void transferFailed(MachineRow stored) {
+  void abortTransfer(MachineRow stored) {
     row = stored;
     transferInFlight = false;
   }
--- a/src/main/java/io/violetrail/fleet/MachineOffering.java
+++ b/src/main/java/io/violetrail/fleet/MachineOffering.java
@@ -1,4 +1,4 @@
 package io.violetrail.fleet;
 
-/** What can be rented: a machine type in a zone, as a spot machine or an on-demand one. */
+/** An offering of the provider: a machine type in a zone, as a spot or an on-demand machine. */
 public record MachineOffering(String type, String zone, boolean spot) {}
--- a/src/main/java/io/violetrail/fleet/MachineReservations.java
+++ b/src/main/java/io/violetrail/fleet/MachineReservations.java
@@ -3,15 +3,16 @@
 import io.violetrail.scheduling.Job;
 
 /**
- * Which work is kept off one machine, and until when: for a more urgent job that room is being made
- * for, for a transfer to another entity, or because others need what best-effort work would take.
- * All times are seconds of the steady clock; a reservation ends by itself.
+ * Which work is kept off one machine, and until when: all other jobs while tasks are preempted for
+ * a more urgent job, all jobs before a transfer to another entity, and best-effort work while other
+ * work needs the machine. All times are seconds of the monotonic clock; a reservation expires
+ * without a further call.
  *
- * <p>Used by its {@link Machine} alone, on the event loop's thread. Lost in a crash without harm:
- * the next scheduling pass decides anew.
+ * <p>Used only by its {@link Machine}, on the event loop's thread. Reservations need not survive a
+ * crash: the next scheduling pass decides anew.
  */
 final class MachineReservations {
-  /** Null if no room is reserved. */
+  /** The more urgent job that tasks are preempted for; null if there is none. */
   private Job job;
 
   private double jobUntilSeconds;
--- a/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypeRefresh.java
@@ -13,16 +13,16 @@
 import java.util.List;
 
 /**
- * Keeps the machine types up to date with the provider, and stored for other controllers. Called by
- * the {@link Autoscaler} on the event loop's thread; the stored row survives a crash.
+ * Fetches the machine types from the provider periodically, and stores them for other controllers.
+ * Called by the {@link Autoscaler} on the event loop's thread; the stored row survives a crash.
  */
 public final class MachineTypeRefresh {
   private static final double REFRESH_SECONDS = 240;
 
-  /** After a failure, while some types are known. */
+  /** Delay after a failed fetch if some types are known. */
   private static final double RETRY_SECONDS = 20;
 
-  /** While no type is known. */
+  /** Delay between fetches while no type is known. */
   private static final double FIRST_RETRY_SECONDS = 1;
 
   private final EventLoop loop;
@@ -33,12 +33,12 @@
   private final CloudClient cloud;
   private double refreshedAtSeconds = Double.NEGATIVE_INFINITY;
 
-  /** As the provider last answered this process; null before. */
-  private List<MachineType> fromCloud;
+  /** The types in the provider's last answer to this process; null before the first one. */
+  private List<MachineType> fetchedTypes;
 
   private boolean storeInFlight;
 
-  /** Creates the refresh, which asks the provider at its first call. */
+  /** Creates an object whose first {@link #refreshIfStale} fetches the types. */
   public MachineTypeRefresh(
       EventLoop loop,
       StateStore stateStore,
@@ -54,11 +54,11 @@
     this.cloud = cloud;
   }
 
-  /** Asks the provider again if the types known here are old. */
-  void refresh() {
+  /** Fetches the types from the provider if the known ones are due for a refresh. */
+  void refreshIfStale() {
     double nowSeconds = loop.monotonicSeconds();
-    boolean known = !machineTypes.isEmpty();
-    if (nowSeconds - refreshedAtSeconds < (known ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
+    boolean hasTypes = !machineTypes.isEmpty();
+    if (nowSeconds - refreshedAtSeconds < (hasTypes ? REFRESH_SECONDS : FIRST_RETRY_SECONDS)
         || !cloud.tryAcquireCall()) {
       return;
     }
@@ -70,24 +70,25 @@
                 (types, failure) -> {
                   if (failure != null) {
                     refreshedAtSeconds =
-                        known ? nowSeconds - REFRESH_SECONDS + RETRY_SECONDS : nowSeconds;
+                        hasTypes ? nowSeconds - REFRESH_SECONDS + RETRY_SECONDS : nowSeconds;
                     return;
                   }
                   machineTypes.replaceAll(types);
-                  fromCloud = types;
+                  fetchedTypes = types;
                   schedulingLoop.requestPass();
                 }),
-        "ask the cloud for the machine types");
+        "fetch the machine types from the cloud");
   }
 
   /**
-   * Stores the machine types for controllers that start while the provider does not answer, unless
-   * they are stored already. Called at each pass, since at its start a controller learns them
-   * before it has its lease: stored only on an answer, they were missing for minutes, and
-   * controllers that restarted meanwhile served nothing until the provider was back.
+   * Stores the machine types, unless they are stored already, for controllers that start during a
+   * provider outage. Called in each pass and not only after a fetch, since a starting controller
+   * fetches the types before it has its lease. When they were stored only after a fetch, the row
+   * was missing for minutes, and controllers that restarted meanwhile served nothing until the
+   * provider was available again.
    */
-  void store() {
-    if (fromCloud == null || storeInFlight || clusterView.machineTypes() != null) {
+  void storeIfMissing() {
+    if (fetchedTypes == null || storeInFlight || clusterView.machineTypes() != null) {
       return;
     }
     storeInFlight = true;
@@ -98,7 +99,7 @@
                     .ifRevision(StateSchema.MACHINE_TYPES_KEY, 0)
                     .put(
                         StateSchema.MACHINE_TYPES_KEY,
-                        CloudMessages.machineTypesMessage(fromCloud)))
+                        CloudMessages.machineTypesMessage(fetchedTypes)))
             .whenComplete((outcome, failure) -> storeInFlight = false),
         "store the machine types");
   }
--- a/src/main/java/io/violetrail/fleet/MachineTypes.java
+++ b/src/main/java/io/violetrail/fleet/MachineTypes.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types that the provider offers, as it last answered this controller or as another
- * controller has stored them. Empty until one of the two is known. Used on the event loop's thread;
+ * The machine types that the provider offers, from its last answer to this controller or from the
+ * row that a controller has stored. Empty until either is known. Used on the event loop's thread;
  * the stored row survives a crash.
  */
 public final class MachineTypes {
@@ -24,47 +24,47 @@
   private final ClusterView clusterView;
   private final Map<String, MachineType> byName = new HashMap<>();
 
-  /** The stored row that {@link #byName} was last filled from, compared by identity. */
-  private Object loadedFrom;
+  /** The stored row that was last loaded into {@link #byName}, compared by identity. */
+  private Object loadedRow;
 
-  /** Reads the stored types from the rows of the cluster view. */
+  /** Creates an object that reads the stored types from the cluster view. */
   public MachineTypes(ClusterView clusterView) {
     this.clusterView = clusterView;
   }
 
-  /** Finds the type of that name; null while it is not known. */
+  /** Finds the type of the given name; returns null while it is not known. */
   public MachineType find(String name) {
     loadStoredTypes();
     return byName.get(name);
   }
 
-  /** All types known now; the collection is a view and must not be kept. */
+  /** Returns all known types as a live view, which callers must not keep. */
   public Collection<MachineType> all() {
     loadStoredTypes();
     return byName.values();
   }
 
-  /** Whether no type is known yet: then nothing can be said about what a job fits. */
+  /** Returns whether no type is known yet, so that it cannot be decided which types fit a job. */
   public boolean isEmpty() {
     return all().isEmpty();
   }
 
-  /** The shortest boot of any type, in seconds; empty while no type is known. */
+  /** Returns the shortest boot time of any type, in seconds; empty while no type is known. */
   public OptionalDouble shortestBootSeconds() {
     return all().stream().mapToDouble(MachineType::bootSeconds).min();
   }
 
-  /** The longest boot of any type, in seconds; empty while no type is known. */
+  /** Returns the longest boot time of any type, in seconds; empty while no type is known. */
   public OptionalDouble longestBootSeconds() {
     return all().stream().mapToDouble(MachineType::bootSeconds).max();
   }
 
-  /** What tasks cost on these types, at the prices known now. */
+  /** Returns the prices of tasks on the types known now. */
   public Prices prices() {
     return new Prices(all());
   }
 
-  /** Replaces all types by what the provider has just answered. */
+  /** Replaces all known types by the given ones. */
   public void replaceAll(List<MachineType> types) {
     byName.clear();
     types.forEach(type -> byName.put(type.name(), type));
@@ -72,14 +72,14 @@
 
   private void loadStoredTypes() {
     JsonNode stored = clusterView.machineTypes();
-    if (stored == null || stored == loadedFrom) {
+    if (stored == null || stored == loadedRow) {
       return;
     }
-    loadedFrom = stored;
+    loadedRow = stored;
     try {
       replaceAll(CloudMessages.parseMachineTypes(stored));
     } catch (MalformedMessageException exception) {
-      LOG.error("the stored machine types cannot be read: {}", exception.getMessage());
+      LOG.error("cannot parse the stored machine types: {}", exception.getMessage());
     }
   }
 }
--- a/src/main/java/io/violetrail/fleet/OfferingSelector.java
+++ b/src/main/java/io/violetrail/fleet/OfferingSelector.java
@@ -8,14 +8,14 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Chooses the cheapest offering for tasks, out of those that suit them and are not sold out. A
- * plain decision on what is handed in.
+ * Chooses the cheapest offering for tasks out of those that suit them and are not sold out. Has no
+ * side effects.
  */
 final class OfferingSelector {
-  /** Estimates below this many seconds say too little for a boot's part in the cost. */
+  /** Shorter runtime estimates are too uncertain to derive the boot time's share of the cost. */
   private static final double MIN_RUNTIME_SECONDS = 30;
 
-  /** Equal offerings differ by up to this fraction of their cost, so that one is preferred. */
+  /** The largest fraction added to an offering's cost, to prefer one of equally cheap offerings. */
   private static final double TIE_BREAK_FRACTION = 0.01;
 
   private final Collection<MachineType> types;
@@ -28,9 +28,10 @@
   /**
    * Creates a selector for the offerings of the given types.
    *
-   * @param acceleratorsWanted work with accelerators was here lately: machines that have them are
-   *     not for other work, as placement sees it too
+   * @param acceleratorsWanted whether a job with accelerators was pending recently; then machines
+   *     with accelerators are not rented for other jobs, which placement keeps off them too
    * @param maxPriceRatioOf the most that a job's task may cost, as a multiple of the cheapest
+   *     on-demand price
    * @param tieBreakSeed decides which of equally cheap offerings is preferred
    */
   OfferingSelector(
@@ -52,7 +53,7 @@
    * Finds the cheapest offering for a job's tasks.
    *
    * @param onlyZone the zone to rent in; null for any
-   * @return null if nothing suits, or all of it is sold out or too dear
+   * @return null if every offering is unsuitable, sold out or too expensive
    */
   MachineOffering findCheapest(Job job, int taskCount, String onlyZone) {
     MachineOffering best = null;
@@ -91,15 +92,15 @@
   }
 
   /**
-   * Whether a machine of the type is for the job's tasks at all. Dear machines with accelerators
-   * were rented for work that waited long, which was then not placed there: one in seven hours of a
-   * day's cost.
+   * Returns whether a machine of the type may be used for the job's tasks, given its accelerators.
+   * Without this rule, expensive machines with accelerators were rented for jobs that had waited
+   * long and were then not placed there; that was one in seven hours of a day's cost.
    */
   boolean suitsAcceleratorNeed(Job job, MachineType type) {
     return type.suitsAcceleratorNeed(job.spec().taskResources()) || !acceleratorsWanted;
   }
 
-  /** What a task costs on the offering, counting boot and image fetch. */
+  /** Returns the hourly price per task, raised for the time of boot and image fetch. */
   double costPerTask(Job job, MachineOffering offering, int taskCount) {
     MachineType type = typeOf(offering);
     double runSeconds = Math.max(MIN_RUNTIME_SECONDS, job.spec().estimatedRuntimeSeconds());
@@ -108,7 +109,7 @@
             / runSeconds;
     return type.priceFor(offering.spot())
         * timeFactor
-        / Prices.sharingTasks(job.spec().taskResources(), type, taskCount)
+        / Prices.tasksPerMachine(job.spec().taskResources(), type, taskCount)
         * (1 + TIE_BREAK_FRACTION * tieBreak(offering));
   }
 
@@ -118,12 +119,12 @@
         return type;
       }
     }
-    throw new IllegalStateException("unknown type " + offering.type());
+    throw new IllegalStateException("unknown machine type " + offering.type());
   }
 
   /**
-   * Between 0 and 1: an order of equal offerings that lasts a while, so that requests for one
-   * gather.
+   * Returns a number between 0 and 1 that orders equally cheap offerings. The order lasts as long
+   * as the seed, so that requests concentrate on one offering.
    */
   private double tieBreak(MachineOffering offering) {
     return (Objects.hash(offering, tieBreakSeed) & 0xffff) / 65536.0;
--- a/src/main/java/io/violetrail/fleet/OrphanedMachines.java
+++ b/src/main/java/io/violetrail/fleet/OrphanedMachines.java
@@ -19,16 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines that the provider charges for and that no entity has recorded: those of
- * scale-out requests carried out late, which never come up. One that reports is adopted long
- * before. Called by the {@link Autoscaler} on the event loop's thread; after a crash the waiting
- * time starts anew.
+ * Returns machines that the provider charges for but that no entity has recorded. They come from
+ * scale-out requests that were carried out late, and never boot; a machine that reports is adopted
+ * long before. Called by the {@link Autoscaler} on the event loop's thread; after a crash the
+ * waiting time starts anew.
  */
 public final class OrphanedMachines {
   private static final Logger LOG = LoggerFactory.getLogger(OrphanedMachines.class);
   private static final double SCAN_INTERVAL_SECONDS = 45;
 
-  /** Assumed while no machine type is known. */
+  /** The boot time assumed while no machine type is known. */
   private static final double UNKNOWN_BOOT_SECONDS = 60;
 
   private final Settings settings;
@@ -39,13 +39,13 @@
   private final EntityMachines entityMachines;
   private final CloudClient cloud;
 
-  /** When each machine without a record was first listed. */
+  /** When each machine without a record was first listed, in seconds of the monotonic clock. */
   private final Map<MachineId, Double> unrecordedSinceSeconds = new HashMap<>();
 
   private double lastScanAtSeconds = Double.NEGATIVE_INFINITY;
   private boolean scanInFlight;
 
-  /** Lists the provider's machines and returns those that the cluster view has no record of. */
+  /** Creates an object for one controller, which scans at the first {@link #scanIfDue}. */
   public OrphanedMachines(
       Settings settings,
       EventLoop loop,
@@ -63,7 +63,10 @@
     this.cloud = cloud;
   }
 
-  /** Whether this controller lists for all: the list is long, and calls are few. */
+  /**
+   * Returns whether this controller is the one that scans: the first one alive in the settings.
+   * Only one scans, as the list is long and calls to the provider are limited.
+   */
   private boolean isScanner() {
     for (ControllerId candidate : settings.controllers()) {
       if (clusterView.isAlive(candidate)) {
@@ -73,7 +76,7 @@
     return false;
   }
 
-  /** Begins a scan if the last one is long ago and this controller is the one that scans. */
+  /** Starts a scan if this controller is the one that scans and the interval has passed. */
   void scanIfDue(double nowSeconds) {
     if (!scanInFlight
         && nowSeconds - lastScanAtSeconds > SCAN_INTERVAL_SECONDS
@@ -81,14 +84,14 @@
         && cloud.tryAcquireCall()) {
       scanInFlight = true;
       lastScanAtSeconds = nowSeconds;
-      readPage("", new HashSet<>());
+      listPage("", new HashSet<>());
     }
   }
 
-  private void readPage(String after, Set<MachineId> listed) {
+  private void listPage(String afterMachine, Set<MachineId> listed) {
     Futures.logFailure(
         cloud
-            .listMachines(after)
+            .listMachines(afterMachine)
             .whenComplete(
                 (page, failure) -> {
                   if (failure != null) {
@@ -97,7 +100,7 @@
                   }
                   listed.addAll(page.machines());
                   if (page.hasMore()) {
-                    loop.schedule(1, () -> readPage(page.lastListed(), listed));
+                    loop.schedule(1, () -> listPage(page.lastListed(), listed));
                   } else {
                     scanInFlight = false;
                     returnOrphaned(listed, loop.monotonicSeconds());
@@ -112,7 +115,7 @@
     for (MachineId machineId : listed) {
       if (clusterView.findMachineRow(machineId) != null || entityMachines.wasReturned(machineId)) {
         unrecordedSinceSeconds.remove(machineId);
-      } else if (nowSeconds - unrecordedSinceSeconds.computeIfAbsent(machineId, x -> nowSeconds)
+      } else if (nowSeconds - unrecordedSinceSeconds.computeIfAbsent(machineId, id -> nowSeconds)
           > orphanedAfterSeconds()) {
         orphaned.add(machineId);
       }
@@ -122,13 +125,14 @@
     }
     List<MachineId> batch =
         orphaned.subList(0, Math.min(orphaned.size(), CloudMessages.MAX_MACHINES_PER_RETURN));
-    LOG.info("returning machines that nobody has recorded: {}", batch);
+    LOG.info("returning machines without a record in any entity: {}", batch);
     Futures.logFailure(cloud.returnMachines(batch), "return orphaned machines");
   }
 
   /**
-   * How long a machine must be listed without a record: its scale-out request may be in flight, the
-   * reply lost and the request repeated, and the list lags by up to twice its lag.
+   * Returns how long a machine must be listed without a record before it counts as orphaned.
+   * Meanwhile its scale-out request may be in flight, or be repeated after a lost reply, and the
+   * list may be out of date by up to twice the configured lag.
    */
   private double orphanedAfterSeconds() {
     double longestBootSeconds = machineTypes.longestBootSeconds().orElse(UNKNOWN_BOOT_SECONDS);
--- a/src/main/java/io/violetrail/fleet/PlacedTasks.java
+++ b/src/main/java/io/violetrail/fleet/PlacedTasks.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * The tasks on one machine and the capacity that they leave free: the placements decided here, and
- * unknown tasks that the worker reports although no open job has them. Both count against the
- * capacity until they are known to be gone, since counting them too early would overcommit the
- * machine.
+ * The tasks on one machine and the capacity that they leave free: the placements decided by this
+ * controller, and unknown tasks, which the worker reports but which belong to no open job. Both
+ * count against the capacity until they are known to be gone, since freeing their capacity too
+ * early would overcommit the machine.
  *
- * <p>Used by its {@link Machine} alone, on the event loop's thread. Nothing here survives a crash:
+ * <p>Used only by its {@link Machine}, on the event loop's thread. Nothing here survives a crash:
  * the placements are rebuilt from the stored jobs and the workers' heartbeats.
  */
 final class PlacedTasks {
@@ -22,10 +22,10 @@
   private final Map<TaskId, TaskPlacement> placements = new LinkedHashMap<>();
   private final Map<TaskId, Resources> unknownTasks = new HashMap<>();
 
-  /** Placements that are not best-effort work. */
+  /** The number of placements that are not best-effort work. */
   private int regularTaskCount;
 
-  /** Null after a change, until asked for: placement asks far more often than tasks change. */
+  /** Cached, as it is read far more often than tasks change; null until computed after a change. */
   private Resources freeCapacity;
 
   PlacedTasks(Resources capacity) {
@@ -36,7 +36,7 @@
     return Collections.unmodifiableMap(placements);
   }
 
-  /** Returns the task's placement, or null if it has none here. */
+  /** Returns the task's placement, or null if it has none on this machine. */
   TaskPlacement find(TaskId taskId) {
     return placements.get(taskId);
   }
@@ -85,15 +85,15 @@
     double gpus = capacity.gpus();
     double memory = capacity.memoryGb();
     for (TaskPlacement placement : placements.values()) {
-      Resources amounts = placement.job().spec().taskResources();
-      cpus -= amounts.cpus();
-      gpus -= amounts.gpus();
-      memory -= amounts.memoryGb();
+      Resources taskResources = placement.job().spec().taskResources();
+      cpus -= taskResources.cpus();
+      gpus -= taskResources.gpus();
+      memory -= taskResources.memoryGb();
     }
-    for (Resources amounts : unknownTasks.values()) {
-      cpus -= amounts.cpus();
-      gpus -= amounts.gpus();
-      memory -= amounts.memoryGb();
+    for (Resources taskResources : unknownTasks.values()) {
+      cpus -= taskResources.cpus();
+      gpus -= taskResources.gpus();
+      memory -= taskResources.memoryGb();
     }
     return new Resources(cpus, gpus, memory);
   }
@@ -110,7 +110,7 @@
     return free;
   }
 
-  /** The used fraction of the capacity, by the scarcer of processors and accelerators. */
+  /** Returns the used fraction of processors or of accelerators, whichever is higher. */
   double utilization() {
     Resources used = capacity.minus(freeCapacity());
     double gpus = capacity.gpus() > 0 ? used.gpus() / capacity.gpus() : 0;
--- a/src/main/java/io/violetrail/fleet/Prices.java
+++ b/src/main/java/io/violetrail/fleet/Prices.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What a task costs on a machine, compared with what it costs where it is cheapest. Plain
- * computations on the machine types handed in, whose prices are for an hour.
+ * Computes what a task costs on a machine, compared with the cheapest machine type for it. Based on
+ * the hourly prices of the given machine types.
  */
 public final class Prices {
   private final Collection<MachineType> types;
@@ -17,45 +17,54 @@
     this.types = types;
   }
 
-  /** The hourly price of a type for each of {@code sharingTasks} tasks, or of as many as fit. */
+  /**
+   * Returns the hourly price for each of {@code taskCount} tasks that share a machine if they fit.
+   */
   private static double pricePerTask(
-      Resources task, MachineType type, boolean spot, int sharingTasks) {
-    return type.priceFor(spot) / sharingTasks(task, type, sharingTasks);
+      Resources task, MachineType type, boolean spot, int taskCount) {
+    return type.priceFor(spot) / tasksPerMachine(task, type, taskCount);
   }
 
-  /** How many of {@code taskCount} tasks share a machine of the type; at least 1. */
-  static int sharingTasks(Resources task, MachineType type, int taskCount) {
+  /** Returns how many of {@code taskCount} tasks fit on a machine of the type; at least 1. */
+  static int tasksPerMachine(Resources task, MachineType type, int taskCount) {
     return Math.max(1, Math.min(type.capacity().countFitting(task), taskCount));
   }
 
-  /** A task's price on the type as a multiple of the cheapest on-demand one. */
-  public double priceRatio(JobSpec job, MachineType type, boolean spot, int sharingTasks) {
-    return priceRatio(job.taskResources(), job.machineTypes(), type, spot, sharingTasks);
+  /** Returns a task's price on the type as a multiple of the cheapest on-demand price. */
+  public double priceRatio(JobSpec job, MachineType type, boolean spot, int taskCount) {
+    return priceRatio(job.taskResources(), job.machineTypes(), type, spot, taskCount);
   }
 
-  /** The same for a task that may use the types named, or any if {@code allowedTypes} is null. */
+  /**
+   * Returns a task's price on the type as a multiple of the cheapest on-demand price, out of the
+   * allowed types or of all types if {@code allowedTypes} is null.
+   */
   public double priceRatio(
-      Resources task, List<String> allowedTypes, MachineType type, boolean spot, int sharingTasks) {
+      Resources task, List<String> allowedTypes, MachineType type, boolean spot, int taskCount) {
     double cheapest = Double.POSITIVE_INFINITY;
     for (MachineType candidate : types) {
       if (candidate.capacity().countFitting(task) > 0
           && (allowedTypes == null || allowedTypes.contains(candidate.name()))) {
-        cheapest = Math.min(cheapest, pricePerTask(task, candidate, false, sharingTasks));
+        cheapest = Math.min(cheapest, pricePerTask(task, candidate, false, taskCount));
       }
     }
-    return pricePerTask(task, type, spot, sharingTasks) / cheapest;
+    return pricePerTask(task, type, spot, taskCount) / cheapest;
   }
 
   /**
-   * Whether tasks worth so many times the cheapest on-demand price may keep a machine of this price
-   * for themselves. A dear machine pays only when enough of them share it.
+   * Returns whether tasks may use a machine of the type on their own, given the most that they may
+   * cost as a multiple of the cheapest on-demand price. An expensive machine is worthwhile only if
+   * enough tasks share it.
    */
   public boolean isWorthwhile(
-      JobSpec job, MachineType type, boolean spot, int sharingTasks, double maxPriceRatio) {
-    return priceRatio(job, type, spot, sharingTasks) <= maxPriceRatio;
+      JobSpec job, MachineType type, boolean spot, int taskCount, double maxPriceRatio) {
+    return priceRatio(job, type, spot, taskCount) <= maxPriceRatio;
   }
 
-  /** How long a machine may be idle: the less, the more it costs an hour. */
+  /**
+   * Returns how long a machine may be idle. The time decreases with the hourly price, down to a
+   * tenth of the configured one.
+   */
   public double maxIdleSeconds(MachineType type, boolean spot, double configuredIdleSeconds) {
     double cheapest =
         types.stream().mapToDouble(MachineType::onDemandPrice).min().orElse(type.onDemandPrice());
--- a/src/main/java/io/violetrail/fleet/RequestOrder.java
+++ b/src/main/java/io/violetrail/fleet/RequestOrder.java
@@ -4,18 +4,18 @@
 import io.violetrail.scheduling.Job;
 
 /**
- * The one order of own jobs and other entities' requests, used for machines and for quotas. Without
- * state.
+ * The common order of an entity's own jobs and other entities' requests, used for machines and for
+ * quotas. Stateless.
  */
 final class RequestOrder {
   private RequestOrder() {}
 
   /**
-   * Whether an own job goes before another entity's request: it is more urgent, or as urgent and
-   * has waited longer; of those that came in the same millisecond, the id decides. Both sides must
-   * have the same order: with two that differed, a quota share went to and fro between two entities
-   * every second, and neither job started; where both sides saw themselves first, neither gave its
-   * part.
+   * Returns whether an entity's own job is ordered before another entity's request. The order is by
+   * priority, then by arrival time in milliseconds, then by job id. Both entities must use the same
+   * order. When the orders differed, a quota share moved back and forth between two entities every
+   * second, and neither job started; when each entity put its own job first, neither gave up its
+   * share.
    */
   static boolean isAheadOf(Job job, ResourceRequest request) {
     int priority = job.spec().priority().ordinal();
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -19,17 +19,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines of no use to the provider: idle, unresponsive, drained or never booted. Called
- * by the {@link Autoscaler} on the event loop's thread. Nothing here survives a crash: the next
- * owner finds the same machines of no use, and {@link OrphanedMachines} those without a record.
+ * Returns unneeded machines to the provider: idle, unresponsive, drained or never booted ones.
+ * Called by the {@link Autoscaler} on the event loop's thread. Nothing here survives a crash: the
+ * next owner detects the same unneeded machines, and {@link OrphanedMachines} those without a
+ * record.
  */
 public final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** A worker gives a dead controller up after 4 s and tries the next one a second later. */
+  /** A worker gives up on a dead controller after 4 s and tries the next one a second later. */
   private static final double SECONDS_PER_DEAD_CONTROLLER = 5;
 
-  /** An unresponsive machine is kept so much longer than its tasks may run. */
+  /** How much longer an unresponsive machine is kept than its tasks may run. */
   private static final double UNRESPONSIVE_MARGIN_SECONDS = 5;
 
   private final Settings settings;
@@ -46,10 +47,10 @@
   private boolean returnInFlight;
 
   /**
-   * Creates the scale in of one controller.
+   * Creates the scale-in of one controller.
    *
-   * @param idleSeconds how long the cheapest type of machine may be idle; dearer ones are returned
-   *     sooner
+   * @param idleSeconds how long a machine of the cheapest type may be idle; more expensive ones are
+   *     returned sooner
    */
   public ScaleIn(
       Settings settings,
@@ -76,33 +77,36 @@
     this.cloud = cloud;
   }
 
-  /** Returns the entity's machines that are of no use, as many as one call may name. */
-  void returnUseless(OwnedEntity entity, double nowSeconds) {
-    List<Machine> machines = new ArrayList<>();
-    Map<JobSpec, Integer> surplusByJob = null;
+  /**
+   * Starts to return the entity's unneeded machines, with at most one call to the provider in
+   * flight and at most {@code MAX_MACHINES_PER_RETURN} machines in it.
+   */
+  void returnUnneededMachines(OwnedEntity entity, double nowSeconds) {
+    List<Machine> machinesToReturn = new ArrayList<>();
+    Map<JobSpec, Integer> surplusSlotsByJob = null;
     for (Machine machine : entity.machines().values()) {
       if (machine.returning()) {
-        machines.add(machine);
-      } else if (isUseless(machine, nowSeconds)) {
-        if (surplusByJob == null) {
-          surplusByJob = surplusSlots(entity, nowSeconds);
+        machinesToReturn.add(machine);
+      } else if (isUnneeded(machine, nowSeconds)) {
+        if (surplusSlotsByJob == null) {
+          surplusSlotsByJob = surplusSlots(entity, nowSeconds);
         }
-        if (!isIdle(machine) || isDispensable(machine, surplusByJob)) {
-          takeOutOfUse(machine, machines);
+        if (!isIdle(machine) || isSurplus(machine, surplusSlotsByJob)) {
+          takeOutOfService(machine, machinesToReturn);
         }
       }
     }
-    if (!machines.isEmpty() && !returnInFlight && cloud.tryAcquireCall()) {
-      returnToCloud(entity, machines);
+    if (!machinesToReturn.isEmpty() && !returnInFlight && cloud.tryAcquireCall()) {
+      returnToCloud(entity, machinesToReturn);
     }
   }
 
-  private static void takeOutOfUse(Machine machine, List<Machine> machines) {
+  private static void takeOutOfService(Machine machine, List<Machine> machinesToReturn) {
     if (machine.isEmpty() || !isIdle(machine)) {
       machine.startReturn();
-      machines.add(machine);
+      machinesToReturn.add(machine);
     } else {
-      // Only best-effort work is left here: it saves its checkpoints, and the machine goes.
+      // Only best-effort work is left: drain the machine so that it saves its checkpoints first.
       machine.startDraining();
     }
   }
@@ -111,7 +115,10 @@
     List<Machine> batch =
         machines.subList(0, Math.min(machines.size(), CloudMessages.MAX_MACHINES_PER_RETURN));
     returnInFlight = true;
-    LOG.info("entity {}: returning {}", entity.id(), batch.stream().map(Machine::id).toList());
+    LOG.info(
+        "entity {}: returning machines {} to the provider",
+        entity.id(),
+        batch.stream().map(Machine::id).toList());
     Futures.logFailure(
         cloud
             .returnMachines(batch.stream().map(Machine::id).toList())
@@ -119,7 +126,7 @@
                 (answer, failure) -> {
                   returnInFlight = false;
                   switch (failure == null ? answer : ReturnOutcome.UNCERTAIN) {
-                    case GONE -> batch.forEach(m -> removeReturned(entity, m));
+                    case GONE -> batch.forEach(machine -> removeReturned(entity, machine));
                     case REFUSED -> batch.forEach(Machine::cancelReturn);
                     default -> batch.forEach(Machine::markReturnUncertain);
                   }
@@ -135,26 +142,30 @@
   }
 
   /**
-   * How many more task slots there are than are kept warm, for each class that they are kept for.
+   * Returns, for each class with warm capacity, how many free task slots exceed those to be kept
+   * warm.
    */
   private Map<JobSpec, Integer> surplusSlots(OwnedEntity entity, double nowSeconds) {
-    Map<JobSpec, Integer> surplusByJob = new HashMap<>();
+    Map<JobSpec, Integer> surplusSlotsByJob = new HashMap<>();
     warmCapacity
         .wantedTaskCounts(machineTypes.all(), nowSeconds)
         .forEach(
             (spec, tasks) ->
-                surplusByJob.put(
+                surplusSlotsByJob.put(
                     spec,
                     WarmCapacity.freeTaskSlots(
                             spec, entity.machines().values(), machineTypes.prices())
                         - tasks));
-    return surplusByJob;
+    return surplusSlotsByJob;
   }
 
-  /** Whether an idle machine can go without touching warm capacity; takes it off the surplus. */
-  private boolean isDispensable(Machine machine, Map<JobSpec, Integer> surplusByJob) {
+  /**
+   * Returns whether an idle machine can be returned without reducing warm capacity; if so,
+   * subtracts its task slots from the surplus.
+   */
+  private boolean isSurplus(Machine machine, Map<JobSpec, Integer> surplusSlotsByJob) {
     Map<JobSpec, Integer> slotsByJob = new HashMap<>();
-    for (var entry : surplusByJob.entrySet()) {
+    for (var entry : surplusSlotsByJob.entrySet()) {
       int slots =
           WarmCapacity.freeTaskSlots(entry.getKey(), List.of(machine), machineTypes.prices());
       if (slots > 0 && slots > entry.getValue()) {
@@ -162,27 +173,29 @@
       }
       slotsByJob.put(entry.getKey(), slots);
     }
-    slotsByJob.forEach((spec, slots) -> surplusByJob.merge(spec, -slots, Integer::sum));
+    slotsByJob.forEach((spec, slots) -> surplusSlotsByJob.merge(spec, -slots, Integer::sum));
     return true;
   }
 
-  /** How long a worker may need to find a new owner, trying dead controllers on its way. */
-  private double reconnectSeconds() {
-    long dead = settings.peers().keySet().stream().filter(p -> !clusterView.isAlive(p)).count();
-    return SECONDS_PER_DEAD_CONTROLLER * Math.max(1, dead)
+  /** Returns how long a worker may take to find its new owner, as it may try dead controllers. */
+  private double maxReconnectSeconds() {
+    long deadControllerCount =
+        settings.peers().keySet().stream().filter(peer -> !clusterView.isAlive(peer)).count();
+    return SECONDS_PER_DEAD_CONTROLLER * Math.max(1, deadControllerCount)
         + 2 * settings.workerTiming().heartbeatIntervalSeconds();
   }
 
-  private boolean isUseless(Machine machine, double nowSeconds) {
-    if (machine.transferInFlight()) {
+  private boolean isUnneeded(Machine machine, double nowSeconds) {
+    if (machine.isTransferInFlight()) {
       return false;
     }
     if (!machine.row().hasReported()) {
       return bootTimes.isGivenUp(machine.type(), machine.rentedAtSeconds(), nowSeconds);
     }
     if (machine.mayHoldUnreportedTasks(nowSeconds)
-        && nowSeconds - machine.lastHeartbeatAtSeconds() > reconnectSeconds()) {
-      // Everything recovered waits for what it may hold, and the provider's answer settles that.
+        && nowSeconds - machine.lastHeartbeatAtSeconds() > maxReconnectSeconds()) {
+      // All recovered jobs wait until it is known which tasks this machine holds. The provider's
+      // answer to its return settles that.
       return true;
     }
     if (machine.unresponsive()) {
@@ -210,7 +223,7 @@
       bootTimes.recordNeverBooted(machine.type(), machine.rentedAtSeconds());
     }
     LOG.info(
-        "machine {} ({}, spot {}) returned after {} s, used {} s",
+        "machine {} (type {}, spot {}) returned {} s after it was rented, with {} s of full use",
         machine.id(),
         machine.row().type(),
         machine.row().spot(),
@@ -224,9 +237,9 @@
             .whenComplete(
                 (row, failure) -> {
                   if (failure != null) {
-                    membership.relistThen(() -> entityMachines.rowRemoved(machine.id()));
+                    membership.relistThen(() -> entityMachines.forgetReturned(machine.id()));
                   } else {
-                    entityMachines.rowRemoved(machine.id());
+                    entityMachines.forgetReturned(machine.id());
                   }
                 }),
         "remove a returned machine's record");
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -18,14 +18,15 @@
 import java.util.Random;
 
 /**
- * Rents machines for the pending tasks of an entity that no machine there or coming can take.
- * Called by the {@link Autoscaler} on the event loop's thread. Nothing here survives a crash: what
- * is rented is with {@link ScaleOutRequests}, and the rest is decided anew at each pass.
+ * Rents machines for an entity's pending tasks that fit on none of its running, booting or
+ * requested machines. Called by the {@link Autoscaler} on the event loop's thread. Nothing here
+ * survives a crash: {@link ScaleOutRequests} keeps track of the requests, and everything else is
+ * decided anew in each pass.
  */
 public final class ScaleOut {
   private static final int MIN_BOOTING_MACHINES = 4;
 
-  /** Writes of a machine's record and its request until it works. */
+  /** State store writes for a machine's record and its request until it can run tasks. */
   private static final int WRITES_PER_MACHINE = 3;
 
   private final Settings settings;
@@ -43,7 +44,7 @@
   private final FreeCapacityForecast capacityForecast;
   private int tieBreakSeed;
 
-  /** Creates the scale out, which rents through the given requests. */
+  /** Creates the scale-out of one controller, which sends its requests through the given object. */
   public ScaleOut(
       Settings settings,
       Random random,
@@ -72,13 +73,13 @@
     this.capacityForecast = new FreeCapacityForecast(runtimeEstimates);
   }
 
-  /** Draws anew which of equally cheap offerings are preferred until the next draw. */
+  /** Draws a new seed, which decides between equally cheap offerings until the next draw. */
   void drawTieBreak() {
     tieBreakSeed = random.nextInt();
   }
 
-  /** Packs the entity's waiting tasks into its machines, and rents for the rest. */
-  void rent(OwnedEntity entity, double nowSeconds) {
+  /** Packs the entity's pending tasks into its machines, and rents machines for the rest. */
+  void rentForPendingTasks(OwnedEntity entity, double nowSeconds) {
     ScaleOutPlan plan = newPlan(nowSeconds);
     addMachines(entity, plan, nowSeconds);
     Map<MachineOffering, Integer> pendingCounts = scaleOutRequests.pendingMachineCounts(entity);
@@ -94,7 +95,8 @@
       }
     }
     plan.machineCountsByUrgency()
-        .forEach(e -> scaleOutRequests.requestMachines(entity, e.getKey(), e.getValue()));
+        .forEach(
+            entry -> scaleOutRequests.requestMachines(entity, entry.getKey(), entry.getValue()));
   }
 
   private ScaleOutPlan newPlan(double nowSeconds) {
@@ -111,14 +113,17 @@
     return new ScaleOutPlan(machineTypes.all(), selector, maxBootingMachines());
   }
 
-  /** Adds the entity's machines to the plan, without those that are late in booting. */
+  /**
+   * Adds the entity's schedulable and booting machines to the plan. Up to {@link
+   * #maxReplacedMachines} late-booting ones are left out, so that they are replaced.
+   */
   private void addMachines(OwnedEntity entity, ScaleOutPlan plan, double nowSeconds) {
-    int replacementsLeft = maxReplacedMachines(entity);
+    int remainingReplacements = maxReplacedMachines(entity);
     for (Machine machine : entity.machines().values()) {
       if (!machine.row().hasReported() && !machine.returning()) {
-        if (replacementsLeft > 0
+        if (remainingReplacements > 0
             && bootTimes.isLate(machine.type(), machine.rentedAtSeconds(), nowSeconds)) {
-          replacementsLeft--;
+          remainingReplacements--;
         } else {
           plan.addBooting(offeringOf(machine), machine.type().capacity());
         }
@@ -141,7 +146,7 @@
         });
   }
 
-  /** Adds what waits and is not best-effort work, and returns the jobs that are. */
+  /** Adds the demand of pending jobs to the plan, and returns the best-effort jobs, not added. */
   private List<Job> addRegularDemand(
       OwnedEntity entity, ScaleOutPlan plan, boolean awaitingFirstReports, double nowSeconds) {
     Map<String, Resources> remainingQuotas = new HashMap<>();
@@ -152,7 +157,7 @@
         continue;
       }
       boolean urgent = warmCapacity.isUrgent(job.spec(), machineTypes.all());
-      if (mustWait(entity, job, urgent, awaitingFirstReports, nowSeconds)) {
+      if (mustDeferRental(entity, job, urgent, awaitingFirstReports, nowSeconds)) {
         continue;
       }
       Resources quota =
@@ -169,29 +174,30 @@
   }
 
   /**
-   * Whether nothing is rented for the job yet: peers may give it machines, its tasks may be on
-   * machines that have not reported, or it fails everywhere and has a machine for its probe.
+   * Returns whether no machine may be rented for the job yet: it has no task to start now, its
+   * tasks may be running on machines that have not reported, peers may still transfer machines for
+   * it, or it fails on every machine and its probe has a machine.
    */
-  private boolean mustWait(
+  private boolean mustDeferRental(
       OwnedEntity entity,
       Job job,
       boolean urgent,
       boolean awaitingFirstReports,
       double nowSeconds) {
-    boolean peersFirst =
+    boolean awaitingPeerMachines =
         !urgent
             && nowSeconds - job.arrivedAtSeconds() < TransferRequests.SCALE_OUT_DELAY_SECONDS
             && clusterView.aliveControllerCount() > 1;
-    boolean hasProbeMachine = job.failureHistory().isSuspect() && isPlaceable(entity, job);
+    boolean hasProbeMachine = job.failureHistory().isSuspect() && hasMachineForProbe(entity, job);
     return job.startableCount(nowSeconds) == 0
         || (job.loadedFromStore() && awaitingFirstReports)
-        || peersFirst
+        || awaitingPeerMachines
         || hasProbeMachine;
   }
 
   /**
-   * How many machines that are late may be replaced at the same time: where all boots are slow, the
-   * fleet must not double.
+   * Returns how many late-booting machines may be replaced at the same time. The limit keeps the
+   * fleet from doubling when all boots are slow.
    */
   private static int maxReplacedMachines(OwnedEntity entity) {
     int bootedCount = 0;
@@ -201,8 +207,8 @@
     return Math.max(2, bootedCount / 4);
   }
 
-  /** Whether a probe of a job that fails everywhere finds a machine that is there anyway. */
-  private static boolean isPlaceable(OwnedEntity entity, Job job) {
+  /** Returns whether the entity's schedulable machines have the capacity for a probe of the job. */
+  private static boolean hasMachineForProbe(OwnedEntity entity, Job job) {
     int slots = 0;
     for (Machine machine : entity.machines().values()) {
       if (machine.isSchedulable() && machine.isAllowedFor(job.spec())) {
@@ -213,8 +219,8 @@
   }
 
   /**
-   * How many machines may be on their way: the writes that each takes until it works must not take
-   * longer than a boot.
+   * Returns how many machines may be requested or booting at once. The state store writes that they
+   * need until they can run tasks must not take longer than a boot.
    */
   private int maxBootingMachines() {
     double writesPerSecond =
@@ -242,8 +248,8 @@
   }
 
   /**
-   * How many of a job's waiting tasks are worth machines of their own; the rest run after them on
-   * the same machines.
+   * Returns for how many of the job's pending tasks to rent capacity. The other tasks of an array
+   * run after them on the same machines if the job's deadline allows it.
    */
   private int wantedTaskCount(Job job, double nowSeconds) {
     int waitingCount = job.startableCount(nowSeconds);
@@ -260,11 +266,11 @@
         deadlineSeconds
             - nowSeconds
             - warmCapacity.secondsUntilStart(job.spec(), machineTypes.all());
-    double rounds =
+    double tasksPerSlot =
         Math.max(
             1,
             Math.min(
                 FreeCapacityForecast.MAX_SEQUENTIAL_TASKS, Math.floor(secondsLeft / runSeconds)));
-    return (int) Math.ceil(waitingCount / rounds);
+    return (int) Math.ceil(waitingCount / tasksPerSlot);
   }
 }
--- a/src/main/java/io/violetrail/fleet/ScaleOutPlan.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutPlan.java
@@ -15,70 +15,76 @@
 import java.util.Set;
 
 /**
- * What to rent for an entity: its waiting tasks are packed into the capacity that is coming anyway,
- * and the cheapest offerings are taken for the rest. A plain decision on what is handed in, made
- * anew by {@link ScaleOut} at each pass.
+ * Decides which machines to rent for an entity. Pending tasks are packed into the capacity of its
+ * running and booting machines, and the cheapest offerings are chosen for the rest. A plan has no
+ * side effects; {@link ScaleOut} creates one in each pass.
  */
 final class ScaleOutPlan {
   private final Collection<MachineType> types;
   private final OfferingSelector selector;
-  private int rentalsLeft;
+  private int remainingRentals;
 
-  /** Room that is there or coming, in the order in which it is filled. */
+  /** Capacity of running, booting and planned machines, in the order in which it is filled. */
   private final List<CapacityBin> bins = new ArrayList<>();
 
-  private final Map<MachineOffering, Integer> machineCounts = new HashMap<>();
+  private final Map<MachineOffering, Integer> machineCountsByOffering = new HashMap<>();
 
-  /** The most urgent priority for which each offer is wanted. */
-  private final Map<MachineOffering, Priority> highestPriority = new HashMap<>();
+  /** The highest priority of the jobs that each planned offering is for. */
+  private final Map<MachineOffering, Priority> highestPriorityByOffering = new HashMap<>();
 
   /**
-   * Creates a plan for the machines that waiting work needs.
+   * Creates a plan without machines.
    *
-   * @param maxRentals how many machines more may be on their way
+   * @param maxRentals how many machines may be requested or booting at once; those that already are
+   *     count against it
    */
   ScaleOutPlan(Collection<MachineType> types, OfferingSelector selector, int maxRentals) {
     this.types = types;
     this.selector = selector;
-    this.rentalsLeft = maxRentals;
+    this.remainingRentals = maxRentals;
   }
 
-  /** A machine that boots or was asked for. */
+  /** Adds a machine that is booting or requested. */
   void addBooting(MachineOffering offering, Resources size) {
     bins.add(new CapacityBin(offering, size, Resources.NONE, true));
-    rentalsLeft--;
+    remainingRentals--;
   }
 
   /**
-   * What a machine that is up has free, or will have by the time that another one boots, and what
-   * may start there one after the other until then.
+   * Adds a running machine.
+   *
+   * @param freeCapacity what is free now or will be by the time that another machine has booted
+   * @param sequentialCapacity what tasks can use one after the other until then
    */
   void addRunning(MachineOffering offering, Resources freeCapacity, Resources sequentialCapacity) {
     bins.add(new CapacityBin(offering, freeCapacity, sequentialCapacity, false));
   }
 
   Map<MachineOffering, Integer> machineCounts() {
-    return machineCounts;
+    return machineCountsByOffering;
   }
 
   /**
-   * What is wanted in the order in which it is to be asked for, since calls are few: the most
-   * urgent first, and of those the call that brings the most machines. By numbers alone, the one
-   * machine of an urgent job waited for a wide array's.
+   * Returns the planned machines in the order in which to request them, as calls to the provider
+   * are limited: by priority, then by the number of machines. Ordered by number alone, the single
+   * machine for an urgent job waited for the many of a wide array.
    */
   List<Map.Entry<MachineOffering, Integer>> machineCountsByUrgency() {
-    List<Map.Entry<MachineOffering, Integer>> order = new ArrayList<>(machineCounts.entrySet());
+    List<Map.Entry<MachineOffering, Integer>> order =
+        new ArrayList<>(machineCountsByOffering.entrySet());
     order.sort(
         Comparator.comparing(
-                (Map.Entry<MachineOffering, Integer> e) -> highestPriority.get(e.getKey()))
-            .thenComparing(e -> -e.getValue()));
+                (Map.Entry<MachineOffering, Integer> entry) ->
+                    highestPriorityByOffering.get(entry.getKey()))
+            .thenComparing(entry -> -entry.getValue()));
     return order;
   }
 
   /**
-   * Rents what the job's waiting tasks lack.
+   * Plans machines for those of the job's pending tasks that do not fit into the capacity so far.
    *
-   * @param urgent it does not wait for others to end: only machines on their way count
+   * @param urgent whether the job cannot wait for running tasks to end, so that only the capacity
+   *     of booting and planned machines counts
    */
   void addDemand(Job job, int taskCount, boolean urgent) {
     if (job.spec().shape() == JobShape.GANG && job.spec().singleZone()) {
@@ -87,14 +93,14 @@
       }
       return;
     }
-    int tasksLeft = taskCount - fillBins(job, taskCount, urgent, null);
-    rentForRemaining(job, tasksLeft, null);
+    int remainingTasks = taskCount - fillBins(job, taskCount, urgent, null);
+    rentForRemaining(job, remainingTasks, null);
   }
 
-  /** A gang of one zone gets its machines in the zone where the least has to be paid for more. */
+  /** Plans machines for a single-zone gang in the zone where the additional cost is lowest. */
   private void addGangDemand(Job job, boolean urgent) {
     Set<String> zones = new HashSet<>();
-    types.forEach(t -> zones.addAll(t.zones()));
+    types.forEach(type -> zones.addAll(type.zones()));
     String bestZone = null;
     double bestCost = Double.POSITIVE_INFINITY;
     for (String zone : zones) {
@@ -114,20 +120,20 @@
     if (bestZone == null) {
       return;
     }
-    int tasksLeft =
+    int remainingTasks =
         job.spec().taskCount() - fillBins(job, job.spec().taskCount(), urgent, bestZone);
-    rentForRemaining(job, tasksLeft, bestZone);
+    rentForRemaining(job, remainingTasks, bestZone);
   }
 
-  /** Rents the cheapest, in the zone if one is named, until all of the tasks fit. */
+  /** Plans machines of the cheapest offerings, in any zone if null, until all of the tasks fit. */
   private void rentForRemaining(Job job, int taskCount, String zone) {
-    int tasksLeft = taskCount;
-    while (tasksLeft > 0 && rentalsLeft > 0) {
-      MachineOffering offering = selector.findCheapest(job, tasksLeft, zone);
+    int remainingTasks = taskCount;
+    while (remainingTasks > 0 && remainingRentals > 0) {
+      MachineOffering offering = selector.findCheapest(job, remainingTasks, zone);
       if (offering == null) {
         return;
       }
-      tasksLeft -= rentOne(job, offering, tasksLeft);
+      remainingTasks -= rentOne(job, offering, remainingTasks);
     }
   }
 
@@ -135,9 +141,10 @@
     MachineType type = selector.typeOf(offering);
     CapacityBin bin = new CapacityBin(offering, type.capacity(), Resources.NONE, true);
     bins.add(bin);
-    machineCounts.merge(offering, 1, Integer::sum);
-    highestPriority.merge(offering, job.spec().priority(), (a, b) -> a.compareTo(b) < 0 ? a : b);
-    rentalsLeft--;
+    machineCountsByOffering.merge(offering, 1, Integer::sum);
+    highestPriorityByOffering.merge(
+        offering, job.spec().priority(), (a, b) -> a.compareTo(b) < 0 ? a : b);
+    remainingRentals--;
     return bin.fill(job, taskCount);
   }
 
@@ -169,9 +176,9 @@
     return slots;
   }
 
-  /** Room ahead of need: one machine more for tasks like these. */
+  /** Plans one machine to keep capacity warm for tasks like the job's. */
   void addWarmMachine(Job job) {
-    MachineOffering offering = rentalsLeft > 0 ? selector.findCheapest(job, 1, null) : null;
+    MachineOffering offering = remainingRentals > 0 ? selector.findCheapest(job, 1, null) : null;
     if (offering != null) {
       rentOne(job, offering, 1);
     }
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequest.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequest.java
@@ -3,10 +3,10 @@
 import io.violetrail.ownership.OwnedEntity;
 
 /**
- * One scale-out request of an owned entity, under a name that is unique for ever and that the
- * provider uses to tell a repetition from a new request. Its stored row survives a crash until its
- * machines are recorded: whoever owns the entity then repeats the request. Used by {@link
- * ScaleOutRequests} alone, on the event loop's thread.
+ * One scale-out request of an owned entity. Its name is never used again, so the provider can
+ * recognize a repeated request by it. The request's stored row survives a crash and is kept until
+ * the machines are recorded; after a crash, the entity's next owner repeats the request. Used only
+ * by {@link ScaleOutRequests}, on the event loop's thread.
  */
 final class ScaleOutRequest {
   private final OwnedEntity entity;
@@ -16,15 +16,17 @@
   private Phase phase;
 
   private enum Phase {
-    /** Its row is being written; the provider must not hear of it before. */
+    /** The row is being written; the request must not be sent before it is stored. */
     STORING,
-    /** Stored and without a certain answer: to be sent, or sent again. */
+    /**
+     * The row is stored and there is no conclusive answer: the request is to be sent or repeated.
+     */
     UNANSWERED,
     /** A call to the provider is in flight. */
     CALLING,
-    /** The provider has answered, and the machines' records are being written. */
+    /** The provider has answered; the machines' records are being written. */
     RECORDING,
-    /** Its machines are known one by one; its row is being removed. */
+    /** The machines' records are written; the request's row is being removed. */
     RECORDED
   }
 
@@ -37,13 +39,13 @@
     this.phase = phase;
   }
 
-  /** A new request, whose row is being written. */
+  /** Creates a new request, whose row is being written. */
   static ScaleOutRequest storing(
       OwnedEntity entity, String name, MachineOffering offering, int count) {
     return new ScaleOutRequest(entity, name, offering, count, Phase.STORING);
   }
 
-  /** A request that a former owner of the entity has stored. */
+  /** Creates a request whose row a former owner of the entity has stored. */
   static ScaleOutRequest stored(
       OwnedEntity entity, String name, MachineOffering offering, int count) {
     return new ScaleOutRequest(entity, name, offering, count, Phase.UNANSWERED);
@@ -65,12 +67,12 @@
     return count;
   }
 
-  /** Whether the provider may be called, as no write or call for the request is in flight. */
+  /** Returns whether the request may be sent: no write or call for it is in flight. */
   boolean maySend() {
     return phase == Phase.UNANSWERED;
   }
 
-  /** Whether its machines are recorded, so that they must not be counted here once more. */
+  /** Returns whether its machines are recorded, so that they must not be counted as pending. */
   boolean isRecorded() {
     return phase == Phase.RECORDED;
   }
@@ -83,7 +85,7 @@
     advance(Phase.UNANSWERED, Phase.CALLING);
   }
 
-  /** The call has failed, or its answer says nothing certain: it is to be repeated. */
+  /** Records that the call failed or its answer was inconclusive: the request is to be repeated. */
   void markUncertain() {
     advance(Phase.CALLING, Phase.UNANSWERED);
   }
@@ -98,7 +100,8 @@
 
   private void advance(Phase expected, Phase next) {
     if (phase != expected) {
-      throw new IllegalStateException("request " + name + " is " + phase + ", not " + expected);
+      throw new IllegalStateException(
+          "scale-out request " + name + " is in phase " + phase + ", expected " + expected);
     }
     phase = next;
   }
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
@@ -26,15 +26,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An entity's scale-out requests, from the decision until every machine that came of them is
- * recorded. A request survives a crash by its stored row: the entity's next owner resumes it.
- * Called on the event loop's thread, by {@link ScaleOut}, by recovery and by peers' messages.
+ * The scale-out requests of the entities owned here, from the decision to rent until all rented
+ * machines are recorded. A request's stored row survives a crash, and the entity's next owner
+ * resumes the request. Called on the event loop's thread by {@link ScaleOut}, by recovery and by
+ * the handler of peers' messages.
  */
 public final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
   private static final double SOLD_OUT_SECONDS = 20;
 
-  /** Spot machines come back rarely, and asking uses up calls. */
+  /** Longer for spot machines: they rarely become available again, and each request uses a call. */
   private static final double SOLD_OUT_SPOT_SECONDS = 75;
 
   private final EventLoop loop;
@@ -44,13 +45,13 @@
   private final PeerClient peerClient;
   private final CloudClient cloud;
 
-  /** Requests whose machines are not all recorded yet, by name. */
+  /** Requests whose rows are not removed yet, by request name. */
   private final Map<String, ScaleOutRequest> requestsByName = new HashMap<>();
 
-  /** Until when an offering counts as sold out, by the steady clock. */
+  /** Until when an offering counts as sold out, in seconds of the monotonic clock. */
   private final Map<MachineOffering, Double> soldOutUntilSeconds = new HashMap<>();
 
-  /** Creates the requests of one controller, with none in flight. */
+  /** Creates an object for one controller, without any requests. */
   public ScaleOutRequests(
       EventLoop loop,
       StateStore store,
@@ -66,7 +67,10 @@
     this.cloud = cloud;
   }
 
-  /** Rents machines, as many as one request may ask for; none if no call may be made now. */
+  /**
+   * Requests up to {@code wantedCount} machines, limited by {@code MAX_MACHINES_PER_RENTAL}. Does
+   * nothing if the rate limit for calls to the provider is exhausted.
+   */
   void requestMachines(OwnedEntity entity, MachineOffering offering, int wantedCount) {
     int count = Math.min(wantedCount, CloudMessages.MAX_MACHINES_PER_RENTAL);
     if (!cloud.tryAcquireCall()) {
@@ -75,8 +79,8 @@
     ScaleOutRequest request =
         ScaleOutRequest.storing(entity, entity.nextScaleOutRequestId(), offering, count);
     requestsByName.put(request.name(), request);
-    // The request is stored before the provider hears of it: whoever owns the entity next repeats
-    // it. Otherwise its machines would be paid for without an owner after a crash.
+    // The request is stored before it is sent, so that the entity's next owner repeats it after a
+    // crash. Otherwise its machines would be paid for without an owner.
     Futures.logFailure(
         store
             .commit(
@@ -94,7 +98,7 @@
                     membership.relist();
                   }
                 }),
-        "store a request for machines");
+        "store a scale-out request");
   }
 
   private static String rowKey(ScaleOutRequest request) {
@@ -110,16 +114,19 @@
   }
 
   /**
-   * Whether the request's row is stored. Where the write was refused although the entity is still
-   * owned, the row exists: names are unique, so an earlier attempt of the same write was applied.
+   * Returns whether the request's row is stored. If the write was refused although the entity is
+   * still owned, the row already exists: request names are unique, so an earlier attempt of the
+   * same write was applied.
    */
   private static boolean isStored(ScaleOutRequest request, TransactionOutcome outcome) {
     return outcome.applied()
         || !outcome.failedKeys().contains(StateSchema.entityKey(request.entity().id()));
   }
 
-  /** Repeats the entity's requests that have no certain answer yet. */
-  void resendUncertain(OwnedEntity entity) {
+  /**
+   * Sends the entity's requests that have no conclusive answer, as far as the rate limit allows.
+   */
+  void resendUnanswered(OwnedEntity entity) {
     for (ScaleOutRequest request : List.copyOf(requestsByName.values())) {
       if (request.entity() == entity && request.maySend() && cloud.tryAcquireCall()) {
         sendRequest(request);
@@ -127,8 +134,8 @@
     }
   }
 
-  /** Drops requests of entities that are no longer owned, and outdated sold-out marks. */
-  void dropStale(double nowSeconds) {
+  /** Removes the requests of entities that are no longer owned, and expired sold-out marks. */
+  void removeStale(double nowSeconds) {
     requestsByName.values().removeIf(request -> request.entity().phase() == OwnedEntity.Phase.LOST);
     soldOutUntilSeconds.values().removeIf(until -> until < nowSeconds);
   }
@@ -137,7 +144,7 @@
     return soldOutUntilSeconds.containsKey(offering);
   }
 
-  /** How many machines were requested for an entity and are not recorded yet, by offering. */
+  /** Returns how many requested machines of an entity are not recorded yet, by offering. */
   Map<MachineOffering, Integer> pendingMachineCounts(OwnedEntity entity) {
     Map<MachineOffering, Integer> countByOffering = new HashMap<>();
     for (ScaleOutRequest request : requestsByName.values()) {
@@ -169,7 +176,7 @@
   private void handleAnswer(ScaleOutRequest request, List<MachineId> machines) {
     MachineOffering offering = request.offering();
     LOG.info(
-        "entity {}: scale-out request {} for {} of {}: {}",
+        "entity {}: scale-out request {} for {} machines of {} answered, rented: {}",
         request.entity().id(),
         request.name(),
         request.count(),
@@ -183,20 +190,20 @@
     recordMachines(request, machines);
   }
 
-  /** The provider has none of these for now, as it answered here or as a peer says. */
+  /** Marks an offering as sold out for a while, after the provider's answer or a peer's message. */
   public void markSoldOut(MachineOffering offering) {
     soldOutUntilSeconds.put(
         offering,
         loop.monotonicSeconds() + (offering.spot() ? SOLD_OUT_SPOT_SECONDS : SOLD_OUT_SECONDS));
   }
 
-  /** Records the machines rented, each unless it is adopted already, and drops the request. */
+  /** Records the rented machines that are not adopted already, then removes the request. */
   private void recordMachines(ScaleOutRequest request, List<MachineId> machines) {
     OwnedEntity entity = request.entity();
     List<MachineRow> rows = new ArrayList<>();
     for (MachineId machineId : machines) {
-      // A request's row may come back by a late write after it was dropped; the answer to its
-      // repetition then names machines that were terminated long ago.
+      // A late write may restore a request's row after it was removed. The answer to the repeated
+      // request then names machines that were terminated long ago.
       if (clusterView.findMachineRow(machineId) == null && !clusterView.wasTerminated(machineId)) {
         rows.add(newRow(request, machineId));
       }
@@ -206,7 +213,7 @@
             .machineRecords()
             .addAll(rows)
             .whenComplete(
-                (nothing, failure) -> {
+                (ignored, failure) -> {
                   request.markRecorded();
                   membership.rowsChanged();
                   if (entity.phase() == OwnedEntity.Phase.LOST) {
@@ -236,10 +243,10 @@
         store
             .commit(request.entity().fencedTransaction().delete(rowKey(request)))
             .whenComplete((outcome, failure) -> requestsByName.remove(request.name())),
-        "remove a request for machines");
+        "remove a scale-out request");
   }
 
-  /** Resumes the requests that a former owner of the entity left stored. */
+  /** Resumes the requests that a former owner of the entity has stored. */
   public void resumeRequests(OwnedEntity entity, List<Entry> entries) {
     for (Entry entry : entries) {
       String name = entry.key().substring(StateSchema.scaleOutRequestPrefix(entity.id()).length());
--- a/src/main/java/io/violetrail/fleet/WarmCapacity.java
+++ b/src/main/java/io/violetrail/fleet/WarmCapacity.java
@@ -13,26 +13,26 @@
 import java.util.Map;
 
 /**
- * How much capacity to keep warm for classes of jobs that are to start sooner than a machine boots.
- * Peers can request it too, so each entity keeps only what its own arrivals call for. Called on the
- * event loop's thread; after a crash the arrivals are counted anew.
+ * Decides how much capacity to keep warm for job classes that must start sooner than a machine
+ * boots. Peers can request warm capacity too, so each entity keeps only what its own arrivals need.
+ * Called on the event loop's thread; after a crash the arrivals are counted anew.
  */
 public final class WarmCapacity {
-  /** Arrivals are counted over this long. */
+  /** The period over which arrivals are counted. */
   private static final double WINDOW_SECONDS = 240;
 
-  /** Warm capacity may cost this many times the cheapest on-demand price. */
+  /** The most that warm capacity may cost, as a multiple of the cheapest on-demand price. */
   private static final double MAX_PRICE_RATIO = 3;
 
-  /** Arrivals remembered of a class; more add nothing to the estimate. */
+  /** The most arrivals kept for a class; more would not improve the estimate. */
   private static final int MAX_ARRIVALS = 400;
 
-  /** A boot may take half as long again as its type says. */
+  /** A boot may take 1.5 times as long as the machine type's boot time. */
   private static final double SLOW_BOOT_FACTOR = 1.5;
 
   private final Configuration configuration;
 
-  /** The soonest start that the objectives ask for, by class. */
+  /** The shortest time to start that the objectives require, in seconds, by class. */
   private final Map<String, Double> startWithinSeconds = new HashMap<>();
 
   private List<Objective> startObjectives = List.of();
@@ -42,7 +42,7 @@
   private record Arrival(double atSeconds, int taskCount) {}
 
   private static final class JobClassArrivals {
-    JobSpec example;
+    JobSpec sampleJob;
     int taskCount;
     final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -71,14 +71,14 @@
     return startWithinSeconds;
   }
 
-  /** Whether the job is to start sooner than a machine for it boots. */
+  /** Returns whether the job must start sooner than a machine for it boots. */
   public boolean isUrgent(JobSpec job, Collection<MachineType> types) {
     Double startWithin = startWithinSeconds().get(job.jobClass());
     return startWithin != null
         && startWithin < SLOW_BOOT_FACTOR * bootSeconds(job, types) + BootTimes.OVERHEAD_SECONDS;
   }
 
-  /** How many seconds until a task could run on a machine rented now. */
+  /** Returns the seconds until a task could run on a machine rented now, image fetch included. */
   public double secondsUntilStart(JobSpec job, Collection<MachineType> types) {
     double fetchSeconds = 0;
     for (MachineType machineType : types) {
@@ -101,37 +101,45 @@
    * Records a submitted job as a sample of its class's demand, if that class has a start time
    * objective.
    *
-   * @param nowSeconds steady clock reading, in seconds
+   * @param nowSeconds seconds of the monotonic clock
    */
   public void recordArrival(JobSpec job, double nowSeconds) {
     if (startWithinSeconds().containsKey(job.jobClass())) {
-      JobClassArrivals arrivals =
+      JobClassArrivals classArrivals =
           arrivalsByClass.computeIfAbsent(job.jobClass(), c -> new JobClassArrivals());
-      arrivals.example = job;
-      arrivals.taskCount += job.taskCount();
-      arrivals.arrivals.addLast(new Arrival(nowSeconds, job.taskCount()));
-      arrivals.dropBefore(
-          arrivals.arrivals.size() > MAX_ARRIVALS
-              ? arrivals.arrivals.peekFirst().atSeconds() + 1e-9
+      classArrivals.sampleJob = job;
+      classArrivals.taskCount += job.taskCount();
+      classArrivals.arrivals.addLast(new Arrival(nowSeconds, job.taskCount()));
+      classArrivals.dropBefore(
+          classArrivals.arrivals.size() > MAX_ARRIVALS
+              ? classArrivals.arrivals.peekFirst().atSeconds() + 1e-9
               : nowSeconds - WINDOW_SECONDS);
     }
   }
 
-  /** Examples of jobs that capacity is kept warm for, with the number of tasks to keep it for. */
+  /**
+   * Returns a sample job of each class that needs warm capacity, with the number of tasks to keep
+   * capacity for.
+   */
   public Map<JobSpec, Integer> wantedTaskCounts(Collection<MachineType> types, double nowSeconds) {
     Map<JobSpec, Integer> taskCounts = new HashMap<>();
-    for (JobClassArrivals arrivals : arrivalsByClass.values()) {
-      arrivals.dropBefore(nowSeconds - WINDOW_SECONDS);
-      if (arrivals.taskCount > 0 && isUrgent(arrivals.example, types)) {
-        double leadSeconds = bootSeconds(arrivals.example, types) + BootTimes.OVERHEAD_SECONDS;
+    for (JobClassArrivals classArrivals : arrivalsByClass.values()) {
+      classArrivals.dropBefore(nowSeconds - WINDOW_SECONDS);
+      if (classArrivals.taskCount > 0 && isUrgent(classArrivals.sampleJob, types)) {
+        double leadSeconds =
+            bootSeconds(classArrivals.sampleJob, types) + BootTimes.OVERHEAD_SECONDS;
         taskCounts.put(
-            arrivals.example, (int) Math.ceil(arrivals.taskCount / WINDOW_SECONDS * leadSeconds));
+            classArrivals.sampleJob,
+            (int) Math.ceil(classArrivals.taskCount / WINDOW_SECONDS * leadSeconds));
       }
     }
     return taskCounts;
   }
 
-  /** How many more tasks of the job would fit if less urgent ones were preempted. */
+  /**
+   * Returns how many more of the job's tasks would fit if tasks of lower priority were preempted.
+   * Counts schedulable and booting machines that the job may use and that are not too expensive.
+   */
   public static int freeTaskSlots(JobSpec job, Collection<Machine> machines, Prices prices) {
     int slots = 0;
     for (Machine machine : machines) {
--- a/src/main/java/io/violetrail/fleet/WorkerStatus.java
+++ b/src/main/java/io/violetrail/fleet/WorkerStatus.java
@@ -3,24 +3,27 @@
 import io.violetrail.config.Settings.HostPort;
 
 /**
- * What the heartbeats of one machine's worker have shown: the newest heartbeat, where the worker
- * answers, whether its tasks are known, and which of its sessions certainly ended.
+ * The status of one machine's worker according to its heartbeats: the newest heartbeat, the
+ * worker's endpoint, whether its tasks are known, and which of its sessions have certainly ended.
  *
- * <p>Used by its {@link Machine} alone, on the event loop's thread. Nothing here survives a crash:
- * the next owner waits for a heartbeat under its own fencing token, or until tasks that nobody has
- * reported are certainly gone.
+ * <p>Used only by its {@link Machine}, on the event loop's thread. Nothing here survives a crash:
+ * the next owner waits for a heartbeat under its own fencing token, or until unreported tasks are
+ * certainly gone.
  */
 final class WorkerStatus {
   private long lastSession;
   private long lastSequence;
 
-  /** Heartbeats of earlier sessions are outdated: the leases of those sessions have expired. */
+  /** Heartbeats of earlier sessions are outdated, as the leases of those sessions have expired. */
   private long firstValidSession;
 
-  /** A heartbeat under this controller's fencing token has shown which tasks there are. */
+  /**
+   * Whether a heartbeat under this controller's fencing token has shown the machine's tasks, or the
+   * machine had none when it joined.
+   */
   private boolean tasksKnown;
 
-  /** Until then, a machine whose tasks are not known may hold any task. */
+  /** Until when a machine whose tasks are not known may hold any task. */
   private double unreportedTasksGoneAtSeconds;
 
   private double lastHeartbeatAtSeconds;
@@ -78,7 +81,10 @@
     unreportedTasksGoneAtSeconds = Math.max(unreportedTasksGoneAtSeconds, untilSeconds);
   }
 
-  /** Whether the worker's state allows new tasks: its tasks are known, and it is there to stay. */
+  /**
+   * Returns whether the worker can take new tasks: its tasks are known, it is responsive, and the
+   * provider has not announced a preemption.
+   */
   boolean isReadyForTasks() {
     return tasksKnown && !unresponsive && preemptionNoticeSeconds == null;
   }
