--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -18,20 +18,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The client of the machine provider's API, within this controller's part of the rate limit that
- * all controllers share. Called on the event loop's thread, on which its futures complete too.
- * Without state that must survive a crash.
+ * A client of the machine provider's API. It adapts its own call rate to its part of the rate limit
+ * that all controllers share; callers reserve calls by {@link #tryAcquireCall}.
+ *
+ * <p>Called on the event loop's thread, on which its futures complete too. Has no state that must
+ * survive a crash.
  */
 public final class CloudClient {
   private static final double TIMEOUT_SECONDS = 5;
 
-  /** The part of the shared rate limit that the controllers split evenly. */
+  /** The fraction of the shared rate limit that is split evenly among the controllers. */
   private static final double SPLIT_FRACTION = 0.9;
 
-  /** The part of the shared rate limit that one controller may take while the others are idle. */
+  /** The fraction of the shared rate limit that one controller may use while others are idle. */
   private static final double MAX_FRACTION = 0.8;
 
-  /** So many calls that are not rate limited raise the rate by an even share. */
+  /** The number of calls without a rate-limit reply that raise the rate by one even share. */
   private static final double CALLS_PER_INCREASE = 10;
 
   private static final int BAD_REQUEST = 400;
@@ -48,7 +50,9 @@
   private final double fairRate;
   private double currentRate;
 
-  /** Creates a client that uses an equal share of 90% of the provider's request rate limit. */
+  /**
+   * Creates a client that starts with an even share of 90% of the provider's request rate limit.
+   */
   public CloudClient(EventLoop loop, HttpClient http, Settings settings) {
     this.loop = loop;
     this.http = http;
@@ -60,20 +64,23 @@
         new RateLimiter(currentRate, Math.max(1, currentRate * 2), loop.monotonicSeconds());
   }
 
-  /** What a rental request came to. */
+  /** The outcome of a rental request. */
   public enum RentalOutcome {
-    /** It was carried out, maybe with fewer machines than requested. */
+    /** The request was carried out, possibly with fewer machines than requested. */
     DONE,
-    /** It was refused for good: nothing is, nor will be, rented. */
-    NO_CAPACITY,
-    /** It may be carried out, now or later: it must be repeated under its name. */
+    /** The request was refused, and no machine will ever be rented for it. */
+    REFUSED,
+    /**
+     * The request may have been carried out, or may be later: it must be repeated with the same
+     * idempotency key.
+     */
     UNCERTAIN
   }
 
-  /** A rental request's answer; without machines unless it was carried out. */
+  /** The answer to a rental request; lists no machines unless the request was carried out. */
   public record RentalResult(RentalOutcome outcome, List<MachineId> machines) {}
 
-  /** Whether a call may be made now; if so, it is taken from the rate limit. */
+  /** Returns whether a call may be made now, and if so, counts it against the rate limit. */
   public boolean tryAcquireCall() {
     return rateLimiter.tryAcquire(1, loop.monotonicSeconds());
   }
@@ -95,15 +102,16 @@
   }
 
   /**
-   * Requests {@code count} machines under an idempotency name. The future does not fail: a request
-   * whose outcome cannot be determined yields {@code RentalOutcome.UNCERTAIN}.
+   * Requests {@code count} machines. Repeating the call with the same {@code idempotencyKey} rents
+   * no further machines. The future does not fail: a request whose outcome cannot be determined
+   * yields {@code RentalOutcome.UNCERTAIN}.
    */
   public CompletableFuture<RentalResult> rentMachines(
-      String requestName, String type, String zone, boolean spot, int count) {
+      String idempotencyKey, String type, String zone, boolean spot, int count) {
     return send(
             "POST",
             CloudMessages.MACHINES_PATH,
-            Cbor.encode(CloudMessages.rentalRequest(requestName, type, zone, spot, count)))
+            Cbor.encode(CloudMessages.rentalRequest(idempotencyKey, type, zone, spot, count)))
         .handle((response, failure) -> failure == null ? parseRental(response) : UNCERTAIN_RENTAL);
   }
 
@@ -116,7 +124,7 @@
       if (response.status() == BAD_REQUEST
           || (response.status() == SERVICE_UNAVAILABLE
               && isNoCapacity(Cbor.parse(response.body())))) {
-        return new RentalResult(RentalOutcome.NO_CAPACITY, List.of());
+        return new RentalResult(RentalOutcome.REFUSED, List.of());
       }
     } catch (MalformedMessageException exception) {
       return UNCERTAIN_RENTAL;
@@ -128,15 +136,15 @@
     return "no capacity".equals(message.path("error").asText());
   }
 
-  /** A page of the machines listed; {@code lastListed} is where the next one begins. */
+  /** A page of the machine list; the next page begins after {@code lastListed}. */
   public record MachinePage(List<MachineId> machines, String lastListed, boolean hasMore) {}
 
   /**
-   * Lists a page of the machines that are charged for. The list lags: machines may be missing from
-   * it, or listed although they are terminated. The future fails if the reply is an error or
-   * malformed.
+   * Lists a page of the machines that are charged for. The list lags behind: new machines may be
+   * missing, and terminated machines may still be listed. The future fails if the reply is an error
+   * or malformed.
    *
-   * @param after the name that the page begins after; empty for the first page
+   * @param after the name of the last machine of the previous page; empty for the first page
    */
   public CompletableFuture<MachinePage> listMachines(String after) {
     String afterParameter = after.isEmpty() ? "" : "&after=" + after;
@@ -164,29 +172,29 @@
             });
   }
 
-  /** What a request to take machines back came to. */
+  /** The outcome of a request to return machines. */
   public enum ReturnOutcome {
-    /** They are certainly terminated. */
+    /** The machines are certainly terminated. */
     GONE,
-    /** Nothing was done, nor will be: they go on running. */
+    /** The request was refused and will not be carried out later: the machines keep running. */
     REFUSED,
-    /** It may be done later. */
+    /** The request may have been carried out, or may be later. */
     UNCERTAIN
   }
 
   /**
    * Returns machines to the provider. The future does not fail: a request whose outcome cannot be
-   * determined yields {@code UNCERTAIN}.
+   * determined yields {@code ReturnOutcome.UNCERTAIN}.
    */
   public CompletableFuture<ReturnOutcome> returnMachines(Collection<MachineId> machines) {
     return send(
             "POST", CloudMessages.RETURN_PATH, Cbor.encode(CloudMessages.returnRequest(machines)))
         .handle(
             (response, failure) ->
-                failure == null ? returnOutcome(response) : ReturnOutcome.UNCERTAIN);
+                failure == null ? parseReturn(response) : ReturnOutcome.UNCERTAIN);
   }
 
-  private static ReturnOutcome returnOutcome(HttpClient.ClientReply response) {
+  private static ReturnOutcome parseReturn(HttpClient.ClientReply response) {
     if (response.isOk()) {
       return ReturnOutcome.GONE;
     }
@@ -196,8 +204,9 @@
   }
 
   /**
-   * Makes one call. What the peers leave unused of the common rate is taken little by little, and
-   * given up at once when the provider says that it is too much.
+   * Makes one call and adapts the call rate to its reply. The rate grows gradually into the part of
+   * the shared limit that peers leave unused, and is halved at once, to no less than half an even
+   * share, when the provider reports too many requests.
    */
   private CompletableFuture<HttpClient.ClientReply> send(String method, String path, byte[] body) {
     return http.call(settings.cloudAddress(), method, path, body, TIMEOUT_SECONDS)
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -21,20 +21,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Transfers machines to entities that lack them: idle ones, or emptied ones for starving jobs.
- * Called by {@link TransferRequests} on the event loop's thread. A transfer is one conditional
- * write of the machine's record, so after a crash the machine is with one entity or the other.
+ * Transfers machines of owned entities to entities that request them: idle machines, machines
+ * cleared of best-effort tasks and, for starving jobs, machines from which all tasks are evicted.
+ *
+ * <p>Called by {@link TransferRequests} on the event loop's thread. A transfer is one conditional
+ * write of the machine's record, so after a crash the machine belongs either to the donor or to the
+ * recipient.
  */
 public final class MachineTransfer {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTransfer.class);
 
-  /** So long a machine is kept free for the request for which it is emptied. */
+  /** How long an emptied machine is kept free for the request for which it was emptied. */
   private static final double EVICTION_HOLD_SECONDS = 30;
 
-  /** What is used more than this is not emptied for others: too much work would be lost. */
+  /**
+   * Machines with a higher utilization are not emptied for other entities: too much work would be
+   * lost.
+   */
   private static final double MAX_EVICTED_UTILIZATION = 0.5;
 
-  /** A machine is not emptied for others sooner after it has come. */
+  /** How long a machine must have been in its entity before it is emptied for another one. */
   private static final double MIN_RESIDENCE_SECONDS = 60;
 
   private final EventLoop loop;
@@ -45,7 +51,7 @@
   private final QuotaTransfer quotaTransfer;
   private final LongPolls longPolls;
 
-  /** Creates the transfer, which empties machines through the drainer. */
+  /** Creates the transfer of one controller's machines; {@code drainer} empties them. */
   public MachineTransfer(
       EventLoop loop,
       Membership membership,
@@ -64,79 +70,82 @@
   }
 
   /**
-   * Transfers idle machines of an owned entity that suit the request, and empties others for it.
+   * Transfers idle machines of an owned entity that suit the request, and empties other machines
+   * for it. Emptied machines are transferred at a later request.
    *
-   * @param target the recipient's row as it was last read
-   * @param freeQuotas the teams' available quotas in this entity as far as computed; filled here
+   * @param recipientRow the recipient entity's row as it was last read
+   * @param availableQuotaByTeam caches the available quota of teams in the donor entity; this
+   *     method adds the teams that it computes
    */
   void transferMachines(
       OwnedEntity entity,
-      EntityRow target,
+      EntityRow recipientRow,
       ResourceRequest request,
-      Map<String, Resources> freeQuotas) {
+      Map<String, Resources> availableQuotaByTeam) {
     double nowSeconds = loop.monotonicSeconds();
-    List<Job> jobsAhead = startableJobsAheadOf(entity, request, freeQuotas, nowSeconds);
-    if (!request.starving() && isWantedHere(entity, request)) {
+    List<Job> jobsAhead = startableJobsAheadOf(entity, request, availableQuotaByTeam, nowSeconds);
+    if (!request.starving() && hasJobWaitingAheadOf(entity, request)) {
       return;
     }
-    int tasksLeft =
-        transferIdleMachines(entity, target, request, jobsAhead, request.tasks(), nowSeconds);
-    if (tasksLeft <= 0 || !jobsAhead.isEmpty()) {
+    int uncoveredTasks =
+        transferIdleMachines(entity, recipientRow, request, jobsAhead, request.tasks(), nowSeconds);
+    if (uncoveredTasks <= 0 || !jobsAhead.isEmpty()) {
       return;
     }
-    tasksLeft = clearBestEffortMachines(entity, request, tasksLeft);
-    // For the rest of what runs in part already no other entity's work is preempted: wide arrays
-    // wait for long, and what was lost elsewhere was more than they gained.
-    if (tasksLeft > 0 && request.starving() && request.mayEvict()) {
-      evictLeastLoss(entity, request, tasksLeft, nowSeconds);
+    uncoveredTasks = clearBestEffortMachines(entity, request, uncoveredTasks);
+    // A job that already runs in part does not preempt work of other entities: wide arrays wait
+    // for a long time, and the other entities lost more work than the arrays gained.
+    if (uncoveredTasks > 0 && request.starving() && request.mayEvict()) {
+      evictWithLeastLoss(entity, request, uncoveredTasks, nowSeconds);
     }
   }
 
-  /** Transfers idle machines until all of the tasks fit, and returns how many do not. */
+  /** Transfers idle machines until all tasks fit, and returns the number that still do not. */
   private int transferIdleMachines(
       OwnedEntity entity,
-      EntityRow target,
+      EntityRow recipientRow,
       ResourceRequest request,
       List<Job> jobsAhead,
       int taskCount,
       double nowSeconds) {
-    int tasksLeft = taskCount;
+    int uncoveredTasks = taskCount;
     for (Machine machine : List.copyOf(entity.machines().values())) {
-      if (tasksLeft <= 0) {
-        return tasksLeft;
+      if (uncoveredTasks <= 0) {
+        return uncoveredTasks;
       }
       int taskSlots = taskSlots(machine, request);
-      // What was emptied for such a request passes, though what was preempted for it waits here
-      // now.
-      boolean isFree =
+      // A machine that was emptied for a starving request is transferred even if the tasks that
+      // were preempted on it now wait in this entity.
+      boolean isReleasable =
           (request.starving() && nowSeconds <= machine.reservedForTransferUntilSeconds())
-              || !isWantedHere(jobsAhead, machine);
-      if (taskSlots > 0 && machine.isEmpty() && isTransferable(machine, request) && isFree) {
-        tasksLeft -= taskSlots;
-        transferMachine(entity, machine, target);
+              || !isUsableByAny(jobsAhead, machine);
+      if (taskSlots > 0 && machine.isEmpty() && isTransferable(machine, request) && isReleasable) {
+        uncoveredTasks -= taskSlots;
+        transferMachine(entity, machine, recipientRow);
       }
     }
-    return tasksLeft;
+    return uncoveredTasks;
   }
 
   /**
-   * Clears machines that have best-effort work alone until all of the tasks fit, and returns how
-   * many do not. They pass at the next request, once that work has saved its checkpoints.
+   * Clears machines that run only best-effort tasks until all requested tasks fit, and returns the
+   * number that still do not. The machines are transferred at the next request after the
+   * best-effort tasks have saved their checkpoints.
    */
   private int clearBestEffortMachines(OwnedEntity entity, ResourceRequest request, int taskCount) {
-    int tasksLeft = taskCount;
+    int uncoveredTasks = taskCount;
     for (Machine machine : entity.machines().values()) {
       int taskSlots = taskSlots(machine, request);
-      if (tasksLeft > 0
+      if (uncoveredTasks > 0
           && taskSlots > 0
           && !machine.isEmpty()
           && machine.hasOnlyBestEffortTasks()
           && isTransferable(machine, request)) {
-        tasksLeft -= taskSlots;
+        uncoveredTasks -= taskSlots;
         drainer.clearBestEffortWork(entity, machine);
       }
     }
-    return tasksLeft;
+    return uncoveredTasks;
   }
 
   private static int taskSlots(Machine machine, ResourceRequest request) {
@@ -144,18 +153,19 @@
   }
 
   /**
-   * Empties machines with room for a job that has waited too long, where least work is lost: tasks
-   * of two entities cannot share a machine. They pass at a later request. What waits here itself,
-   * or came just now, is not touched, so that no machine goes to and fro.
+   * Evicts all tasks from machines that have room for a task of a starving job, since tasks of two
+   * entities cannot share a machine. Machines where the least work is lost come first. They are
+   * transferred at a later request. Nothing is evicted while jobs wait in this entity, nor from
+   * machines that joined it recently, so that no machine moves back and forth between two entities.
    */
-  private void evictLeastLoss(
+  private void evictWithLeastLoss(
       OwnedEntity entity, ResourceRequest request, int taskCount, double nowSeconds) {
     List<Machine> candidates = new ArrayList<>();
-    int tasksLeft = taskCount;
+    int uncoveredTasks = taskCount;
     for (Machine machine : entity.machines().values()) {
       boolean isUseful = isTransferable(machine, request) && taskSlots(machine, request) > 0;
       if (isUseful && nowSeconds <= machine.reservedForTransferUntilSeconds()) {
-        tasksLeft -= taskSlots(machine, request);
+        uncoveredTasks -= taskSlots(machine, request);
       } else if (isUseful
           && !machine.isEmpty()
           && machine.utilization() <= MAX_EVICTED_UTILIZATION
@@ -164,14 +174,18 @@
         candidates.add(machine);
       }
     }
-    if (tasksLeft <= 0 || candidates.isEmpty() || hasWaitingJobs(entity)) {
+    if (uncoveredTasks <= 0 || candidates.isEmpty() || hasWaitingJobs(entity)) {
       return;
     }
-    candidates.sort(Comparator.comparingDouble(m -> Preemption.lostCpuSeconds(m, nowSeconds)));
+    candidates.sort(
+        Comparator.comparingDouble(machine -> Preemption.lostCpuSeconds(machine, nowSeconds)));
     for (Machine machine : candidates) {
-      if (tasksLeft > 0) {
-        tasksLeft -= taskSlots(machine, request);
-        LOG.info("machine {} is emptied for {} of another entity", machine.id(), request.job());
+      if (uncoveredTasks > 0) {
+        uncoveredTasks -= taskSlots(machine, request);
+        LOG.info(
+            "evicting all tasks from machine {} for job {} of another entity",
+            machine.id(),
+            request.job());
         drainer.evictAll(entity, machine, EVICTION_HOLD_SECONDS);
       }
     }
@@ -187,7 +201,8 @@
   }
 
   private boolean isTransferable(Machine machine, ResourceRequest request) {
-    // Without this limit, a machine too dear for the request went to and fro, idle and paid for.
+    // Without the price limit, machines too expensive for the request moved back and forth between
+    // entities, idle and charged for.
     double priceRatio =
         machineTypes
             .prices()
@@ -204,12 +219,17 @@
   }
 
   /**
-   * Whether an own job that is more urgent, or has waited longer, waits for the same kind of room.
+   * Returns whether a job of the entity goes before the request and waits for the same kind of
+   * machine.
    */
-  private static boolean isWantedHere(OwnedEntity entity, ResourceRequest request) {
+  private static boolean hasJobWaitingAheadOf(OwnedEntity entity, ResourceRequest request) {
     return entity.jobs().values().stream().anyMatch(job -> waitsAheadOf(job, request));
   }
 
+  /**
+   * Returns whether the job has unplaced tasks, goes before the request, and like the request needs
+   * accelerators or does not. Best-effort jobs and jobs that fail on every machine do not count.
+   */
   private static boolean waitsAheadOf(Job job, ResourceRequest request) {
     return job.phase() == Job.Phase.OPEN
         && job.unplacedCount() > 0
@@ -220,19 +240,19 @@
   }
 
   /**
-   * Own jobs that are more urgent, or have waited longer, wait for the same kind of room, and have
-   * the quota for it.
+   * Returns the entity's jobs that go before the request, wait for the same kind of machine, and
+   * have quota for at least one task.
    */
   private List<Job> startableJobsAheadOf(
       OwnedEntity entity,
       ResourceRequest request,
-      Map<String, Resources> freeQuotas,
+      Map<String, Resources> availableQuotaByTeam,
       double nowSeconds) {
     List<Job> jobsAhead = new ArrayList<>();
     for (Job job : entity.jobs().values()) {
       if (waitsAheadOf(job, request)
           && job.mayHoldReservations(nowSeconds)
-          && freeQuotas
+          && availableQuotaByTeam
                   .computeIfAbsent(
                       job.spec().team(),
                       team -> quotaTransfer.availableQuota(entity, team, nowSeconds))
@@ -244,8 +264,8 @@
     return jobsAhead;
   }
 
-  /** Whether one of the jobs may and could start on the machine. */
-  private static boolean isWantedHere(List<Job> jobs, Machine machine) {
+  /** Returns whether one of the jobs may use the machine and has tasks that fit on it. */
+  private static boolean isUsableByAny(List<Job> jobs, Machine machine) {
     for (Job job : jobs) {
       if (machine.isAllowedFor(job.spec())
           && machine.type().capacity().countFitting(job.spec().taskResources()) > 0) {
@@ -255,27 +275,32 @@
     return false;
   }
 
-  /** One conditional write gives the machine to the other entity and raises its fencing token. */
-  private void transferMachine(OwnedEntity entity, Machine machine, EntityRow target) {
+  /**
+   * Starts the conditional write that assigns the machine to the recipient entity and raises the
+   * machine's fencing token above its present token and the recipient's version. If the write is
+   * not confirmed, a read determines which entity has the machine.
+   */
+  private void transferMachine(OwnedEntity entity, Machine machine, EntityRow recipientRow) {
     machine.startTransfer();
     Version highestVersion =
-        entity.fencingTokenFor(machine).compareTo(target.version()) > 0
+        entity.fencingTokenFor(machine).compareTo(recipientRow.version()) > 0
             ? entity.fencingTokenFor(machine)
-            : target.version();
+            : recipientRow.version();
     MachineRow newRow =
         machine
             .row()
             .transferredTo(
-                target.entity(), highestVersion.nextOwnedBy(target.version().ownerIndex()));
+                recipientRow.entity(),
+                highestVersion.nextOwnedBy(recipientRow.version().ownerIndex()));
     Futures.logFailure(
         entity
             .machineRecords()
-            .transfer(machine.row(), newRow, target)
+            .transfer(machine.row(), newRow, recipientRow)
             .whenComplete(
                 (row, failure) -> {
                   if (failure == null) {
                     LOG.info(
-                        "machine {} passes from entity {} to {} with fencing token {}",
+                        "transferred machine {} from entity {} to entity {} with fencing token {}",
                         machine.id(),
                         entity.id(),
                         newRow.entity(),
--- a/src/main/java/io/violetrail/fleet/QuotaAmounts.java
+++ b/src/main/java/io/violetrail/fleet/QuotaAmounts.java
@@ -3,14 +3,14 @@
 import io.violetrail.model.Resources;
 
 /**
- * Arithmetic on amounts of teams' quotas: processors and accelerators, infinite where unlimited.
- * Memory has no quota and is 0 in an amount that moves.
+ * Arithmetic on amounts of team quotas, in processors and accelerators; unlimited amounts are
+ * infinite. Quotas do not limit memory, and an amount that moves has 0 of it.
  */
 final class QuotaAmounts {
-  /** Less of a quota than this, in processors or accelerators, is not worth a write. */
+  /** The smallest quota amount, in processors or accelerators, that is worth a write. */
   static final double MIN_SHARE = 1e-3;
 
-  /** No quota at all; memory is not limited by quotas. */
+  /** No processors and no accelerators; memory is infinite since quotas do not limit it. */
   static final Resources NO_QUOTA = new Resources(0, 0, Double.POSITIVE_INFINITY);
 
   static final Resources UNLIMITED =
@@ -36,7 +36,7 @@
         Math.max(left.cpus(), right.cpus()), Math.max(left.gpus(), right.gpus()), 0);
   }
 
-  /** An amount of something that has a limit; 0 of what has none, since nobody lacks it. */
+  /** Returns the amount, or 0 if its limit is infinite: no entity lacks an unlimited resource. */
   static double zeroIfUnlimited(double amount, double limit) {
     return Double.isInfinite(limit) ? 0 : amount;
   }
--- a/src/main/java/io/violetrail/fleet/QuotaClaim.java
+++ b/src/main/java/io/violetrail/fleet/QuotaClaim.java
@@ -8,7 +8,10 @@
 import io.violetrail.wire.StateStoreMessages.Transaction;
 import java.util.Optional;
 
-/** More of a raised limit, on the condition that the revision which allows it is still in force. */
+/**
+ * Adds a part of a raised limit that is in no entity's share to an entity's quota share, on the
+ * condition that the configuration revision which allows it is still in force.
+ */
 final class QuotaClaim extends QuotaMove {
   private final Resources lacking;
   private final long configurationModRevision;
@@ -41,6 +44,6 @@
 
   @Override
   String describe() {
-    return "claims up to " + lacking.cpus() + " cpus and " + lacking.gpus() + " gpus";
+    return "claimed up to " + lacking.cpus() + " cpus and " + lacking.gpus() + " gpus";
   }
 }
--- a/src/main/java/io/violetrail/fleet/QuotaGrant.java
+++ b/src/main/java/io/violetrail/fleet/QuotaGrant.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * A part of a quota share for another entity. What the recipient has got from other donors since
- * its request is not given once more.
+ * Moves a part of an entity's quota share to another entity. The grant is reduced by what the
+ * recipient has received from other donors since its request.
  */
 final class QuotaGrant extends QuotaMove {
   private final Resources amount;
@@ -19,8 +19,8 @@
   /**
    * Creates a grant.
    *
-   * @param amount at most so much is given
-   * @param sufficientShare the recipient's share is not raised above this
+   * @param amount the most that is granted
+   * @param sufficientShare the recipient's share is not raised above this; infinite for no bound
    */
   QuotaGrant(
       OwnedEntity entity,
@@ -61,14 +61,17 @@
     return id.equals(recipient) ? share.plus(granted) : share;
   }
 
-  /** What is unlimited is never missing: its part of the grant is 0 anyway. */
+  /**
+   * Returns how much is missing up to the sufficient share; infinite if that is infinite. For an
+   * unlimited resource the result does not matter: {@code amount} is 0 for it.
+   */
   private static double missingAmount(double sufficient, double current) {
     return Double.isInfinite(sufficient) ? sufficient : Math.max(0, sufficient - current);
   }
 
   @Override
   String describe() {
-    return "gives "
+    return "granted "
         + recipient
         + " up to "
         + amount.cpus()
--- a/src/main/java/io/violetrail/fleet/QuotaMove.java
+++ b/src/main/java/io/violetrail/fleet/QuotaMove.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * A change of one owned entity's quota share of a team, as one write of the team's row. Drafted by
- * {@link QuotaMoveExecutor} at each attempt, from the newest view of the row.
+ * A change of an owned entity's quota share of one team, made by one write of the team's row.
+ * {@link QuotaMoveExecutor} drafts the write anew at each attempt, from the newest view of the row.
  */
 abstract class QuotaMove {
   private final OwnedEntity entity;
@@ -22,7 +22,7 @@
     this.team = team;
   }
 
-  /** The share that a move changes; at most one move of it is in flight. */
+  /** Identifies the share that a move changes. At most one move of a share is in flight. */
   record Key(ControllerId entity, String team) {}
 
   final OwnedEntity entity() {
@@ -37,22 +37,23 @@
     return new Key(entity.id(), team.name());
   }
 
-  /** The state store's key of the team's row. */
+  /** Returns the key of the team's row in the state store. */
   final String rowKey() {
     return StateSchema.QUOTA_SHARE_PREFIX + team.name();
   }
 
-  /** The part of the entity's share that is out of use until the move's outcome is known. */
+  /** Returns the part of the entity's share that is withheld until the move's outcome is known. */
   abstract Resources withheld();
 
   /**
-   * The team's row after the move, by the newest view of it; empty if the move is to be dropped.
+   * Returns the team's row after the move, based on the newest view of it; empty if the move is no
+   * longer needed or possible.
    */
   abstract Optional<ObjectNode> draftRow(TeamQuotaShares quotaShares);
 
-  /** Adds what else must be true when the move is applied. */
+  /** Adds further conditions to the move's write. */
   void addConditions(Transaction transaction) {}
 
-  /** What the move does, for the log, with the entity as the subject. */
+  /** Describes the applied move for the log, as a predicate with the entity as its subject. */
   abstract String describe();
 }
--- a/src/main/java/io/violetrail/fleet/QuotaMoveExecutor.java
+++ b/src/main/java/io/violetrail/fleet/QuotaMoveExecutor.java
@@ -20,18 +20,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes quota moves, each by compare-and-swap on the team's row, and keeps what a move gives away
- * out of use until its outcome is known: otherwise tasks could start in a part that another entity
- * uses already.
+ * Writes quota moves, each by compare-and-swap on the team's row. Until a move's outcome is known,
+ * the amount that it takes from its entity's share is withheld: otherwise tasks could start in
+ * quota that another entity already uses.
  *
- * <p>Called by {@link QuotaTransfer} on the event loop's thread. The moves in flight are lost in a
- * crash; what was applied is in the rows, and the fencing by the entity's row keeps a late write of
- * a former owner out.
+ * <p>Called by {@link QuotaTransfer} on the event loop's thread. Moves in flight are lost in a
+ * crash; applied moves are in the stored rows. Each write is conditional on the entity's row, which
+ * fences off late writes of a former owner.
  */
 final class QuotaMoveExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaMoveExecutor.class);
 
-  /** So often a move is drafted anew when others have rewritten the row meanwhile. */
+  /** The most attempts to write a move while other controllers keep changing the row. */
   private static final int MAX_ATTEMPTS = 4;
 
   private static final double RETRY_SECONDS = 0.3;
@@ -42,7 +42,7 @@
   private final Membership membership;
   private final TeamQuotaShares quotaShares;
 
-  /** Moves in flight, with the part of the entity's share that is out of use meanwhile. */
+  /** The moves in flight, with the amount that each withholds from its entity's share. */
   private final Map<QuotaMove.Key, Resources> withheldByMove = new HashMap<>();
 
   QuotaMoveExecutor(
@@ -58,12 +58,15 @@
     this.quotaShares = quotaShares;
   }
 
-  /** Whether a move of the entity's share of the team is in flight. */
+  /** Returns whether a move of the entity's share of the team's quota is in flight. */
   boolean isMoveInFlight(OwnedEntity entity, String teamName) {
     return withheldByMove.containsKey(new QuotaMove.Key(entity.id(), teamName));
   }
 
-  /** What is left of an owned entity's share, whatever the limit in force says. */
+  /**
+   * Returns an owned entity's share without what is withheld and what its tasks use, regardless of
+   * the limit in force. Nothing is left while an infinite amount is withheld.
+   */
   Resources unusedShare(OwnedEntity entity, String teamName, double nowSeconds) {
     Resources withheld =
         withheldByMove.getOrDefault(new QuotaMove.Key(entity.id(), teamName), Resources.NONE);
@@ -76,7 +79,7 @@
         .minus(entity.usageOf(teamName, nowSeconds));
   }
 
-  /** Starts a move; none of the same share may be in flight. */
+  /** Starts a move. No other move of the same share may be in flight. */
   void start(QuotaMove move) {
     withheldByMove.put(move.key(), move.withheld());
     new Attempt(move, 1).start();
@@ -86,17 +89,17 @@
     withheldByMove.remove(move.key());
   }
 
-  /** One attempt to write a move, with the row as it is drafted just before it is sent. */
+  /** One attempt to write a move. The new row is drafted just before it is sent. */
   private final class Attempt {
     private final QuotaMove move;
-    private final int number;
+    private final int attemptNumber;
 
-    /** Null until the write is sent, and if the move is to be dropped. */
+    /** Null until the write is sent, and if the move has been abandoned. */
     private ObjectNode draftedRow;
 
-    Attempt(QuotaMove move, int number) {
+    Attempt(QuotaMove move, int attemptNumber) {
       this.move = move;
-      this.number = number;
+      this.attemptNumber = attemptNumber;
     }
 
     void start() {
@@ -116,16 +119,16 @@
           "transfer quota");
     }
 
-    /** The write, or null if the move is to be dropped, as deferred writes have it. */
+    /** Returns the write, or null, which cancels the deferred write, to abandon the move. */
     private Transaction draftTransaction() {
       draftedRow = coversUsage() ? move.draftRow(quotaShares).orElse(null) : null;
       return draftedRow == null ? null : buildTransaction();
     }
 
     /**
-     * Whether the stored share, without what is out of use, still covers what is used. An attempt
-     * whose answer was lost may have been applied: then the part is missing from the share already,
-     * and giving it once more would take what runs.
+     * Returns whether the entity is active and its stored share, without the withheld amount, still
+     * covers what its tasks use. An earlier attempt whose answer was lost may have been applied:
+     * the share is then already reduced, and reducing it again would take quota from running tasks.
      */
     private boolean coversUsage() {
       Resources remaining = unusedShare(move.entity(), move.team().name(), loop.monotonicSeconds());
@@ -148,22 +151,28 @@
     private void complete(TransactionOutcome outcome) {
       clusterView.apply(new RowChange(move.rowKey(), draftedRow, outcome.revision()));
       end(move);
-      LOG.info("entity {} {} of team {}", move.entity().id(), move.describe(), move.team().name());
+      LOG.info(
+          "entity {} {} of the quota of team {}",
+          move.entity().id(),
+          move.describe(),
+          move.team().name());
     }
 
     /**
-     * Another controller has rewritten the row, an earlier attempt was applied, or the entity has a
-     * new owner. The part stays out of use until a read shows which. That is a read of the one row:
-     * a listing of all common rows after each refusal was most of what controllers read where teams
-     * are many. No attempt can be applied after it, since its condition has failed for good.
+     * Handles an attempt that was refused or has an unknown outcome: another controller has changed
+     * the row, an earlier attempt was applied, or the entity has a new owner. The amount stays
+     * withheld until a read shows which. Unless the owner may have changed, only the team's row is
+     * read: with many teams, listing all common rows after each refusal was most of what
+     * controllers read. No attempt can be applied after that read, since its condition can never
+     * hold again.
      *
      * @param outcome null if the attempt's outcome is unknown
      */
     private void retryOrAbandon(TransactionOutcome outcome) {
-      boolean entityMoved =
+      boolean ownerMayHaveChanged =
           outcome == null
               || outcome.failedKeys().contains(StateSchema.entityKey(move.entity().id()));
-      if (entityMoved) {
+      if (ownerMayHaveChanged) {
         membership.relistThen(() -> end(move));
         return;
       }
@@ -177,13 +186,13 @@
                     } else {
                       RequestFailedException cause = RequestFailedException.from(failure);
                       LOG.debug(
-                          "quota shares of team {} not read: {}",
+                          "failed to read the quota shares of team {}: {}",
                           move.team().name(),
                           cause.getMessage());
                       loop.schedule(RETRY_SECONDS, () -> retryOrAbandon(outcome));
                     }
                   }),
-          "read a quota transfer's outcome");
+          "read the outcome of a quota transfer");
     }
 
     private void retryWith(Entry entry, TransactionOutcome outcome) {
@@ -191,8 +200,8 @@
         clusterView.apply(new RowChange(move.rowKey(), entry.value(), entry.modRevision()));
       }
       boolean configurationChanged = outcome.failedKeys().contains(StateSchema.CONFIGURATION_KEY);
-      if (number < MAX_ATTEMPTS && !configurationChanged) {
-        new Attempt(move, number + 1).start();
+      if (attemptNumber < MAX_ATTEMPTS && !configurationChanged) {
+        new Attempt(move, attemptNumber + 1).start();
       } else {
         end(move);
       }
--- a/src/main/java/io/violetrail/fleet/QuotaReturn.java
+++ b/src/main/java/io/violetrail/fleet/QuotaReturn.java
@@ -6,7 +6,7 @@
 import io.violetrail.ownership.OwnedEntity;
 import java.util.Optional;
 
-/** A part of a quota share that is given back, since the limit was lowered. */
+/** Reduces an entity's quota share because the team's limit was lowered. */
 final class QuotaReturn extends QuotaMove {
   private final Resources amount;
   private final Resources retained;
@@ -14,8 +14,8 @@
   /**
    * Creates a return.
    *
-   * @param amount what is given back; infinite where the share had no limit before
-   * @param retained the share that is left where {@code amount} is infinite
+   * @param amount the amount to return; infinite where the share was unlimited before
+   * @param retained the share that remains where {@code amount} is infinite
    */
   QuotaReturn(OwnedEntity entity, Team team, Resources amount, Resources retained) {
     super(entity, team);
@@ -46,6 +46,6 @@
 
   @Override
   String describe() {
-    return "gives back " + amount.cpus() + " cpus and " + amount.gpus() + " gpus";
+    return "returned " + amount.cpus() + " cpus and " + amount.gpus() + " gpus";
   }
 }
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -20,22 +20,45 @@
 import java.util.List;
 
 /**
- * Decides which parts of teams' quota shares move: from one entity to another on request, back
- * where a limit was lowered, and out of the unclaimed part of a raised one.
+ * Decides how much of a team's quota each entity may use, and when quota moves between entities.
  *
- * <p>Two properties keep a team within its limit. What an entity's tasks use never exceeds its
- * quota share: an owner takes a part of a share out of use before it asks for the write that gives
- * it away, and takes it back into use only once a read after the write's outcome shows that the
- * share still has it. And nothing is started while the shares add up to more than the limit in
- * force. More of a limit is claimed only on the condition that the revision which allows it is
- * still in force, so whoever knows a revision and the rows as of it knows the largest possible sum.
+ * <p>A team's limit is divided among the entities. An entity's part is its <i>quota share</i>, and
+ * an entity's owner starts tasks of the team only within that share. All shares of a team are
+ * stored in one row of the state service, and every move is one compare-and-swap write of that row.
+ * There are three kinds:
  *
- * <p>Called on the event loop's thread: by scheduling and scale out for what may start, by {@link
- * TransferRequests} for what moves. The shares are stored rows; the moves in flight are lost in a
- * crash.
+ * <ul>
+ *   <li>{@link QuotaGrant}: an entity gives what it can spare of its share to another entity that
+ *       has requested it. The sum of the shares stays the same.
+ *   <li>{@link QuotaReturn}: after the limit was lowered, an entity reduces its share towards an
+ *       even share of the new limit, but not below what its tasks use.
+ *   <li>{@link QuotaClaim}: after the limit was raised, an entity adds to its share a part of the
+ *       limit that is in no entity's share. Only claims raise the sum of the shares, at most to the
+ *       limit.
+ * </ul>
+ *
+ * <p>Two invariants keep a team within its limit:
+ *
+ * <ul>
+ *   <li>The tasks of an entity never use more than its share. Before an owner sends a write that
+ *       reduces a share, it withholds the amount that the write takes from the share, so that no
+ *       task starts in it. If the write is not confirmed, the owner uses the amount again only
+ *       after a read, made after the write has ended, shows that the share still contains it.
+ *   <li>No task of a team is started while the sum of its shares exceeds the limit in force, as it
+ *       does after the limit was lowered until enough is returned. Running tasks continue to their
+ *       end.
+ * </ul>
+ *
+ * <p>A claim is written on the condition that the configuration revision which allows it is still
+ * in force. A controller that knows a revision, and the shares as of that revision, therefore knows
+ * the largest sum that the shares can have under it.
+ *
+ * <p>Called on the event loop's thread: by scheduling and scale out to learn what may be started,
+ * by {@link TransferRequests} to grant and claim quota, and by the controller to return it. The
+ * shares are stored and survive a crash; moves in flight are lost.
  */
 public final class QuotaTransfer {
-  /** The fraction of a quota share that its entity is expected to have free. */
+  /** The fraction of a quota share that its entity is expected to have unused. */
   private static final double EXPECTED_FREE_FRACTION = 0.5;
 
   private final EventLoop loop;
@@ -45,10 +68,7 @@
   private final TeamQuotaShares quotaShares;
   private final QuotaMoveExecutor moves;
 
-  /**
-   * Creates the quota transfers of one controller between the entities that share each team's
-   * limit.
-   */
+  /** Creates the quota transfer of one controller. */
   public QuotaTransfer(
       EventLoop loop,
       StateStore store,
@@ -65,8 +85,9 @@
   }
 
   /**
-   * What may be started of an owned entity's share of a team's quota: nothing while the shares add
-   * up to more than the limit in force.
+   * Returns how much of its team quota an owned entity may start tasks in now: its share without
+   * what is withheld by a move in flight and what its tasks use. This is nothing for an unknown
+   * team, and while the sum of the team's shares exceeds the limit in force.
    */
   public Resources availableQuota(OwnedEntity entity, String teamName, double nowSeconds) {
     Team team = configuration.findTeam(teamName);
@@ -79,9 +100,10 @@
   }
 
   /**
-   * Splits a request between as few entities as may have enough, those with the largest shares
-   * first. Where everybody is asked for all of it at once, all but one write the row in vain, and
-   * the rest of what is lacking waits for the next request.
+   * Splits a quota request among as few donors as are expected to cover it, those with the largest
+   * shares first. If every entity were asked for the whole amount at once, all but one of their
+   * writes of the team's row would fail, and the rest of the missing amount would have to wait for
+   * the next request.
    */
   List<ResourceRequest> splitAmongDonors(ResourceRequest request, ControllerId recipient) {
     List<ControllerId> donors = new ArrayList<>(settings.controllers());
@@ -104,7 +126,10 @@
     return parts;
   }
 
-  /** How much of the team's limit an amount is. */
+  /**
+   * Returns the larger of the fractions of the team's processor and accelerator limits that the
+   * amounts make up; 0 for what is unlimited.
+   */
   private double fractionOfLimit(Resources amounts, String teamName) {
     Team team = configuration.findTeam(teamName);
     double cpuFraction =
@@ -115,9 +140,10 @@
   }
 
   /**
-   * Gives what can be spared of an owned entity's share to another entity. Any part of it, not
-   * whole tasks alone: a task that needs more than one entity's share, or a gang that needs all of
-   * the limit, is put together from what each of the others can spare.
+   * Starts a grant of what an owned entity can spare of its share to another entity, unless a move
+   * of this share is in flight. The amount need not be enough for whole tasks: a task that needs
+   * more than one entity's share, or a gang that needs the whole limit, collects its quota from
+   * what each of the other entities can spare.
    */
   void grant(OwnedEntity entity, ControllerId recipient, ResourceRequest request) {
     Team team = configuration.findTeam(request.team());
@@ -146,7 +172,10 @@
     moves.start(new QuotaGrant(entity, team, amount, recipient, sufficientShare));
   }
 
-  /** What jobs here that go before the request still wait for. */
+  /**
+   * Returns what the entity's jobs of the team that go before the request still need. Only jobs
+   * that may hold reservations now count.
+   */
   private static Resources demandAheadOf(
       OwnedEntity entity, ResourceRequest request, double nowSeconds) {
     Resources sum = Resources.NONE;
@@ -162,9 +191,10 @@
   }
 
   /**
-   * Takes what is lacking from the part of a raised limit that is in no entity's share.
+   * Starts a claim of what is lacking from the part of a raised limit that is in no entity's share,
+   * unless a move of this entity's share is in flight.
    *
-   * @return false if there is no such part
+   * @return false if there is no unclaimed part
    */
   boolean claimUnclaimed(OwnedEntity entity, String teamName, Resources lacking) {
     Team team = configuration.findTeam(teamName);
@@ -181,10 +211,10 @@
   }
 
   /**
-   * Gives back what owned entities have above even shares of lowered limits, as far as none of
-   * their tasks uses it. What runs goes on to its end, and what becomes free is given back then.
-   * The shares become even ones, whatever they were: in proportion to them, each write made the
-   * next one due.
+   * Starts returns of what owned entities have above an even share of a lowered limit, as far as
+   * their tasks do not use it. Running tasks continue to their end; what they free is returned by a
+   * later call. Shares shrink to even ones whatever they were before: when they were reduced in
+   * proportion to their former sizes, each write made another one necessary.
    */
   public void returnExcess(Collection<OwnedEntity> ownedEntities) {
     if (!configuration.canChange() || !membership.isLeaseValid() || !configuration.isFresh()) {
@@ -213,7 +243,7 @@
     Resources excess =
         new Resources(
             currentShare.cpus() - retained.cpus(), currentShare.gpus() - retained.gpus(), 0);
-    // Unlimited before and after: nothing of it is excess.
+    // Infinity minus infinity is NaN: the share is unlimited before and after, without excess.
     excess = new Resources(zeroIfNaN(excess.cpus()), zeroIfNaN(excess.gpus()), 0).clampToZero();
     if (QuotaAmounts.isWorthWriting(excess)) {
       moves.start(new QuotaReturn(entity, team, excess, retained));
@@ -225,8 +255,8 @@
   }
 
   /**
-   * Revokes placements that were not sent to a worker yet, of teams whose shares exceed their
-   * limits: they were decided by the previous revision.
+   * Revokes placements that have not been sent to a worker yet, if the sum of their team's shares
+   * exceeds its limit: they were decided under the previous configuration revision.
    */
   public void revokeUnsentPlacements(Collection<OwnedEntity> ownedEntities) {
     double nowSeconds = loop.monotonicSeconds();
@@ -234,9 +264,11 @@
       entity.machines().values().stream()
           .flatMap(machine -> List.copyOf(machine.placements().values()).stream())
           .filter(TaskPlacement::isRevocable)
-          .filter(p -> isOvercommitted(p.job().spec().team()))
+          .filter(placement -> isOvercommitted(placement.job().spec().team()))
           .toList()
-          .forEach(p -> entity.removePlacement(p, nowSeconds, TerminationEvidence.NEVER_SENT));
+          .forEach(
+              placement ->
+                  entity.removePlacement(placement, nowSeconds, TerminationEvidence.NEVER_SENT));
     }
   }
 
--- a/src/main/java/io/violetrail/fleet/TeamQuotaShares.java
+++ b/src/main/java/io/violetrail/fleet/TeamQuotaShares.java
@@ -13,23 +13,24 @@
 import java.util.function.BiFunction;
 
 /**
- * The entities' shares of teams' quotas as the state service has them, one row for each team.
+ * The entities' shares of team quotas as stored in the state service, in one row per team.
  *
- * <p>An entity that a team's row does not name has an even share of the limit in the settings file.
- * A share does not follow the limit in force by itself: what an entity may use changes by writes of
- * the row alone. Where the limit was lowered, the shares add up to more than it until their
- * entities have given parts of them back, and nothing of the team is started meanwhile; where it
- * was raised, the rest can be claimed.
+ * <p>An entity that is missing from a team's row has an even share of the limit in the settings
+ * file. A share does not follow a change of the limit: it changes only by a write of the row. After
+ * the limit was lowered, the sum of the shares exceeds it until the entities have returned parts of
+ * their shares, and no task of the team is started meanwhile. After the limit was raised, the
+ * difference can be claimed.
  *
- * <p>A view without state of its own, used by the quota moves on the event loop's thread.
+ * <p>A stateless view of the rows as last read, used on the event loop's thread.
  */
 final class TeamQuotaShares {
-  /** An amount without a limit, in a row. */
+  /** The stored value of an unlimited amount. */
   private static final double UNLIMITED = -1;
 
   /**
-   * The third element of a share whose row says by itself what is unlimited. Without it that
-   * follows from the settings file, where 0 means no limit.
+   * The third element of a stored share whose unlimited amounts are stored as {@link #UNLIMITED}.
+   * In a share without this element, an amount is unlimited if the settings file sets no limit for
+   * it, and 0 is stored for it.
    */
   private static final int EXPLICIT_LIMITS = 1;
 
@@ -43,7 +44,9 @@
     this.configuration = configuration;
   }
 
-  /** An entity's share of a team's quota; infinite where it is unlimited. */
+  /**
+   * Returns an entity's share of a team's quota. Unlimited amounts are infinite; memory always is.
+   */
   Resources shareOf(ControllerId entity, String team) {
     Team configuredTeam = settings.teams().get(team);
     Entry row = clusterView.findQuotaShare(team);
@@ -76,7 +79,7 @@
     return unlimited || stored == UNLIMITED ? Double.POSITIVE_INFINITY : stored;
   }
 
-  /** All entities' shares together. */
+  /** Returns the sum of all entities' shares. */
   Resources totalShares(String team) {
     Resources sum = Resources.NONE;
     for (ControllerId entity : settings.controllers()) {
@@ -85,7 +88,10 @@
     return sum;
   }
 
-  /** Whether the shares add up to more than the limit in force. */
+  /**
+   * Returns whether the sum of the shares exceeds the limit in force; always false if limits cannot
+   * change.
+   */
   boolean isOvercommitted(Team team) {
     if (!configuration.canChange()) {
       return false;
@@ -95,7 +101,7 @@
         || total.gpus() > team.maxGpus() + QuotaAmounts.MIN_SHARE;
   }
 
-  /** What of the limit in force is in no entity's share. */
+  /** Returns the part of the limit in force that is in no entity's share. */
   Resources unclaimedQuota(Team team) {
     Resources total = totalShares(team.name());
     return new Resources(
@@ -108,7 +114,10 @@
     return Double.isInfinite(claimed) ? 0 : Math.max(0, limit - claimed);
   }
 
-  /** A team's row with each entity's share changed; its revision is not part of it. */
+  /**
+   * Returns a team's row with {@code change} applied to each entity's share. The row's revision is
+   * not part of it.
+   */
   ObjectNode buildRow(Team team, BiFunction<ControllerId, Resources, Resources> change) {
     ObjectNode row = Cbor.newMap();
     for (ControllerId entity : settings.controllers()) {
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -25,17 +25,22 @@
 import java.util.Set;
 
 /**
- * Requests from the other entities what waiting jobs lack, idle machines or parts of their teams'
- * quotas, and handles the others' requests. Called by scheduling passes and by the peers' messages,
- * on the event loop's thread. Requests are repeated while jobs wait, so none need survive a crash.
+ * Requests resources that waiting jobs lack from other entities, machines or parts of team quotas,
+ * and handles the requests of other entities.
+ *
+ * <p>Called on the event loop's thread by scheduling passes and for messages of peers. Requests are
+ * repeated while jobs wait, so they need not survive a crash.
  */
 public final class TransferRequests {
   private static final double REQUEST_INTERVAL_SECONDS = 0.7;
 
-  /** Requests of each kind: the most urgent kind alone would leave the others unasked. */
+  /**
+   * The number of jobs of each {@link #requestKind kind} that make requests in one round. Without
+   * this limit, jobs of the most urgent kind would make all the requests.
+   */
   private static final int MAX_REQUESTS_PER_KIND = 3;
 
-  /** Nothing is rented for a job before peers have been asked twice for what they have idle. */
+  /** No machine is rented for a job before peers have been asked twice for idle machines. */
   static final double SCALE_OUT_DELAY_SECONDS = 2 * REQUEST_INTERVAL_SECONDS + 0.1;
 
   private final EventLoop loop;
@@ -51,10 +56,13 @@
   private final PeerClient peerClient;
   private double lastRequestAtSeconds = Double.NEGATIVE_INFINITY;
 
-  /** Jobs that have asked selected entities for parts of a quota; next they ask all of them. */
-  private final Set<JobId> askedSelectedDonors = new HashSet<>();
+  /**
+   * Jobs that have requested quota from selected entities; their next quota requests go to all
+   * entities.
+   */
+  private final Set<JobId> jobsThatAskedSelectedDonors = new HashSet<>();
 
-  /** Creates the requests, which are granted through the two transfers. */
+  /** Creates the requests of one controller; the two transfers carry out those of others. */
   public TransferRequests(
       EventLoop loop,
       Random random,
@@ -62,10 +70,10 @@
       Membership membership,
       MachineTypes machineTypes,
       PendingQueues pendingQueues,
-      ServiceLevelObjectives objectives,
+      ServiceLevelObjectives serviceLevelObjectives,
       RuntimeEstimates runtimeEstimates,
       QuotaTransfer quotaTransfer,
-      MachineTransfer machines,
+      MachineTransfer machineTransfer,
       PeerClient peerClient) {
     this.loop = loop;
     this.random = random;
@@ -73,14 +81,18 @@
     this.membership = membership;
     this.machineTypes = machineTypes;
     this.pendingQueues = pendingQueues;
-    this.serviceLevelObjectives = objectives;
+    this.serviceLevelObjectives = serviceLevelObjectives;
     this.runtimeEstimates = runtimeEstimates;
     this.quotaTransfer = quotaTransfer;
-    this.machineTransfer = machines;
+    this.machineTransfer = machineTransfer;
     this.peerClient = peerClient;
   }
 
-  /** Requests what waiting jobs lack, unless requests were made just now. */
+  /**
+   * Requests the machines and quota that the entity's waiting jobs lack. Does nothing within {@link
+   * #REQUEST_INTERVAL_SECONDS} of this controller's previous requests, whichever entity they were
+   * for.
+   */
   public void requestMissingResources(OwnedEntity entity) {
     double nowSeconds = loop.monotonicSeconds();
     if (nowSeconds - lastRequestAtSeconds < REQUEST_INTERVAL_SECONDS) {
@@ -90,7 +102,7 @@
     Map<String, Integer> countByKind = new HashMap<>();
     boolean awaitingFirstReports = entity.hasUncertainMachine(nowSeconds);
     for (Job job : pendingQueues.inOrder(entity)) {
-      // Nothing is gathered for what fails wherever it goes.
+      // No resources are requested for jobs that fail wherever they run.
       if (job.unplacedCount() == 0
           || job.failureHistory().isSuspect()
           || (job.loadedFromStore() && awaitingFirstReports)) {
@@ -101,7 +113,7 @@
         addRequests(entity, job, nowSeconds, requests);
       }
     }
-    askedSelectedDonors.removeIf(id -> !entity.jobs().containsKey(id));
+    jobsThatAskedSelectedDonors.removeIf(id -> !entity.jobs().containsKey(id));
     if (!requests.isEmpty()) {
       lastRequestAtSeconds = nowSeconds;
       peerClient.askFor(entity.id(), requests);
@@ -109,13 +121,15 @@
     }
   }
 
+  /** Returns a key for jobs that compete for the same {@code MAX_REQUESTS_PER_KIND} requests. */
   private static String requestKind(Job job, double nowSeconds) {
     return String.join(
         " ",
         String.valueOf(job.spec().taskResources().gpus() > 0),
         String.valueOf(job.spec().shape()),
         String.valueOf(job.bestEffort()),
-        // Who asked in vain for long lets others of its kind ask beside it for a while.
+        // Puts jobs that have waited long without success into a kind of their own for every other
+        // turn, so that meanwhile they do not use up the requests of jobs like them.
         String.valueOf(job.mayHoldReservations(nowSeconds)));
   }
 
@@ -127,13 +141,16 @@
     if (allowedCount < waitingCount && job.mayHoldReservations(nowSeconds)) {
       addQuotaRequests(entity, job, quota, requests);
     }
-    // Best-effort work needs its part of the quota all the same, and in the end a machine of its
-    // own.
+    // Best-effort jobs need quota like any other job, but request machines only when starving.
     if (allowedCount > 0 && (!job.bestEffort() || job.isStarving(nowSeconds))) {
       requests.add(machineRequest(entity, job, Math.min(waitingCount, allowedCount)));
     }
   }
 
+  /**
+   * Claims unclaimed quota for the job or, if there is none, requests quota from other entities:
+   * the first time from selected entities, then from all of them.
+   */
   private void addQuotaRequests(
       OwnedEntity entity, Job job, Resources quota, List<ResourceRequest> requests) {
     Resources lacking =
@@ -141,8 +158,8 @@
     ResourceRequest requestToAll =
         ResourceRequest.forQuotaShare(job.spec(), lacking, job.arrivedAtMillis());
     if (quotaTransfer.claimUnclaimed(entity, job.spec().team(), lacking)) {
-      askedSelectedDonors.remove(job.spec().id());
-    } else if (askedSelectedDonors.add(job.spec().id())) {
+      jobsThatAskedSelectedDonors.remove(job.spec().id());
+    } else if (jobsThatAskedSelectedDonors.add(job.spec().id())) {
       requests.addAll(quotaTransfer.splitAmongDonors(requestToAll, entity.id()));
     } else {
       requests.add(requestToAll);
@@ -150,20 +167,21 @@
   }
 
   /**
-   * Machines for a job. A gang of one zone asks in the zone where it has the most room, for what is
-   * missing there: machines of several zones would lie idle in parts.
+   * Builds a request for machines for a job. A job that must run in one zone but may choose it
+   * requests only what is missing in the zone where it has the most free slots: with machines of
+   * several zones, some would stay idle.
    */
   private ResourceRequest machineRequest(OwnedEntity entity, Job job, int taskCount) {
     if (!job.spec().singleZone() || job.spec().zone() != null) {
       return buildMachineRequest(job, taskCount);
     }
     Map<String, Integer> slotsByZone = countSlotsByZone(entity, job);
-    String bestZone = chooseWidestZone(slotsByZone);
+    String bestZone = chooseZoneWithMostSlots(slotsByZone);
     int missingCount = Math.max(1, taskCount - slotsByZone.getOrDefault(bestZone, 0));
     return buildMachineRequest(job, missingCount).withZone(bestZone);
   }
 
-  /** The job's free task slots in each zone that has machine types large enough. */
+  /** Returns the free task slots for the job in each zone that offers large enough machines. */
   private Map<String, Integer> countSlotsByZone(OwnedEntity entity, Job job) {
     Map<String, Integer> slotsByZone = new HashMap<>();
     for (MachineType machineType : machineTypes.all()) {
@@ -184,8 +202,8 @@
     return slotsByZone;
   }
 
-  /** The zone with the most slots, a random one of several; empty if there is none. */
-  private String chooseWidestZone(Map<String, Integer> slotsByZone) {
+  /** Returns the zone with the most slots, a random one of equals; empty if there are no zones. */
+  private String chooseZoneWithMostSlots(Map<String, Integer> slotsByZone) {
     List<String> zones = new ArrayList<>(slotsByZone.keySet());
     Collections.shuffle(zones, random);
     String bestZone = "";
@@ -211,33 +229,36 @@
   }
 
   /**
-   * Handles requests of another entity, a peer's or one owned here too: what is idle goes there.
+   * Handles requests of another entity, whether a peer or this controller owns it, on behalf of all
+   * active owned entities. Does nothing if the recipient's row is unknown or this controller's
+   * lease is not valid.
    *
-   * @param recipient the entity that lacks something; nothing is done while its row is unknown
+   * @param recipient the entity that lacks resources
    */
   public void handleRequests(ControllerId recipient, List<ResourceRequest> requests) {
-    EntityRow target = clusterView.findEntityRow(recipient);
-    if (target == null || !membership.isLeaseValid()) {
+    EntityRow recipientRow = clusterView.findEntityRow(recipient);
+    if (recipientRow == null || !membership.isLeaseValid()) {
       return;
     }
     for (OwnedEntity donor : membership.ownedEntities()) {
       if (donor.isActive() && !donor.id().equals(recipient)) {
-        handleRequests(donor, target, requests);
+        handleRequests(donor, recipientRow, requests);
       }
     }
   }
 
-  private void handleRequests(OwnedEntity donor, EntityRow target, List<ResourceRequest> requests) {
-    // Summed up over all machines, so once for all requests.
-    Map<String, Resources> freeQuotas = new HashMap<>();
+  private void handleRequests(
+      OwnedEntity donor, EntityRow recipientRow, List<ResourceRequest> requests) {
+    // Available quota is a sum over all machines, so it is computed once for all requests.
+    Map<String, Resources> availableQuotaByTeam = new HashMap<>();
     for (ResourceRequest request : requests) {
       if (!request.isForDonor(donor.id())) {
         continue;
       }
       if (request.slice()) {
-        quotaTransfer.grant(donor, target.entity(), request);
+        quotaTransfer.grant(donor, recipientRow.entity(), request);
       } else {
-        machineTransfer.transferMachines(donor, target, request, freeQuotas);
+        machineTransfer.transferMachines(donor, recipientRow, request, availableQuotaByTeam);
       }
     }
   }
