--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -154,7 +154,7 @@
       boolean bestEffort = serviceLevelObjectives.isBestEffort(spec);
       entity.addJobIfAbsent(new Job(spec, arrivedAtMillis, arrivedSeconds, false, bestEffort));
       warmCapacity.recordArrival(spec, arrivedSeconds);
-      pendingQueues.jobsChanged(entity);
+      pendingQueues.onJobsChanged(entity);
     }
     LOG.info(
         "job {} accepted by entity {} version {}: {} tasks",
@@ -216,7 +216,7 @@
   }
 
   private void handleEndStored(OwnedEntity entity, Job job, JobStatus status) {
-    job.ended(status);
+    job.markFinished(status);
     knownJobs.recordFinished(
         new JobView(job.spec().id().value(), status, job.doneCount(), 0),
         entity.id(),
@@ -265,7 +265,8 @@
                       if (failure == null && view != null) {
                         cancelled.complete(view);
                       } else {
-                        cancelled.completeExceptionally(RequestUndecidedException.notStored());
+                        cancelled.completeExceptionally(
+                            RequestUndecidedException.possiblyNotStored());
                       }
                     }));
     return cancelled;
--- a/src/main/java/io/violetrail/api/JobRestorer.java
+++ b/src/main/java/io/violetrail/api/JobRestorer.java
@@ -64,7 +64,7 @@
             : null;
     if (storedJob != null) {
       restoreJob(entity, storedJob);
-      pendingQueues.jobsChanged(entity);
+      pendingQueues.onJobsChanged(entity);
     }
   }
 
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -29,14 +29,14 @@
    * the owner reported "running" after another controller had reported "cancelled" to the same
    * user. Callers that get null read the stored rows.
    */
-  public JobView knownView(JobId id) {
+  public JobView findKnownView(JobId id) {
     JobView finalView = knownJobs.findTerminalView(id);
     if (finalView != null || !membership.isLeaseValid()) {
       return finalView;
     }
     OwnedEntity entity = findEntityWithOpenJob(id);
     Job job = entity == null ? null : entity.jobs().get(id);
-    return job == null || job.isEndUndecided() ? null : job.toView();
+    return job == null || job.isFinalStatusUncertain() ? null : job.toView();
   }
 
   /** Returns the active owned entity at which the job is open, or null if there is none. */
--- a/src/main/java/io/violetrail/api/JobStateResolver.java
+++ b/src/main/java/io/violetrail/api/JobStateResolver.java
@@ -52,7 +52,7 @@
    *     fails if neither the owner nor the state service answers
    */
   CompletableFuture<JobView> resolve(JobId id) {
-    JobView localView = jobStates.knownView(id);
+    JobView localView = jobStates.findKnownView(id);
     if (localView != null) {
       return CompletableFuture.completedFuture(localView);
     }
@@ -103,7 +103,8 @@
         CompletableFuture.allOf(peerViews.toArray(CompletableFuture[]::new))
             .whenComplete(
                 (ignored, failure) ->
-                    firstView.completeExceptionally(PeerUnavailableException.noneKnows(id))),
+                    firstView.completeExceptionally(
+                        PeerUnavailableException.jobUnknownToLivePeers(id))),
         "wait for all peers' answers");
     return firstView;
   }
--- a/src/main/java/io/violetrail/api/KnownJobs.java
+++ b/src/main/java/io/violetrail/api/KnownJobs.java
@@ -17,7 +17,7 @@
 public final class KnownJobs {
   private static final int MAX_REMEMBERED_JOBS = 20_000;
 
-  private final Cache<JobId, KnownJob> finishedJobs =
+  private final Cache<JobId, FinishedOrNonexistentJob> finishedJobs =
       CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_JOBS).build();
 
   /** Final states reported by peers, which do not include the resources of the jobs' tasks. */
@@ -36,11 +36,12 @@
    * @param taskResources the resources of each task; {@link Resources#NONE} if the job does not
    *     exist
    */
-  public record KnownJob(JobView finalView, ControllerId entity, Resources taskResources) {}
+  public record FinishedOrNonexistentJob(
+      JobView finalView, ControllerId entity, Resources taskResources) {}
 
   /** Returns the final state of the job, or null if it is not known to have ended. */
   public JobView findTerminalView(JobId id) {
-    KnownJob knownJob = finishedJobs.getIfPresent(id);
+    FinishedOrNonexistentJob knownJob = finishedJobs.getIfPresent(id);
     return knownJob == null ? finishedViewsFromPeers.getIfPresent(id) : knownJob.finalView();
   }
 
@@ -52,7 +53,7 @@
   /**
    * Returns the job if its rows have shown that it has ended or does not exist, or null otherwise.
    */
-  KnownJob findFinishedOrNonexistent(JobId id) {
+  FinishedOrNonexistentJob findFinishedOrNonexistent(JobId id) {
     return finishedJobs.getIfPresent(id);
   }
 
@@ -74,12 +75,13 @@
 
   /** Records the stored end of a job. */
   void recordFinished(JobView view, ControllerId entity, Resources taskResources) {
-    finishedJobs.put(new JobId(view.id()), new KnownJob(view, entity, taskResources));
+    finishedJobs.put(
+        new JobId(view.id()), new FinishedOrNonexistentJob(view, entity, taskResources));
     entityByJob.put(new JobId(view.id()), entity);
   }
 
   /** Records that a job whose task was reported by a worker of the entity has no row. */
   void recordNonexistent(JobId id, ControllerId entity) {
-    finishedJobs.put(id, new KnownJob(null, entity, Resources.NONE));
+    finishedJobs.put(id, new FinishedOrNonexistentJob(null, entity, Resources.NONE));
   }
 }
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -75,7 +75,7 @@
   }
 
   private static double countUnresponsiveMachines(OwnedEntity entity) {
-    return entity.machines().values().stream().filter(machine -> machine.unresponsive()).count();
+    return entity.machines().values().stream().filter(machine -> machine.isUnresponsive()).count();
   }
 
   private static double countPlacedTasks(OwnedEntity entity) {
@@ -99,7 +99,7 @@
           evidenceKind.name(),
           () -> evidence.startElsewhereCount(evidenceKind));
     }
-    registerGauge("leases.outlived", evidence, EvidenceLog::outlivedLeaseCount);
+    registerGauge("leases.outlived", evidence, EvidenceLog::reportAfterLeaseExpiryCount);
     registerGauge("evidence.lines.left.out", evidence, EvidenceLog::droppedLineCount);
   }
 
--- a/src/main/java/io/violetrail/api/Readiness.java
+++ b/src/main/java/io/violetrail/api/Readiness.java
@@ -30,7 +30,7 @@
     OwnedEntity homeEntity = membership.findHomeEntity();
     return homeEntity != null
         && homeEntity.isActive()
-        && membership.mayKeepWorkersAlive()
+        && membership.mayRenewWorkerLeases()
         && !machineTypes.isEmpty();
   }
 
--- a/src/main/java/io/violetrail/api/UnknownTaskLookup.java
+++ b/src/main/java/io/violetrail/api/UnknownTaskLookup.java
@@ -3,7 +3,7 @@
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
 import io.violetrail.api.JobLookup.LookupResult;
-import io.violetrail.api.KnownJobs.KnownJob;
+import io.violetrail.api.KnownJobs.FinishedOrNonexistentJob;
 import io.violetrail.model.JobId;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
@@ -50,8 +50,8 @@
    * have ended or not to exist. In that case a lookup is started, unless the job was looked up just
    * now or too many lookups are in flight.
    */
-  public KnownJob findKnownJob(OwnedEntity ownedEntity, JobId id) {
-    KnownJob knownJob = knownJobs.findFinishedOrNonexistent(id);
+  public FinishedOrNonexistentJob findFinishedOrNonexistentJob(OwnedEntity ownedEntity, JobId id) {
+    FinishedOrNonexistentJob knownJob = knownJobs.findFinishedOrNonexistent(id);
     if (knownJob != null) {
       return knownJob;
     }
--- a/src/main/java/io/violetrail/calendar/ScheduleQueries.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleQueries.java
@@ -115,7 +115,7 @@
     }
     Futures.logFailure(
         store
-            .pageForUser(
+            .listPageForUser(
                 ScheduleRow.KEY_PREFIX,
                 after.isEmpty() ? "" : ScheduleRow.KEY_PREFIX + after,
                 PAGE_SIZE)
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -96,7 +96,7 @@
               try {
                 return CloudMessages.parseMachineTypes(Cbor.parse(response.body()));
               } catch (MalformedMessageException exception) {
-                throw RequestUndecidedException.unclearAnswer(Receiver.CLOUD);
+                throw RequestUndecidedException.malformedReply(Receiver.CLOUD);
               }
             });
   }
@@ -167,7 +167,7 @@
                     lastListed,
                     CloudMessages.isTruncated(message) && !machines.isEmpty());
               } catch (MalformedMessageException exception) {
-                throw RequestUndecidedException.unclearAnswer(Receiver.CLOUD);
+                throw RequestUndecidedException.malformedReply(Receiver.CLOUD);
               }
             });
   }
@@ -175,7 +175,7 @@
   /** The outcome of a request to return machines. */
   public enum ReturnOutcome {
     /** The machines are certainly terminated. */
-    GONE,
+    TERMINATED,
     /** The request was refused and will not be carried out later: the machines keep running. */
     REFUSED,
     /** The request may have been carried out, or may be later. */
@@ -196,7 +196,7 @@
 
   private static ReturnOutcome parseReturn(HttpClient.ClientReply response) {
     if (response.isOk()) {
-      return ReturnOutcome.GONE;
+      return ReturnOutcome.TERMINATED;
     }
     return response.status() == TOO_MANY_REQUESTS || response.status() == SERVICE_UNAVAILABLE
         ? ReturnOutcome.REFUSED
@@ -229,7 +229,7 @@
         .thenApply(
             response -> {
               if (!response.isOk()) {
-                throw RequestRejectedException.answered(Receiver.CLOUD, response.status());
+                throw RequestRejectedException.repliedWithStatus(Receiver.CLOUD, response.status());
               }
               return response;
             });
--- a/src/main/java/io/violetrail/controller/Controller.java
+++ b/src/main/java/io/violetrail/controller/Controller.java
@@ -525,7 +525,7 @@
       double ownedSeconds = loop.monotonicSeconds() - entity.acquiredAtSeconds();
       if (!entity.acquiredGracefully()
           && ownedSeconds < leaseTiming.ttlSeconds() + leaseTiming.keepAliveGraceSeconds()) {
-        peerClient.announce(entity);
+        peerClient.announceOwnership(entity);
       }
     }
   }
@@ -533,13 +533,13 @@
   private final class MembershipListener implements Membership.Listener {
     @Override
     public void onEntityAcquired(OwnedEntity entity) {
-      peerClient.announce(membership.ownedEntities());
+      peerClient.announceOwnership(membership.ownedEntities());
       entityRecovery.recover(entity);
     }
 
     @Override
     public void onEntityLost(OwnedEntity entity) {
-      peerClient.announce(membership.ownedEntities());
+      peerClient.announceOwnership(membership.ownedEntities());
     }
 
     /** Also adds machines that were transferred to an entity owned by this controller. */
@@ -550,13 +550,13 @@
     }
 
     @Override
-    public boolean isCutOffFromWorkers() {
+    public boolean isPartitionedFromWorkers() {
       return workerReachability.isPartitionedFromWorkers();
     }
 
     @Override
     public void requestHandback(ControllerId owner) {
-      peerClient.askBack(owner);
+      peerClient.requestHandback(owner);
     }
   }
 }
--- a/src/main/java/io/violetrail/errors/PeerUnavailableException.java
+++ b/src/main/java/io/violetrail/errors/PeerUnavailableException.java
@@ -37,7 +37,7 @@
   }
 
   /** Creates a failure for a job whose state none of the live peers has reported. */
-  public static PeerUnavailableException noneKnows(JobId jobId) {
+  public static PeerUnavailableException jobUnknownToLivePeers(JobId jobId) {
     return new PeerUnavailableException(Reason.NONE_KNOWS_JOB, "no live peer knows job " + jobId);
   }
 
--- a/src/main/java/io/violetrail/errors/RequestRejectedException.java
+++ b/src/main/java/io/violetrail/errors/RequestRejectedException.java
@@ -21,7 +21,7 @@
   }
 
   /** Creates a failure for a request that the receiver answered with this status. */
-  public static RequestRejectedException answered(Receiver receiver, int httpStatus) {
+  public static RequestRejectedException repliedWithStatus(Receiver receiver, int httpStatus) {
     String subject =
         receiver == Receiver.STATE_STORE ? receiver.label() : "the " + receiver.label();
     return new RequestRejectedException(
@@ -32,7 +32,7 @@
    * Creates a failure for a transaction that the state service answered with a status that the
    * protocol does not define for it.
    */
-  public static RequestRejectedException transactionAnswered(int httpStatus) {
+  public static RequestRejectedException transactionRepliedWithStatus(int httpStatus) {
     return new RequestRejectedException(
         Receiver.STATE_STORE,
         httpStatus,
@@ -43,7 +43,7 @@
    * Creates a failure for a listing that the state service answered with a status that the protocol
    * does not define for it.
    */
-  public static RequestRejectedException listingAnswered(int httpStatus) {
+  public static RequestRejectedException listingRepliedWithStatus(int httpStatus) {
     return new RequestRejectedException(
         Receiver.STATE_STORE,
         httpStatus,
--- a/src/main/java/io/violetrail/errors/RequestUndecidedException.java
+++ b/src/main/java/io/violetrail/errors/RequestUndecidedException.java
@@ -15,13 +15,13 @@
    * Creates a failure for a request to which the receiver did not reply, or that could not reach
    * it.
    */
-  public static RequestUndecidedException noAnswer(Receiver receiver, Throwable failure) {
+  public static RequestUndecidedException noReply(Receiver receiver, Throwable failure) {
     return new RequestUndecidedException(
         "no reply from the " + receiver.label() + ": " + failure.getMessage());
   }
 
   /** Creates a failure for a reply that cannot be parsed. */
-  public static RequestUndecidedException unclearAnswer(Receiver receiver) {
+  public static RequestUndecidedException malformedReply(Receiver receiver) {
     return new RequestUndecidedException("the " + receiver.label() + "'s reply is malformed");
   }
 
@@ -29,7 +29,7 @@
    * Creates a failure for a change that was made in this controller, but is not certain to be
    * stored.
    */
-  public static RequestUndecidedException notStored() {
+  public static RequestUndecidedException possiblyNotStored() {
     return new RequestUndecidedException("the change is not certain to be stored");
   }
 
--- a/src/main/java/io/violetrail/evidence/EvidenceLog.java
+++ b/src/main/java/io/violetrail/evidence/EvidenceLog.java
@@ -89,7 +89,7 @@
    * Records a report in a session whose lease was considered expired. Either the report was delayed
    * in the network, or another controller has renewed the lease.
    */
-  public void recordOutlivedLease(MachineId worker, long session, int stoppedTaskCount) {
+  public void recordReportAfterLeaseExpiry(MachineId worker, long session, int stoppedTaskCount) {
     outlivedLeaseCount++;
     writeLine(
         "worker=%s session=%d reports after its lease was counted as over tasks_halted=%d"
@@ -121,7 +121,7 @@
     return droppedLineCount;
   }
 
-  public long outlivedLeaseCount() {
+  public long reportAfterLeaseExpiryCount() {
     return outlivedLeaseCount;
   }
 }
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -130,7 +130,7 @@
    * Stores that a machine has sent its first report. No task may be launched on it before that is
    * stored.
    */
-  public void markUp(OwnedEntity entity, Machine machine) {
+  public void recordFirstReport(OwnedEntity entity, Machine machine) {
     if (mayWriteRow(entity, machine)) {
       writeRow(entity, machine, machine.row().withReported());
     }
@@ -140,7 +140,7 @@
    * Raises the machine's fencing token above the higher one that its worker has seen, since the
    * worker rejects commands with a lower one.
    */
-  public void raiseTerm(OwnedEntity entity, Machine machine, Version seenToken) {
+  public void raiseFencingToken(OwnedEntity entity, Machine machine, Version seenToken) {
     if (mayWriteRow(entity, machine)) {
       Version newTerm = seenToken.nextOwnedBy(entity.row().version().ownerIndex());
       LOG.info(
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -136,7 +136,7 @@
   }
 
   /** Returns whether the machine is draining: its tasks are checkpointed, and none are started. */
-  public boolean draining() {
+  public boolean isDraining() {
     return lifecycle.isDraining();
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** Returns whether the machine is being returned to the provider. */
-  public boolean returning() {
+  public boolean isReturning() {
     return lifecycle.isReturning();
   }
 
@@ -235,7 +235,7 @@
    * @param preemptionNoticeSeconds seconds until the provider preempts the machine; null without a
    *     notice
    */
-  public void markReconciled(Double preemptionNoticeSeconds) {
+  public void recordReconciledStatus(Double preemptionNoticeSeconds) {
     worker.recordStatus(preemptionNoticeSeconds);
   }
 
@@ -292,8 +292,8 @@
   }
 
   /** Returns whether the worker's heartbeats have stopped arriving. */
-  public boolean unresponsive() {
-    return worker.unresponsive();
+  public boolean isUnresponsive() {
+    return worker.isUnresponsive();
   }
 
   /** Records that the worker's heartbeats have stopped arriving. */
@@ -380,7 +380,7 @@
   }
 
   /** Returns whether the machine is quarantined because tasks keep failing on it. */
-  public boolean quarantined() {
+  public boolean isQuarantined() {
     return quarantined;
   }
 
@@ -410,7 +410,7 @@
   }
 
   /** Adds the given number of seconds at the present utilization to the use. */
-  public void countUse(double seconds) {
+  public void recordUse(double seconds) {
     fullUseSeconds += seconds * utilization();
   }
 
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -142,7 +142,7 @@
           && machine.hasOnlyBestEffortTasks()
           && isTransferable(machine, request)) {
         uncoveredTasks -= taskSlots;
-        drainer.clearBestEffortWork(entity, machine);
+        drainer.evictBestEffortTasks(entity, machine);
       }
     }
     return uncoveredTasks;
@@ -214,7 +214,7 @@
                 request.tasks());
     return machine.isSchedulable()
         && priceRatio <= request.worth()
-        && machine.type().suitsAcceleratorNeed(request.requestedAmounts())
+        && machine.type().avoidsIdleAccelerators(request.requestedAmounts())
         && request.allowsMachine(machine.row().type(), machine.row().zone(), machine.row().spot());
   }
 
@@ -306,8 +306,8 @@
                         newRow.entity(),
                         newRow.term());
                     entity.removeMachine(machine);
-                    membership.rowsChanged();
-                    longPolls.answer(machine.id());
+                    membership.notifyRowsChanged();
+                    longPolls.sendDelayedReply(machine.id());
                   } else {
                     entityMachines.verifyOwner(entity, machine);
                   }
--- a/src/main/java/io/violetrail/fleet/OfferingSelector.java
+++ b/src/main/java/io/violetrail/fleet/OfferingSelector.java
@@ -97,7 +97,7 @@
    * long and were then not placed there; that was one in seven hours of a day's cost.
    */
   boolean suitsAcceleratorNeed(Job job, MachineType type) {
-    return type.suitsAcceleratorNeed(job.spec().taskResources()) || !acceleratorsWanted;
+    return type.avoidsIdleAccelerators(job.spec().taskResources()) || !acceleratorsWanted;
   }
 
   /** Returns the hourly price per task, raised for the time of boot and image fetch. */
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -85,7 +85,7 @@
     List<Machine> machinesToReturn = new ArrayList<>();
     Map<JobSpec, Integer> surplusSlotsByJob = null;
     for (Machine machine : entity.machines().values()) {
-      if (machine.returning()) {
+      if (machine.isReturning()) {
         machinesToReturn.add(machine);
       } else if (isUnneeded(machine, nowSeconds)) {
         if (surplusSlotsByJob == null) {
@@ -126,7 +126,7 @@
                 (answer, failure) -> {
                   returnInFlight = false;
                   switch (failure == null ? answer : ReturnOutcome.UNCERTAIN) {
-                    case GONE -> batch.forEach(machine -> removeReturned(entity, machine));
+                    case TERMINATED -> batch.forEach(machine -> removeReturned(entity, machine));
                     case REFUSED -> batch.forEach(Machine::cancelReturn);
                     default -> batch.forEach(Machine::markReturnUncertain);
                   }
@@ -137,8 +137,8 @@
   private static boolean isIdle(Machine machine) {
     return machine.row().hasReported()
         && machine.tasksKnown()
-        && !machine.unresponsive()
-        && !machine.draining();
+        && !machine.isUnresponsive()
+        && !machine.isDraining();
   }
 
   /**
@@ -198,12 +198,12 @@
       // answer to its return settles that.
       return true;
     }
-    if (machine.unresponsive()) {
+    if (machine.isUnresponsive()) {
       return machine.isEmpty()
           && nowSeconds - machine.lastHeartbeatAtSeconds()
               > leaseTiming.tasksGoneAfterReplySeconds() + UNRESPONSIVE_MARGIN_SECONDS;
     }
-    if (machine.draining()) {
+    if (machine.isDraining()) {
       return machine.isEmpty();
     }
     return machine.tasksKnown()
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -120,7 +120,7 @@
   private void addMachines(OwnedEntity entity, ScaleOutPlan plan, double nowSeconds) {
     int remainingReplacements = maxReplacedMachines(entity);
     for (Machine machine : entity.machines().values()) {
-      if (!machine.row().hasReported() && !machine.returning()) {
+      if (!machine.row().hasReported() && !machine.isReturning()) {
         if (remainingReplacements > 0
             && bootTimes.isLate(machine.type(), machine.rentedAtSeconds(), nowSeconds)) {
           remainingReplacements--;
@@ -151,7 +151,7 @@
       OwnedEntity entity, ScaleOutPlan plan, boolean awaitingFirstReports, double nowSeconds) {
     Map<String, Resources> remainingQuotas = new HashMap<>();
     List<Job> bestEffortJobs = new ArrayList<>();
-    for (Job job : pendingQueues.inOrder(entity)) {
+    for (Job job : pendingQueues.orderedJobs(entity)) {
       if (job.bestEffort()) {
         bestEffortJobs.add(job);
         continue;
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
@@ -184,7 +184,7 @@
         machines);
     if (machines.size() < request.count()) {
       markSoldOut(offering);
-      peerClient.soldOut(offering.type(), offering.zone(), offering.spot());
+      peerClient.announceSoldOut(offering.type(), offering.zone(), offering.spot());
     }
     request.startRecording();
     recordMachines(request, machines);
@@ -215,7 +215,7 @@
             .whenComplete(
                 (ignored, failure) -> {
                   request.markRecorded();
-                  membership.rowsChanged();
+                  membership.notifyRowsChanged();
                   if (entity.phase() == OwnedEntity.Phase.LOST) {
                     requestsByName.remove(request.name());
                   } else {
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -101,7 +101,7 @@
     List<ResourceRequest> requests = new ArrayList<>();
     Map<String, Integer> countByKind = new HashMap<>();
     boolean awaitingFirstReports = entity.hasUncertainMachine(nowSeconds);
-    for (Job job : pendingQueues.inOrder(entity)) {
+    for (Job job : pendingQueues.orderedJobs(entity)) {
       // No resources are requested for jobs that fail wherever they run.
       if (job.unplacedCount() == 0
           || job.failureHistory().isSuspect()
@@ -116,7 +116,7 @@
     jobsThatAskedSelectedDonors.removeIf(id -> !entity.jobs().containsKey(id));
     if (!requests.isEmpty()) {
       lastRequestAtSeconds = nowSeconds;
-      peerClient.askFor(entity.id(), requests);
+      peerClient.requestResources(entity.id(), requests);
       handleRequests(entity.id(), requests);
     }
   }
@@ -191,7 +191,7 @@
     }
     for (Machine machine : entity.machines().values()) {
       if (machine.isSchedulable()
-          && machine.type().suitsAcceleratorNeed(job.spec().taskResources())
+          && machine.type().avoidsIdleAccelerators(job.spec().taskResources())
           && machine.isAllowedFor(job.spec())) {
         slotsByZone.merge(
             machine.row().zone(),
@@ -252,7 +252,7 @@
     // Available quota is a sum over all machines, so it is computed once for all requests.
     Map<String, Resources> availableQuotaByTeam = new HashMap<>();
     for (ResourceRequest request : requests) {
-      if (!request.isForDonor(donor.id())) {
+      if (!request.asksDonor(donor.id())) {
         continue;
       }
       if (request.slice()) {
--- a/src/main/java/io/violetrail/fleet/WarmCapacity.java
+++ b/src/main/java/io/violetrail/fleet/WarmCapacity.java
@@ -144,7 +144,7 @@
     int slots = 0;
     for (Machine machine : machines) {
       boolean usable =
-          (machine.isSchedulable() || (!machine.row().hasReported() && !machine.returning()))
+          (machine.isSchedulable() || (!machine.row().hasReported() && !machine.isReturning()))
               && machine.isAllowedFor(job);
       if (usable
           && prices.isWorthwhile(
--- a/src/main/java/io/violetrail/fleet/WorkerStatus.java
+++ b/src/main/java/io/violetrail/fleet/WorkerStatus.java
@@ -125,7 +125,7 @@
     return preemptionNoticeSeconds;
   }
 
-  boolean unresponsive() {
+  boolean isUnresponsive() {
     return unresponsive;
   }
 
--- a/src/main/java/io/violetrail/kubernetes/ObjectQueries.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectQueries.java
@@ -70,7 +70,7 @@
     }
     Futures.logFailure(
         store
-            .pageForUser(prefix, options.continueAfter(), options.limit())
+            .listPageForUser(prefix, options.continueAfter(), options.limit())
             .whenComplete(
                 (page, failure) -> {
                   if (failure != null) {
@@ -113,7 +113,7 @@
     String prefix = KubernetesObject.keyPrefix(kind, namespace);
     Futures.logFailure(
         store
-            .pageForUser(prefix, "", 2 * ObjectCreator.MAX_OBJECTS)
+            .listPageForUser(prefix, "", 2 * ObjectCreator.MAX_OBJECTS)
             .whenComplete(
                 (page, failure) -> {
                   if (failure != null) {
--- a/src/main/java/io/violetrail/kubernetes/PodLister.java
+++ b/src/main/java/io/violetrail/kubernetes/PodLister.java
@@ -145,7 +145,8 @@
             reply -> {
               try {
                 if (!reply.isOk()) {
-                  throw RequestRejectedException.answered(Receiver.TASK_OWNER, reply.status());
+                  throw RequestRejectedException.repliedWithStatus(
+                      Receiver.TASK_OWNER, reply.status());
                 }
                 List<ObjectNode> pods = new ArrayList<>();
                 KubernetesJson.parse(reply.body())
@@ -155,7 +156,7 @@
                     p -> !options.labelSelector().matches(p.path("metadata").get("labels")));
                 return pods;
               } catch (KubernetesJson.MalformedRequestException exception) {
-                throw RequestUndecidedException.unclearAnswer(Receiver.TASK_OWNER);
+                throw RequestUndecidedException.malformedReply(Receiver.TASK_OWNER);
               }
             });
   }
--- a/src/main/java/io/violetrail/model/MachineType.java
+++ b/src/main/java/io/violetrail/model/MachineType.java
@@ -26,7 +26,7 @@
    * Returns whether a task may use this type without leaving accelerators idle: the type has none,
    * or the task uses some.
    */
-  public boolean suitsAcceleratorNeed(Resources task) {
+  public boolean avoidsIdleAccelerators(Resources task) {
     return capacity.gpus() == 0 || task.gpus() > 0;
   }
 }
--- a/src/main/java/io/violetrail/model/Version.java
+++ b/src/main/java/io/violetrail/model/Version.java
@@ -51,7 +51,7 @@
   }
 
   /** Returns whether this version is distinct from "none" and so may be sent to workers. */
-  public boolean isToken() {
+  public boolean isFencingToken() {
     return value >= INCREMENT;
   }
 
@@ -61,8 +61,8 @@
    * @throws IllegalArgumentException if this version is not a valid fencing token, which is a fault
    *     of the program
    */
-  public Version requireToken() {
-    if (!isToken()) {
+  public Version requireFencingToken() {
+    if (!isFencingToken()) {
       throw new IllegalArgumentException(
           "version " + value + " is not a fencing token: must be at least " + INCREMENT);
     }
--- a/src/main/java/io/violetrail/ownership/EntityFailover.java
+++ b/src/main/java/io/violetrail/ownership/EntityFailover.java
@@ -144,7 +144,7 @@
    * wrote the row, its version may be too low to serve as a fencing token.
    */
   private void resumeOwnership(EntityRow row) {
-    if (row.acquiredGracefully() && row.version().isToken()) {
+    if (row.acquiredGracefully() && row.version().isFencingToken()) {
       ownedEntities.startOwning(row, true);
     } else {
       acquireOwnership(row, row.acquiredGracefully(), settings.self());
@@ -152,7 +152,7 @@
   }
 
   private void requestHandback(ControllerId owner) {
-    if (listener.isCutOffFromWorkers()
+    if (listener.isPartitionedFromWorkers()
         || loop.monotonicSeconds() - handbackRequestedAtSeconds
             <= HANDBACK_REQUEST_INTERVAL_SECONDS) {
       return;
@@ -163,7 +163,7 @@
 
   /** Returns whether this controller may now try to take over the entities of an absent owner. */
   private boolean isTurnToTakeOver(ControllerId owner) {
-    if (listener.isCutOffFromWorkers() && clusterView.aliveControllerCount() > 1) {
+    if (listener.isPartitionedFromWorkers() && clusterView.aliveControllerCount() > 1) {
       return false;
     }
     double nowSeconds = loop.monotonicSeconds();
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -39,7 +39,7 @@
      * Returns whether this controller is partitioned from its workers. Other controllers should
      * then own the entities.
      */
-    boolean isCutOffFromWorkers();
+    boolean isPartitionedFromWorkers();
 
     /** Asks the current owner of this controller's home entity to hand it back. */
     void requestHandback(ControllerId owner);
@@ -133,7 +133,7 @@
    * Returns whether workers' leases may be renewed: the controller's own lease is valid, or has
    * been uncertain for less than the keep-alive grace period.
    */
-  public boolean mayKeepWorkersAlive() {
+  public boolean mayRenewWorkerLeases() {
     return lease.isWithinKeepAliveGrace();
   }
 
@@ -158,7 +158,7 @@
   }
 
   /** Notifies the listener that this controller's own write has changed common rows. */
-  public void rowsChanged() {
+  public void notifyRowsChanged() {
     listener.onRowsChanged();
   }
 
@@ -183,7 +183,7 @@
    * Starts to hand an entity over to another controller, if the entity is active and both
    * controllers' leases are valid. No task is launched for it once the handover has started.
    */
-  public void handBack(OwnedEntity entity, ControllerId newOwner) {
+  public void handOver(OwnedEntity entity, ControllerId newOwner) {
     handover.handOver(entity, newOwner);
   }
 
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -89,7 +89,7 @@
    * @throws IllegalArgumentException if the row's version is too low to serve as a fencing token
    */
   public OwnedEntity(EntityRow row, boolean acquiredGracefully, double nowSeconds) {
-    row.version().requireToken();
+    row.version().requireFencingToken();
     this.row = row;
     this.acquiredGracefully = acquiredGracefully;
     this.acquiredAtSeconds = nowSeconds;
@@ -280,7 +280,7 @@
   }
 
   /** Returns whether any placed task has a lower priority than the given one. */
-  public boolean hasPlacedTaskBelow(Priority priority) {
+  public boolean hasPlacedTaskOfLowerPriority(Priority priority) {
     return placementUsage.hasTaskOfLowerPriority(priority);
   }
 
--- a/src/main/java/io/violetrail/ownership/PlacementUsage.java
+++ b/src/main/java/io/violetrail/ownership/PlacementUsage.java
@@ -61,7 +61,7 @@
   }
 
   private void count(TaskPlacement placement, int delta) {
-    placement.setCounted(delta > 0);
+    placement.setCountedAsUsed(delta > 0);
     placedCountByPriority[placement.job().spec().priority().ordinal()] += delta;
     usageByTeam
         .computeIfAbsent(placement.job().spec().team(), team -> new TeamUsage())
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -112,7 +112,7 @@
   }
 
   /** Asks the current owner of this controller's own entity to hand it back. */
-  public void askBack(ControllerId owner) {
+  public void requestHandback(ControllerId owner) {
     Futures.logFailure(
         call(
             owner,
@@ -125,12 +125,12 @@
    * Announces the entities that are owned here to all peers, so that a former owner whose lease is
    * uncertain stops at once.
    */
-  public void announce(Collection<OwnedEntity> entities) {
-    entities.forEach(this::announce);
+  public void announceOwnership(Collection<OwnedEntity> entities) {
+    entities.forEach(this::announceOwnership);
   }
 
   /** Announces one entity that is owned here to all peers. */
-  public void announce(OwnedEntity entity) {
+  public void announceOwnership(OwnedEntity entity) {
     PeerRequest announcement =
         newRequest(PeerRequestKind.MOVED, entity.id().value(), entity.row().version().value());
     settings
@@ -144,7 +144,7 @@
   }
 
   /** Asks all live peers for machines or quota shares that an entity owned here lacks. */
-  public void askFor(ControllerId entity, List<ResourceRequest> requests) {
+  public void requestResources(ControllerId entity, List<ResourceRequest> requests) {
     callLivePeers(
         new PeerRequest(
             PeerRequestKind.RESOURCES,
@@ -158,7 +158,7 @@
    * Tells all live peers that the cloud has no machines of this offering for now, which saves them
    * a call to the cloud.
    */
-  public void soldOut(String type, String zone, boolean spot) {
+  public void announceSoldOut(String type, String zone, boolean spot) {
     callLivePeers(newRequest(PeerRequestKind.SOLD_OUT, type + " " + zone + " " + spot, 0));
   }
 
@@ -192,12 +192,12 @@
 
   private PeerResponse decode(HttpClient.ClientReply reply) {
     if (!reply.isOk()) {
-      throw RequestRejectedException.answered(Receiver.PEER, reply.status());
+      throw RequestRejectedException.repliedWithStatus(Receiver.PEER, reply.status());
     }
     try {
       return codec.decode(reply.body(), PeerResponse.class);
     } catch (KryoException exception) {
-      throw RequestUndecidedException.unclearAnswer(Receiver.PEER);
+      throw RequestUndecidedException.malformedReply(Receiver.PEER);
     }
   }
 }
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -124,7 +124,7 @@
   private void handOver(PeerRequest request) {
     OwnedEntity entity = membership.findOwnedEntity(new ControllerId(request.subject()));
     if (entity != null && request.subject().equals(request.from())) {
-      membership.handBack(entity, new ControllerId(request.from()));
+      membership.handOver(entity, new ControllerId(request.from()));
     }
   }
 
@@ -146,7 +146,7 @@
     ArrayList<JobViewMessage> knownViews = new ArrayList<>();
     for (String idText : Splitter.on(' ').limit(JobQueryBatcher.MAX_JOBS_PER_MESSAGE).split(ids)) {
       JobId id = new JobId(idText);
-      JobView view = jobStates.knownView(id);
+      JobView view = jobStates.findKnownView(id);
       if (view != null) {
         knownViews.add(JobViewMessage.of(view, knownJobs.findEntityOf(id)));
       }
--- a/src/main/java/io/violetrail/peer/ResourceRequest.java
+++ b/src/main/java/io/violetrail/peer/ResourceRequest.java
@@ -105,7 +105,7 @@
   }
 
   /** Returns whether {@code entity} is asked. */
-  public boolean isForDonor(ControllerId entity) {
+  public boolean asksDonor(ControllerId entity) {
     return donor.isEmpty() || donor.equals(entity.value());
   }
 
--- a/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
+++ b/src/main/java/io/violetrail/scheduling/EntityMaintenance.java
@@ -72,7 +72,7 @@
       jobLifecycle.handleProgress(entity, job);
     }
     jobLifecycle.flushProgress(entity);
-    if (!pendingQueues.inOrder(entity).isEmpty()) {
+    if (!pendingQueues.orderedJobs(entity).isEmpty()) {
       schedulingLoop.requestPass();
     }
     checkMachinesReconciled(entity, nowSeconds);
--- a/src/main/java/io/violetrail/scheduling/FailureAttribution.java
+++ b/src/main/java/io/violetrail/scheduling/FailureAttribution.java
@@ -108,12 +108,12 @@
       }
     }
     boolean quarantined = evidence >= QUARANTINE_EVIDENCE - ROUNDING_TOLERANCE;
-    if (quarantined && !machine.quarantined()) {
+    if (quarantined && !machine.isQuarantined()) {
       LOG.info(
           "machine {} quarantined: it fails jobs that succeed elsewhere, or several other jobs",
           machine.id());
       machine.startDraining();
-    } else if (!quarantined && machine.quarantined() && !machine.returning()) {
+    } else if (!quarantined && machine.isQuarantined() && !machine.isReturning()) {
       LOG.info(
           "machine {} no longer quarantined: the jobs that failed there fail on every machine",
           machine.id());
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -172,7 +172,7 @@
   }
 
   /** Moves the job to {@link Phase#FINISHED}: its final status and all done tasks are stored. */
-  public void ended(JobStatus status) {
+  public void markFinished(JobStatus status) {
     phase = Phase.FINISHED;
     finalStatus = status;
     tasks.markAllStored();
@@ -182,7 +182,7 @@
    * Returns whether the final status is being written and the outcome of the write is unknown. It
    * may be stored already, and other controllers may have read it.
    */
-  public boolean isEndUndecided() {
+  public boolean isFinalStatusUncertain() {
     return phase == Phase.CLOSING || phase == Phase.CANCELLING;
   }
 
--- a/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
+++ b/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
@@ -120,7 +120,7 @@
   int countFailedMachinesNotQuarantined() {
     int count = 0;
     for (Machine machine : failedMachinesById.values()) {
-      count += machine.quarantined() ? 0 : 1;
+      count += machine.isQuarantined() ? 0 : 1;
     }
     return count;
   }
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -29,7 +29,7 @@
    * machines.
    */
   public void drain(Machine machine) {
-    if (machine.preemptionNoticeSeconds() == null && !machine.draining()) {
+    if (machine.preemptionNoticeSeconds() == null && !machine.isDraining()) {
       return;
     }
     for (TaskPlacement placement : List.copyOf(machine.placements().values())) {
@@ -42,7 +42,7 @@
             .job()
             .placements()
             .forEach(gangPlacement -> gangPlacement.requestStop(spec.checkpointSaveSeconds()));
-      } else if (spec.checkpointIntervalSeconds() > 0 || machine.draining()) {
+      } else if (spec.checkpointIntervalSeconds() > 0 || machine.isDraining()) {
         placement.requestStop(spec.checkpointSaveSeconds());
       }
     }
@@ -53,7 +53,7 @@
    * until the grace period and {@link Preemption#RESERVATION_SECONDS} are over. Does nothing if an
    * earlier call still has this effect.
    */
-  public void clearBestEffortWork(OwnedEntity entity, Machine machine) {
+  public void evictBestEffortTasks(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
     if (nowSeconds < machine.bestEffortBarredUntilSeconds()) {
       return;
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -60,8 +60,8 @@
     if (!machine.row().hasReported()) {
       return;
     }
-    machine.countUse(periodSeconds);
-    if (!machine.unresponsive()
+    machine.recordUse(periodSeconds);
+    if (!machine.isUnresponsive()
         && nowSeconds - machine.lastHeartbeatAtSeconds() > unresponsiveAfterSeconds()) {
       markUnresponsive(entity, machine, nowSeconds);
     }
@@ -73,7 +73,7 @@
           nowSeconds + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
       machine.extendUnreportedTasksUntil(leaseKeptUntilSeconds);
     }
-    if (machine.unresponsive()
+    if (machine.isUnresponsive()
         && isLeaseExpired(machine, nowSeconds)
         && machine.firstValidSession() <= machine.lastSession()) {
       expireLease(entity, machine, nowSeconds);
--- a/src/main/java/io/violetrail/scheduling/PendingQueues.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueues.java
@@ -33,7 +33,7 @@
   }
 
   /** Returns the open jobs of the entity that have unplaced tasks, the most urgent first. */
-  public List<Job> inOrder(OwnedEntity entity) {
+  public List<Job> orderedJobs(OwnedEntity entity) {
     return queues
         .computeIfAbsent(entity, owned -> new PendingQueue(owned, objectives, runtimeEstimates))
         .orderedJobs(loop.monotonicSeconds());
@@ -43,7 +43,7 @@
    * Discards the cached order and requests a scheduling pass. To be called when a job has arrived
    * or tasks are pending again.
    */
-  public void jobsChanged(OwnedEntity entity) {
+  public void onJobsChanged(OwnedEntity entity) {
     PendingQueue queue = queues.get(entity);
     if (queue != null) {
       queue.invalidateOrder();
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -60,7 +60,8 @@
    * task.
    */
   void preemptFor(OwnedEntity entity, Job job, double nowSeconds) {
-    if (!job.mayPreempt(nowSeconds) || !entity.hasPlacedTaskBelow(job.spec().priority())) {
+    if (!job.mayPreempt(nowSeconds)
+        || !entity.hasPlacedTaskOfLowerPriority(job.spec().priority())) {
       return;
     }
     job.deferPreemptionUntil(nowSeconds + RETRY_SECONDS);
--- a/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskFailureHandler.java
@@ -25,13 +25,13 @@
   }
 
   /** Handles the exit of a task that is not done. */
-  public void taskFailed(Machine machine, TaskPlacement placement, ExitCause cause) {
+  public void handleFailure(Machine machine, TaskPlacement placement, ExitCause cause) {
     double nowSeconds = loop.monotonicSeconds();
     Job job = placement.job();
     int index = placement.taskIndex();
     switch (cause) {
       case ERROR -> {
-        double runSeconds = placement.hasRun() ? placement.ranSeconds(nowSeconds) : 0;
+        double runSeconds = placement.hasRun() ? placement.runSeconds(nowSeconds) : 0;
         LOG.info(
             "task {}/{} failed on machine {} after {} s",
             job.spec().id(),
--- a/src/main/java/io/violetrail/scheduling/TaskPlacement.java
+++ b/src/main/java/io/violetrail/scheduling/TaskPlacement.java
@@ -85,7 +85,7 @@
   }
 
   /** Records that the launch is sent in the reply to the machine's newest heartbeat. */
-  public void launched() {
+  public void markLaunched() {
     launchReport = new ReportId(machine.lastSession(), machine.lastSequence());
   }
 
@@ -93,7 +93,7 @@
    * Records that a heartbeat shows a task that was launched by another owner, or by this one before
    * a restart.
    */
-  public void foundByReport() {
+  public void markLaunchedByFormerOwner() {
     launchReport = new ReportId(0, 0);
   }
 
@@ -107,7 +107,7 @@
    *
    * @return whether the task is running now and was not in the previous heartbeat
    */
-  public boolean reported(TaskState newState, double nowSeconds) {
+  public boolean recordReportedState(TaskState newState, double nowSeconds) {
     boolean startedRunning = reportedState != newState && newState == TaskState.RUNNING;
     if (startedRunning) {
       runningSinceSeconds = nowSeconds;
@@ -144,7 +144,7 @@
   }
 
   /** Returns the time since {@link #runningSinceSeconds}. Valid only if {@link #hasRun}. */
-  public double ranSeconds(double nowSeconds) {
+  public double runSeconds(double nowSeconds) {
     return nowSeconds - runningSinceSeconds;
   }
 
@@ -154,7 +154,7 @@
   }
 
   /** Sets whether the task's resources are counted as used. Called only by the entity. */
-  public void setCounted(boolean counted) {
+  public void setCountedAsUsed(boolean counted) {
     countedAsUsed = counted;
   }
 
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -29,9 +29,10 @@
  *   <li>A pass ({@link #runPass}) considers all pending jobs and all machines with free capacity.
  *       {@link SchedulingLoop} runs it after changes that may let a task be placed, and repeatedly
  *       while jobs are pending.
- *   <li>When a heartbeat shows that tasks on a machine have ended, {@link #fillMachine} reuses the
- *       freed capacity at once, so that the reply to that heartbeat can launch the next tasks. It
- *       considers only that machine; a few gangs whose tasks fit there are tried on all machines.
+ *   <li>When a heartbeat shows that tasks on a machine have ended, {@link
+ *       #placeTasksOnFreedMachine} reuses the freed capacity at once, so that the reply to that
+ *       heartbeat can launch the next tasks. It considers only that machine; a few gangs whose
+ *       tasks fit there are tried on all machines.
  * </ul>
  *
  * <p>Both take the jobs in the order of {@link PendingQueues}, the most urgent first, and stay
@@ -69,7 +70,10 @@
   /** Machines with new placements. Their workers may be waiting for launches in a long poll. */
   private final Set<MachineId> machinesWithNewPlacements = new LinkedHashSet<>();
 
-  /** Creates a scheduler; it places nothing until {@link #runPass} or {@link #fillMachine}. */
+  /**
+   * Creates a scheduler; it places nothing until {@link #runPass} or {@link
+   * #placeTasksOnFreedMachine}.
+   */
   public TaskScheduler(
       EventLoop loop,
       Membership membership,
@@ -117,7 +121,7 @@
   }
 
   private void placePendingJobs(OwnedEntity entity) {
-    List<Job> pendingJobs = pendingQueues.inOrder(entity);
+    List<Job> pendingJobs = pendingQueues.orderedJobs(entity);
     if (pendingJobs.isEmpty()) {
       return;
     }
@@ -160,12 +164,12 @@
    *
    * <p>The caller must have checked that the entity is active and the controller's lease valid.
    */
-  public void fillMachine(OwnedEntity entity, Machine machine) {
+  public void placeTasksOnFreedMachine(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
     if (!machine.isSchedulable() || !configuration.isFresh()) {
       return;
     }
-    List<Job> pendingJobs = pendingQueues.inOrder(entity);
+    List<Job> pendingJobs = pendingQueues.orderedJobs(entity);
     binPacker.beginPass(nowSeconds, machineTypes.prices(), pendingJobs);
     boolean awaitingFirstReports = entity.hasUncertainMachine(nowSeconds);
     int gangAttemptCount = 0;
@@ -209,7 +213,7 @@
   private void endLongPolls() {
     List<MachineId> machineIds = List.copyOf(machinesWithNewPlacements);
     machinesWithNewPlacements.clear();
-    machineIds.forEach(longPolls::answer);
+    machineIds.forEach(longPolls::sendDelayedReply);
   }
 
   private static boolean isStartable(Job job, boolean awaitingFirstReports, double nowSeconds) {
@@ -291,7 +295,7 @@
    * @return whether best-effort tasks were evicted from at least one machine
    */
   private boolean preemptBestEffortFor(OwnedEntity entity, Job job, double nowSeconds) {
-    if (job.bestEffort() || !entity.hasPlacedTaskBelow(job.spec().priority())) {
+    if (job.bestEffort() || !entity.hasPlacedTaskOfLowerPriority(job.spec().priority())) {
       return false;
     }
     Resources taskResources = job.spec().taskResources();
@@ -307,7 +311,7 @@
           && binPacker.isSuitable(job, machine, nowSeconds)) {
         missingCount -= additionalCount;
         preempted = true;
-        drainer.clearBestEffortWork(entity, machine);
+        drainer.evictBestEffortTasks(entity, machine);
       }
     }
     return preempted;
--- a/src/main/java/io/violetrail/state/RowReader.java
+++ b/src/main/java/io/violetrail/state/RowReader.java
@@ -90,7 +90,7 @@
 
   private static ListPage parsePage(ClientReply reply) {
     if (!reply.isOk()) {
-      throw RequestRejectedException.listingAnswered(reply.status());
+      throw RequestRejectedException.listingRepliedWithStatus(reply.status());
     }
     return StateStoreConnection.parse(reply, StateStoreMessages::parsePage);
   }
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -98,7 +98,8 @@
    *
    * @param afterKey the key after which the page starts; empty to start with the first row
    */
-  public CompletableFuture<ListPage> pageForUser(String prefix, String afterKey, int maxEntries) {
+  public CompletableFuture<ListPage> listPageForUser(
+      String prefix, String afterKey, int maxEntries) {
     return reader.pageForUser(prefix, afterKey, maxEntries);
   }
 
--- a/src/main/java/io/violetrail/state/StateStoreConnection.java
+++ b/src/main/java/io/violetrail/state/StateStoreConnection.java
@@ -55,12 +55,13 @@
                 (reply, failure) -> {
                   if (failure != null) {
                     result.completeExceptionally(
-                        RequestUndecidedException.noAnswer(Receiver.STATE_STORE, failure));
+                        RequestUndecidedException.noReply(Receiver.STATE_STORE, failure));
                   } else if (isExpectedStatus(reply.status())) {
                     result.complete(reply);
                   } else {
                     result.completeExceptionally(
-                        RequestRejectedException.answered(Receiver.STATE_STORE, reply.status()));
+                        RequestRejectedException.repliedWithStatus(
+                            Receiver.STATE_STORE, reply.status()));
                   }
                 }),
         "call the state service");
@@ -98,7 +99,7 @@
     try {
       return reader.read(Cbor.parse(reply.body()));
     } catch (MalformedMessageException malformed) {
-      throw RequestUndecidedException.unclearAnswer(Receiver.STATE_STORE);
+      throw RequestUndecidedException.malformedReply(Receiver.STATE_STORE);
     }
   }
 }
--- a/src/main/java/io/violetrail/state/TransactionSender.java
+++ b/src/main/java/io/violetrail/state/TransactionSender.java
@@ -75,7 +75,7 @@
   private static TransactionOutcome parseOutcome(ClientReply reply) {
     boolean conditionsFailed = StateStoreConnection.isConflict(reply);
     if (!conditionsFailed && !reply.isOk()) {
-      throw RequestRejectedException.transactionAnswered(reply.status());
+      throw RequestRejectedException.transactionRepliedWithStatus(reply.status());
     }
     return StateStoreMessages.parseOutcome(
         !conditionsFailed, StateStoreConnection.parseBody(reply));
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -213,7 +213,7 @@
 
   /** Commands under a token; in an answer to a report this renews the worker's lease. */
   public static ObjectNode commandReply(Version fencingToken, List<WorkerCommand> commands) {
-    ObjectNode message = Cbor.newMap().put("baton", fencingToken.requireToken().value());
+    ObjectNode message = Cbor.newMap().put("baton", fencingToken.requireFencingToken().value());
     var list = message.putArray("orders");
     for (WorkerCommand command : commands) {
       var node = list.addObject();
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -67,7 +67,7 @@
 
   private void launch(Machine machine, TaskPlacement placement, List<WorkerCommand> commands) {
     commands.add(WorkerCommands.launch(placement));
-    placement.launched();
+    placement.markLaunched();
     LOG.debug(
         "sending launch of task {} attempt {} to machine {}",
         placement.taskId(),
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -136,7 +136,7 @@
     OwnedEntity entity = membership.findOwnedEntity(row.entity());
     if (entity == null || entity.phase() == OwnedEntity.Phase.RELEASING) {
       replyConsumer.accept(router.route(row, entity, report));
-    } else if (!membership.mayKeepWorkersAlive()) {
+    } else if (!membership.mayRenewWorkerLeases()) {
       replyConsumer.accept(
           HeartbeatReply.refused(
               "this controller could not renew its lease within the keep-alive grace period;"
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -89,7 +89,7 @@
             .filter(task -> task.state() != TaskState.EXITED)
             .map(WorkerCommands::stopAtOnce)
             .toList();
-    evidence.recordOutlivedLease(report.machineId(), report.session(), stops.size());
+    evidence.recordReportAfterLeaseExpiry(report.machineId(), report.session(), stops.size());
     return renew(entity, token, report, stops);
   }
 }
--- a/src/main/java/io/violetrail/worker/LongPollReplies.java
+++ b/src/main/java/io/violetrail/worker/LongPollReplies.java
@@ -87,7 +87,7 @@
     }
     if (entity == null
         || entity.machines().get(machine.id()) != machine
-        || !membership.mayKeepWorkersAlive()) {
+        || !membership.mayRenewWorkerLeases()) {
       return HeartbeatReply.refused(
           "the machine has left its entity, or this controller could not renew its lease within the"
               + " keep-alive grace period; report to the next controller");
--- a/src/main/java/io/violetrail/worker/LongPolls.java
+++ b/src/main/java/io/violetrail/worker/LongPolls.java
@@ -41,16 +41,16 @@
    * Delays the reply to a heartbeat.
    *
    * @param replyConsumer receives a refusal if a newer heartbeat of the machine arrives first
-   * @param sendReply otherwise run once to send the reply, when {@link #answer} is called or the
-   *     long poll times out
+   * @param sendReply otherwise run once to send the reply, when {@link #sendDelayedReply} is called
+   *     or the long poll times out
    */
   void delay(MachineId machine, Consumer<HeartbeatReply> replyConsumer, Runnable sendReply) {
-    EventLoop.Cancellable timer = loop.schedule(waitSeconds, () -> answer(machine));
+    EventLoop.Cancellable timer = loop.schedule(waitSeconds, () -> sendDelayedReply(machine));
     openHeartbeats.put(machine, new OpenHeartbeat(replyConsumer, sendReply, timer));
   }
 
   /** Sends the delayed reply to a machine's worker now; does nothing if there is none. */
-  public void answer(MachineId machine) {
+  public void sendDelayedReply(MachineId machine) {
     OpenHeartbeat openHeartbeat = remove(machine);
     if (openHeartbeat != null) {
       openHeartbeat.sendReply().run();
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -80,7 +80,7 @@
       OwnedEntity entity, Machine machine, WorkerReport report, List<WorkerCommand> commands) {
     Version token = entity.fencingTokenFor(machine);
     if (report.fencingToken().compareTo(token) > 0) {
-      machines.raiseTerm(entity, machine, report.fencingToken());
+      machines.raiseFencingToken(entity, machine, report.fencingToken());
       return HeartbeatReply.redirected(null);
     }
     if (!report.isNewerThan(machine.lastSession(), machine.lastSequence())) {
@@ -88,7 +88,7 @@
     }
     machine.recordHeartbeat(HostPort.parse(report.endpoint()), loop.monotonicSeconds());
     if (!machine.row().hasReported()) {
-      machines.markUp(entity, machine);
+      machines.recordFirstReport(entity, machine);
     }
     if (isExpiredSession(machine, report)) {
       return leaseRenewal.answerExpiredSession(entity, token, report);
@@ -138,7 +138,7 @@
     final boolean wasSchedulable = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
     machine.recordNewestReport(report.session(), report.sequence());
-    machine.markReconciled(report.spotNoticeSeconds());
+    machine.recordReconciledStatus(report.spotNoticeSeconds());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
@@ -147,7 +147,7 @@
       // Launches in this reply reuse the capacity of exited tasks at once; the next reply is a
       // heartbeat interval away. Only this machine is examined: with hundreds of machines, a pass
       // over all of them for each exited task would leave a small processor no time for heartbeats.
-      taskScheduler.fillMachine(entity, machine);
+      taskScheduler.placeTasksOnFreedMachine(entity, machine);
       schedulingLoop.requestPass();
     } else if (!wasSchedulable && machine.isSchedulable()) {
       schedulingLoop.requestPass();
--- a/src/main/java/io/violetrail/worker/PartitionHandover.java
+++ b/src/main/java/io/violetrail/worker/PartitionHandover.java
@@ -64,7 +64,7 @@
                 (receivesHeartbeats, failure) -> {
                   if (failure == null && receivesHeartbeats && stillPartitioned.getAsBoolean()) {
                     inFlight = false;
-                    membership.ownedEntities().forEach(entity -> membership.handBack(entity, peer));
+                    membership.ownedEntities().forEach(entity -> membership.handOver(entity, peer));
                   } else {
                     askNextPeer(candidates, stillPartitioned);
                   }
--- a/src/main/java/io/violetrail/worker/ReportReconciliation.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciliation.java
@@ -123,11 +123,11 @@
       }
       placement = addReportedPlacement(job, taskReport);
     }
-    if (placement.reported(taskReport.state(), nowSeconds)) {
+    if (placement.recordReportedState(taskReport.state(), nowSeconds)) {
       machine.recordImage(job.spec().image());
     }
     if (placement.reportedState() == TaskState.RUNNING && placement.hasRun()) {
-      FailureAttribution.recordRunning(job, placement.ranSeconds(nowSeconds));
+      FailureAttribution.recordRunning(job, placement.runSeconds(nowSeconds));
     }
     if (job.phase() != Job.Phase.OPEN || job.isDone(placement.taskIndex())) {
       placement.requestStop(0);
@@ -174,7 +174,7 @@
     TaskPlacement placement =
         new TaskPlacement(
             job, taskReport.taskId().index(), machine, taskReport.attempt(), nowSeconds);
-    placement.foundByReport();
+    placement.markLaunchedByFormerOwner();
     entity.addPlacement(placement);
     return placement;
   }
@@ -207,18 +207,18 @@
 
   private void removeExitedPlacement(Job job, TaskPlacement placement, ExitCause exitCause) {
     if (exitCause == ExitCause.DONE && placement.hasRun() && !placement.isStopRequested()) {
-      runtimeEstimates.recordRuntime(job.spec(), placement.ranSeconds(nowSeconds));
+      runtimeEstimates.recordRuntime(job.spec(), placement.runSeconds(nowSeconds));
     }
     entity.removePlacement(placement, nowSeconds, TerminationEvidence.REPORTED_ENDED);
     if (exitCause != ExitCause.DONE) {
-      failureHandler.taskFailed(machine, placement, exitCause);
+      failureHandler.handleFailure(machine, placement, exitCause);
     }
   }
 
   /** Handles a task whose job is finished or cancelled, or is not among the jobs loaded here. */
   private void reconcileUnknownTask(TaskReport taskReport) {
-    KnownJobs.KnownJob knownJob =
-        unknownTaskLookup.findKnownJob(entity, taskReport.taskId().jobId());
+    KnownJobs.FinishedOrNonexistentJob knownJob =
+        unknownTaskLookup.findFinishedOrNonexistentJob(entity, taskReport.taskId().jobId());
     if (taskReport.state() != TaskState.EXITED) {
       // If the job is finished or cancelled, LeaseRenewal adds the stop to the renewing reply.
       unknownTasks.put(
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -107,7 +107,7 @@
     pendingStops.clear();
     toSend.forEach(
         (machine, placements) -> {
-          if (!machine.unresponsive() && callsInFlight < MAX_CALLS_IN_FLIGHT) {
+          if (!machine.isUnresponsive() && callsInFlight < MAX_CALLS_IN_FLIGHT) {
             callsInFlight++;
             sendStops(machine, placements, () -> callsInFlight--);
           }
@@ -136,7 +136,7 @@
   private Map<Machine, List<TaskPlacement>> groupByUnresponsiveMachine() {
     Map<Machine, List<TaskPlacement>> unresponsive = new LinkedHashMap<>();
     for (TaskPlacement placement : unconfirmedCancellations) {
-      if (placement.machine().unresponsive()
+      if (placement.machine().isUnresponsive()
           && (unresponsive.containsKey(placement.machine())
               || unresponsive.size() < MAX_CALLS_IN_FLIGHT_TO_UNRESPONSIVE)) {
         unresponsive
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -183,7 +183,7 @@
         if (entity.isActive()
             && machine.endpoint() != null
             && machine.row().hasReported()
-            && !machine.returning()) {
+            && !machine.isReturning()) {
           ownWorkers.add(machine.endpoint());
         }
       }
--- a/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
+++ b/src/test/java/io/violetrail/errors/RequestFailedExceptionTest.java
@@ -35,18 +35,23 @@
     for (OverBudgetException.Limit limit : OverBudgetException.Limit.values()) {
       assertTrue(new OverBudgetException(limit).isRateLimited());
     }
-    assertTrue(RequestRejectedException.answered(Receiver.STATE_STORE, 429).isRateLimited());
+    assertTrue(
+        RequestRejectedException.repliedWithStatus(Receiver.STATE_STORE, 429).isRateLimited());
     for (int status : List.of(400, 404, 409, 500, 503)) {
-      assertFalse(RequestRejectedException.answered(Receiver.STATE_STORE, status).isRateLimited());
+      assertFalse(
+          RequestRejectedException.repliedWithStatus(Receiver.STATE_STORE, status).isRateLimited());
     }
-    assertFalse(RequestUndecidedException.notStored().isRateLimited());
+    assertFalse(RequestUndecidedException.possiblyNotStored().isRateLimited());
   }
 
   @Test
   void onlyStatus400IsRefusedAsMalformed() {
-    assertTrue(RequestRejectedException.answered(Receiver.STATE_STORE, 400).isRefusedAsMalformed());
+    assertTrue(
+        RequestRejectedException.repliedWithStatus(Receiver.STATE_STORE, 400)
+            .isRefusedAsMalformed());
     for (int status : List.of(404, 409, 413, 429, 500, 503)) {
-      assertFalse(RequestRejectedException.transactionAnswered(status).isRefusedAsMalformed());
+      assertFalse(
+          RequestRejectedException.transactionRepliedWithStatus(status).isRefusedAsMalformed());
     }
   }
 
@@ -54,17 +59,17 @@
   void messagesNameReceiverStatusAndCause() {
     assertEquals(
         "state service replied with HTTP status 503",
-        RequestRejectedException.answered(Receiver.STATE_STORE, 503).getMessage());
+        RequestRejectedException.repliedWithStatus(Receiver.STATE_STORE, 503).getMessage());
     assertEquals(
         "state service replied to a transaction with HTTP status 404",
-        RequestRejectedException.transactionAnswered(404).getMessage());
+        RequestRejectedException.transactionRepliedWithStatus(404).getMessage());
     assertEquals(
         "no reply from the state service: no route",
-        RequestUndecidedException.noAnswer(Receiver.STATE_STORE, new Exception("no route"))
+        RequestUndecidedException.noReply(Receiver.STATE_STORE, new Exception("no route"))
             .getMessage());
     assertEquals(
         "the state service's reply is malformed",
-        RequestUndecidedException.unclearAnswer(Receiver.STATE_STORE).getMessage());
+        RequestUndecidedException.malformedReply(Receiver.STATE_STORE).getMessage());
     assertEquals(
         "this controller's share of the state service's rate limits is used up; retry later",
         new OverBudgetException(OverBudgetException.Limit.STATE_STORE_BUDGET).getMessage());
--- a/src/test/java/io/violetrail/model/VersionTest.java
+++ b/src/test/java/io/violetrail/model/VersionTest.java
@@ -20,15 +20,15 @@
   void everyIssuedVersionIsValidFencingToken() {
     for (int owner = 0; owner < Version.INCREMENT; owner++) {
       assertEquals(Version.INCREMENT + owner, Version.firstOwnedBy(owner).value());
-      assertTrue(Version.firstOwnedBy(owner).isToken());
+      assertTrue(Version.firstOwnedBy(owner).isFencingToken());
       for (int reserved = 0; reserved < Version.INCREMENT; reserved++) {
         Version next = new Version(reserved).nextOwnedBy(owner);
-        assertTrue(next.isToken());
+        assertTrue(next.isFencingToken());
         assertEquals(owner, next.ownerIndex());
       }
     }
-    assertFalse(Version.NONE.isToken());
-    assertThrows(IllegalArgumentException.class, () -> new Version(9).requireToken());
+    assertFalse(Version.NONE.isFencingToken());
+    assertThrows(IllegalArgumentException.class, () -> new Version(9).requireFencingToken());
     assertThrows(IllegalArgumentException.class, () -> new Version(-1));
   }
 }
--- a/src/test/java/io/violetrail/ownership/StateSchemaTest.java
+++ b/src/test/java/io/violetrail/ownership/StateSchemaTest.java
@@ -36,7 +36,7 @@
     for (EntityRow row :
         new EntityRow[] {withoutVersion, firstVersionOfEarlierRelease, handedOver}) {
       assertThrows(IllegalArgumentException.class, () -> new OwnedEntity(row, true, 0));
-      assertTrue(row.version().nextOwnedBy(0).isToken());
+      assertTrue(row.version().nextOwnedBy(0).isFencingToken());
     }
   }
 
--- a/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
+++ b/src/test/java/io/violetrail/scheduling/PendingQueueTest.java
@@ -93,7 +93,7 @@
             TYPE,
             new Version(10),
             0);
-    machine.markReconciled(null);
+    machine.recordReconciledStatus(null);
     ownedEntity.addMachine(machine);
     return machine;
   }
--- a/src/test/java/io/violetrail/simulation/FaultCombinationsTest.java
+++ b/src/test/java/io/violetrail/simulation/FaultCombinationsTest.java
@@ -461,7 +461,7 @@
     simulation.runUntil(5, () -> controller.membership().findOwnedEntity(entity).isActive());
     controller
         .membership()
-        .handBack(controller.membership().findOwnedEntity(entity), new ControllerId(second));
+        .handOver(controller.membership().findOwnedEntity(entity), new ControllerId(second));
     simulation.runUntil(5, () -> ownerIndexOf("c0") == Integer.parseInt(second.substring(1)));
     simulation.runFor(60);
     simulation.cloud().setUnavailable(false);
@@ -528,7 +528,7 @@
     simulation.callController(
         "user", "c0", "POST", "/work", Cbor.encode(SimulatedUser.jobRequest("job-1", 1)));
     simulation.runFor(0.3);
-    controller.membership().handBack(ownedEntity, new ControllerId("c1"));
+    controller.membership().handOver(ownedEntity, new ControllerId("c1"));
     // The target ends and comes back before the hand-over arrives: its alive key is another one.
     simulation.killController("c1");
     simulation.runFor(0.2);
--- a/src/test/java/io/violetrail/simulation/ReplyConsistencyTest.java
+++ b/src/test/java/io/violetrail/simulation/ReplyConsistencyTest.java
@@ -224,7 +224,7 @@
     var controller = simulation.controllers().get("c0");
     controller
         .membership()
-        .handBack(controller.membership().findHomeEntity(), new ControllerId("c1"));
+        .handOver(controller.membership().findHomeEntity(), new ControllerId("c1"));
     simulation.runFor(delaySeconds);
     cancelEverywhereAndVerify(jobs);
   }
@@ -257,7 +257,7 @@
     simulation.networkFaults().holdMessages(m -> m.startsWith("c0 state POST /txn"));
     controller
         .membership()
-        .handBack(controller.membership().findHomeEntity(), new ControllerId("c1"));
+        .handOver(controller.membership().findHomeEntity(), new ControllerId("c1"));
     for (String id : jobs) {
       cancelWithoutWaiting("c0", id);
     }
