--- a/src/main/java/io/violetrail/calendar/OwnedEntityEnvironment.java
+++ b/src/main/java/io/violetrail/calendar/OwnedEntityEnvironment.java
@@ -28,13 +28,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What the trigger of one owned entity reaches: the clocks, the entity's jobs, and writes that are
- * fenced by the entity's row, so that those of a former owner change nothing.
+ * Gives the trigger of one owned entity access to the clocks, the entity's jobs and the state
+ * service. Writes are fenced by the entity's row, so that writes of a former owner change nothing.
  */
 final class OwnedEntityEnvironment implements ScheduleTrigger.Environment {
   /**
-   * Runs that may wait to be stored, and none while any submission of users does: four of them
-   * delayed a submission by two seconds where few writes are allowed.
+   * The maximum number of runs waiting to be stored; none is added while a user's submission is
+   * waiting. Four waiting runs delayed a submission by two seconds under a low write limit.
    */
   private static final int MAX_PENDING_RUNS = 1;
 
@@ -84,11 +84,11 @@
   @Override
   public CompletableFuture<WriteOutcome> storeRun(
       ScheduleRow before, ScheduleRow next, JobSpec spec) {
-    int bytes = Cbor.encode(next.value()).length;
-    CoWrittenRow companionRow =
-        new CoWrittenRow(before.key(), before.modRevision(), next.value(), bytes);
+    int sizeBytes = Cbor.encode(next.value()).length;
+    CoWrittenRow coWrittenRow =
+        new CoWrittenRow(before.key(), before.modRevision(), next.value(), sizeBytes);
     return jobLifecycle
-        .store(entity, spec, companionRow)
+        .store(entity, spec, coWrittenRow)
         .thenCompose(
             stored -> {
               if (stored.newlyStored() && stored.revision() > 0) {
@@ -97,7 +97,7 @@
               if (stored.newlyStored() || stored.coWrittenRowConflict()) {
                 return completedWith(WriteResult.CONFLICT, 0);
               }
-              // The run's job exists though its row does not say so: only the row is missing.
+              // The run's job was stored before, but the row does not record it yet.
               return storeRow(before, next, null, true);
             });
   }
@@ -136,13 +136,13 @@
     if (job != null && job.phase() != Job.Phase.FINISHED) {
       return job.toView();
     }
-    JobView terminal = jobLifecycle.findTerminalView(id);
-    if (terminal == null && lookupsInFlight.add(id)) {
+    JobView terminalView = jobLifecycle.findTerminalView(id);
+    if (terminalView == null && lookupsInFlight.add(id)) {
       Futures.logFailure(
-          jobLifecycle.lookUp(id).whenComplete((found, failure) -> lookupsInFlight.remove(id)),
-          "look a run's job up");
+          jobLifecycle.lookUp(id).whenComplete((result, failure) -> lookupsInFlight.remove(id)),
+          "look up the job of a run");
     }
-    return terminal;
+    return terminalView;
   }
 
   @Override
--- a/src/main/java/io/violetrail/calendar/ScheduleEditor.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleEditor.java
@@ -26,22 +26,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Creates, changes and deletes schedules. Any controller does so for any schedule: each write is
- * conditional on the row's revision, so a change that races a firing comes either before or after
- * it. A change that loses such a race is made again from the new row, a few times.
+ * Creates, updates and deletes schedules. Any controller can do so for any schedule. Each write is
+ * conditional on the row's revision, so an update that is concurrent with a firing is applied
+ * either before or after it. An update that loses such a race is retried from the new row a few
+ * times.
  *
- * <p>Called on the event loop's thread. Keeps nothing between requests; what was answered with
- * status 200 or 201 is stored.
+ * <p>Called on the event loop's thread. Keeps no state between requests. A change is stored before
+ * it is answered with status 200 or 201.
  */
 final class ScheduleEditor {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleEditor.class);
   private static final int MAX_ATTEMPTS = 5;
 
-  /** Schedules of all controllers together: a takeover reads them all. */
+  /** The limit for the whole cluster, since a takeover reads the schedules of all entities. */
   private static final int MAX_SCHEDULES = 20_000;
 
-  /** A row has the definition, the open runs and the ended ones that are not in a block yet. */
-  private static final int MAX_DEFINITION_FRACTION_OF_ROW = 4;
+  /**
+   * A definition may take up at most one part in this many of a row's maximum size. The row also
+   * contains the open runs, and the ended runs that are not in a history block yet.
+   */
+  private static final int DEFINITION_SIZE_DIVISOR = 4;
 
   private final EventLoop loop;
   private final Random random;
@@ -75,76 +79,105 @@
   }
 
   /**
-   * Creates a schedule at this controller's home entity.
+   * Creates a schedule in this controller's home entity.
    *
-   * @throws InvalidDefinitionException if the name or the definition is not taken
+   * @throws InvalidDefinitionException if the name or the definition is invalid
    */
   void create(ObjectNode json, Consumer<HttpAnswer> responder) throws InvalidDefinitionException {
     String name = json.path("name").asText("");
     if (!name.matches(ScheduleApi.NAME_PATTERN)) {
       throw new InvalidDefinitionException(
-          400, "name", "must be lower case letters, digits and hyphens, at most 63");
+          400,
+          "name",
+          "must be 1 to 63 lower-case letters, digits and hyphens, and start and end with a letter"
+              + " or digit; got '"
+              + name
+              + "'");
     }
     String closedReason = jobAdmission.findClosedReason();
     if (!scheduleRegistry.isReady() || closedReason != null) {
       responder.accept(
           JsonAnswers.error(
-              503, closedReason == null ? "the schedules are not read yet" : closedReason));
+              503,
+              closedReason == null
+                  ? "the schedules have not been read from the state service yet; retry later"
+                  : closedReason));
       return;
     }
-    OwnedEntity ownEntity = membership.findHomeEntity();
+    OwnedEntity homeEntity = membership.findHomeEntity();
     if (scheduleRegistry.scheduleCount() >= MAX_SCHEDULES) {
-      responder.accept(JsonAnswers.error(429, "there are " + MAX_SCHEDULES + " schedules already"));
+      responder.accept(
+          JsonAnswers.error(
+              429,
+              "the limit of "
+                  + MAX_SCHEDULES
+                  + " schedules is reached; delete schedules that are no longer needed"));
       return;
     }
     validateDefinition(json);
     String uid = new UUID(random.nextLong(), random.nextLong()).toString();
     ScheduleRow row =
-        ScheduleRow.create(name, toStoredDefinition(json), ownEntity.id(), uid, loop.wallMillis());
+        ScheduleRow.create(name, toStoredDefinition(json), homeEntity.id(), uid, loop.wallMillis());
     Futures.logFailure(
-        Tombstones.draftCreation(store, ownEntity::fencedTransaction, row.key(), row.value())
+        Tombstones.draftCreation(store, homeEntity::fencedTransaction, row.key(), row.value())
             .thenCompose(store::commit)
             .whenComplete(
                 (outcome, failure) -> {
                   if (failure != null) {
-                    responder.accept(JsonAnswers.error(503, "the state service does not answer"));
+                    responder.accept(
+                        JsonAnswers.error(503, "the state service did not answer; retry later"));
                   } else if (outcome.applied()) {
-                    LOG.info("schedule {} created: {}", name, json.path("due").asText());
+                    LOG.info("created schedule {}, due {}", name, json.path("due").asText());
                     responder.accept(JsonAnswers.of(201, queries.toJson(row)));
                   } else if (outcome.failedKeys().contains(row.key())) {
                     answerExisting(row, responder);
                   } else {
                     responder.accept(
-                        JsonAnswers.error(503, "the entity or what was deleted has changed"));
+                        JsonAnswers.error(
+                            503,
+                            "the entity's row or the tombstone of the name was changed at the"
+                                + " same time; retry"));
                   }
                 }),
         "create a schedule");
   }
 
-  /** The name is taken: by an earlier try of this very creation, or by another schedule. */
-  private void answerExisting(ScheduleRow sent, Consumer<HttpAnswer> responder) {
+  /**
+   * Answers a creation whose name is taken: with success if an earlier attempt of the same creation
+   * has stored the row, with a conflict if it is another schedule.
+   */
+  private void answerExisting(ScheduleRow createdRow, Consumer<HttpAnswer> responder) {
     queries.read(
-        sent.name(),
+        createdRow.name(),
         responder,
         found ->
             responder.accept(
-                found.uid().equals(sent.uid())
+                found.uid().equals(createdRow.uid())
                     ? JsonAnswers.of(201, queries.toJson(found))
-                    : JsonAnswers.error(409, "the schedule exists already")));
+                    : JsonAnswers.error(
+                        409,
+                        "schedule " + createdRow.name() + " exists already; replace it with PUT")));
   }
 
   private void validateDefinition(ObjectNode json) throws InvalidDefinitionException {
     ScheduleDefinition scheduleDefinition = ScheduleDefinition.parse(json);
     scheduleDefinition.validate(
         Instant.ofEpochMilli(loop.wallMillis()), scheduleRegistry.dayCalendar());
-    String reasonNeverRuns =
+    String impossibleReason =
         jobAdmission.findImpossibleReason(scheduleDefinition.toJobSpec(new JobId("job-0")));
-    if (reasonNeverRuns != null) {
-      throw new InvalidDefinitionException(422, "job", "it can never run: " + reasonNeverRuns);
+    if (impossibleReason != null) {
+      throw new InvalidDefinitionException(422, "job", "can never run: " + impossibleReason);
     }
     if (Cbor.encode(json).length
-        > settings.stateStoreLimits().maxValueBytes() / MAX_DEFINITION_FRACTION_OF_ROW) {
-      throw new InvalidDefinitionException(422, "job", "the description is too long");
+        > settings.stateStoreLimits().maxValueBytes() / DEFINITION_SIZE_DIVISOR) {
+      throw new InvalidDefinitionException(
+          422,
+          "job",
+          "the definition is too long: it may take up 1/"
+              + DEFINITION_SIZE_DIVISOR
+              + " of a row, which has at most "
+              + settings.stateStoreLimits().maxValueBytes()
+              + " bytes");
     }
   }
 
@@ -155,22 +188,23 @@
   }
 
   /**
-   * Replaces a definition. The change takes effect when it is stored: older due times that have no
-   * run yet get none.
+   * Replaces a schedule's definition. The new definition takes effect when it is stored: earlier
+   * due times that have no run yet do not get one.
    *
-   * @throws InvalidDefinitionException if the version is missing or the definition is not taken
+   * @throws InvalidDefinitionException if the version is missing or the definition is invalid
    */
   void replace(String name, ObjectNode json, Consumer<HttpAnswer> responder)
       throws InvalidDefinitionException {
     if (!json.path("version").isIntegralNumber()) {
       throw new InvalidDefinitionException(
-          400, "version", "must be the version that is to be changed");
+          400, "version", "must be an integer: the version of the schedule that is to be replaced");
     }
     if (json.has("name") && !json.get("name").asText().equals(name)) {
-      throw new InvalidDefinitionException(422, "name", "is not the name in the request's path");
+      throw new InvalidDefinitionException(
+          422, "name", "must be '" + name + "', the name in the request's path");
     }
     if (machineTypes.isEmpty()) {
-      responder.accept(JsonAnswers.error(503, "the machine types are not known yet"));
+      responder.accept(JsonAnswers.error(503, "the machine types are not known yet; retry later"));
       return;
     }
     validateDefinition(json);
@@ -190,7 +224,7 @@
         MAX_ATTEMPTS);
   }
 
-  /** Pauses or resumes a schedule. What would have been due during a pause is not made up. */
+  /** Pauses or resumes a schedule. Due times during a pause are not caught up. */
   void setPaused(String name, boolean paused, Consumer<HttpAnswer> responder) {
     update(
         name,
@@ -207,10 +241,10 @@
   }
 
   /**
-   * Stores a change by compare-and-swap.
+   * Updates a schedule's row by compare-and-swap.
    *
-   * @param change gives the next row, the same row if there is nothing to change, or null if the
-   *     row is not the one that is to be changed
+   * @param change returns the next row; the same row if there is nothing to change; null if the row
+   *     does not have the version that the request is meant for
    */
   private void update(
       String name,
@@ -225,7 +259,9 @@
           if (next == null || attemptsLeft == 0) {
             responder.accept(
                 JsonAnswers.error(
-                    409, "the schedule has been changed; its version is " + row.version()));
+                    409,
+                    "the schedule was changed in the meantime; its version is now "
+                        + row.version()));
             return;
           }
           if (next == row) {
@@ -242,15 +278,16 @@
                       (outcome, failure) -> {
                         if (failure != null) {
                           responder.accept(
-                              JsonAnswers.error(503, "the state service does not answer"));
+                              JsonAnswers.error(
+                                  503, "the state service did not answer; retry later"));
                         } else if (outcome.applied()) {
                           responder.accept(JsonAnswers.of(200, queries.toJson(next)));
                         } else {
-                          // A firing came first, or an earlier try of this change: it is made anew.
+                          // A firing, another update or an earlier attempt of this one came first.
                           retryUpdate(name, responder, change, attemptsLeft - 1, next);
                         }
                       }),
-              "change a schedule");
+              "update a schedule");
         });
   }
 
@@ -259,16 +296,16 @@
       Consumer<HttpAnswer> responder,
       Function<ScheduleRow, ScheduleRow> change,
       int attemptsLeft,
-      ScheduleRow sent) {
+      ScheduleRow attemptedRow) {
     queries.read(
         name,
         responder,
         row -> {
-          boolean stored =
-              row.version() == sent.version()
-                  && row.isPaused() == sent.isPaused()
-                  && row.definition().equals(sent.definition());
-          if (stored) {
+          boolean alreadyStored =
+              row.version() == attemptedRow.version()
+                  && row.isPaused() == attemptedRow.isPaused()
+                  && row.definition().equals(attemptedRow.definition());
+          if (alreadyStored) {
             responder.accept(JsonAnswers.of(200, queries.toJson(row)));
           } else {
             update(name, responder, change, attemptsLeft);
@@ -276,7 +313,7 @@
         });
   }
 
-  /** Deletes a schedule with its history. Open runs go on as ordinary jobs. */
+  /** Deletes a schedule and its history. Open runs continue as ordinary jobs. */
   void delete(String name, Consumer<HttpAnswer> responder) {
     delete(name, responder, MAX_ATTEMPTS);
   }
@@ -299,9 +336,10 @@
                         (outcome, failure) -> {
                           if (failure != null) {
                             responder.accept(
-                                JsonAnswers.error(503, "the state service does not answer"));
+                                JsonAnswers.error(
+                                    503, "the state service did not answer; retry later"));
                           } else if (outcome.applied()) {
-                            LOG.info("schedule {} deleted", name);
+                            LOG.info("deleted schedule {}", name);
                             deleteHistory(row);
                             responder.accept(
                                 JsonAnswers.of(200, Cbor.newMap().put("deleted", name)));
@@ -309,7 +347,10 @@
                             delete(name, responder, attemptsLeft - 1);
                           } else {
                             responder.accept(
-                                JsonAnswers.error(503, "the schedule is being changed"));
+                                JsonAnswers.error(
+                                    503,
+                                    "the schedule was changed during each attempt to delete it;"
+                                        + " retry later"));
                           }
                         }),
                 "delete a schedule"));
@@ -321,6 +362,6 @@
             key ->
                 Futures.logFailure(
                     store.commitInBackground(new Transaction().delete(key)),
-                    "delete a block of a schedule's history"));
+                    "delete a block of a schedule's run history"));
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
@@ -24,10 +24,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The schedules of the entities that this controller owns, and the local days that all share. Keeps
- * a trigger for each owned entity, feeds it the entity's rows, and ticks it while the controller's
- * lease is valid. Called on the event loop's thread. After a crash or a failover the next owner
- * reads the rows again. Nothing of it is loaded unless calendars are on.
+ * The schedules of the entities that this controller owns, and the local days that all schedules
+ * share. Keeps a {@link ScheduleTrigger} for each owned entity, passes it the entity's rows, and
+ * ticks it while the controller's lease is valid.
+ *
+ * <p>Called on the event loop's thread. After a crash or a failover the next owner reads the rows
+ * again. The registry and its triggers are not loaded unless calendars are enabled.
  */
 public final class ScheduleRegistry implements PrefixWatcher.RowListener {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleRegistry.class);
@@ -48,10 +50,10 @@
   private final Map<OwnedEntity, EntitySchedules> schedulesByEntity = new HashMap<>();
   private final Set<String> scheduleNames = new HashSet<>();
 
-  /** The schedules of one owned entity and whether they have been read since it was acquired. */
+  /** The schedules of one owned entity, and the progress of their read since its acquisition. */
   private record EntitySchedules(ScheduleTrigger trigger, InitialListing initialListing) {}
 
-  /** Fires the schedules of the entities owned here. */
+  /** Creates the registry; {@link #start} starts it. */
   public ScheduleRegistry(
       EventLoop loop,
       Settings settings,
@@ -70,7 +72,7 @@
     this.rowFeed = new PrefixWatcher(store, loop, KEY_PREFIX, this);
   }
 
-  /** Follows the rows and begins to fire. */
+  /** Starts to watch the rows and to fire schedules. */
   public void start() {
     rowFeed.start();
     loop.scheduleWithFixedDelay(TICK_SECONDS, this::tick);
@@ -84,17 +86,17 @@
     return rowFeed.isReady();
   }
 
-  /** How many schedules there are at all entities. */
+  /** Returns the number of schedules of all entities, including those of other controllers. */
   int scheduleCount() {
     return scheduleNames.size();
   }
 
-  /** Schedules of owned entities with a report that was not withdrawn. */
+  /** Returns the schedules of owned entities that have a report which was not withdrawn. */
   List<ScheduleRow> findSchedulesWithOpenReports() {
     List<ScheduleRow> rows = new ArrayList<>();
     schedulesByEntity
         .values()
-        .forEach(own -> rows.addAll(own.trigger().findSchedulesWithOpenReports()));
+        .forEach(schedules -> rows.addAll(schedules.trigger().findSchedulesWithOpenReports()));
     return rows;
   }
 
@@ -109,7 +111,7 @@
 
   @Override
   public void onChanges(List<RowChange> changes, long revision) {
-    changes.forEach(c -> applyRow(c.key(), c.value(), c.modRevision()));
+    changes.forEach(change -> applyRow(change.key(), change.value(), change.modRevision()));
   }
 
   private void applyRow(String key, JsonNode value, long modRevision) {
@@ -171,7 +173,10 @@
         new InitialListing());
   }
 
-  /** Reads rows as of after the acquisition: they have what a former owner settled. */
+  /**
+   * Reads the rows after the entity was acquired, so that they include all due times that a former
+   * owner settled.
+   */
   private void loadRows(OwnedEntity entity, EntitySchedules schedules) {
     schedules
         .initialListing()
@@ -187,6 +192,8 @@
             },
             () ->
                 LOG.info(
-                    "entity {}: {} schedules", entity.id(), schedules.trigger().scheduleCount()));
+                    "entity {}: read {} schedules",
+                    entity.id(),
+                    schedules.trigger().scheduleCount()));
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleRow.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRow.java
@@ -12,10 +12,10 @@
 import java.util.function.Consumer;
 
 /**
- * A schedule's stored row. Everything that decides whether a due time has had its run is in this
- * one row: the cursor says up to which due time all is settled, and it advances only by the
- * transaction that stores the run's job. So a due time gets one run, whoever crashes. Immutable;
- * {@link #withChange} makes the next state.
+ * The stored row of a schedule. This one row decides whether a due time has had its run: all due
+ * times up to the cursor are settled, and a firing advances the cursor only in the transaction that
+ * stores the run's job. Each due time therefore gets one run, regardless of which controller
+ * crashes. Immutable; {@link #withChange} returns the next state.
  */
 public final class ScheduleRow {
   static final String KEY_PREFIX = "cal/s/";
@@ -27,7 +27,13 @@
   private final ObjectNode value;
   private final long modRevision;
 
-  /** A run that is not over: its report, if there is one, says when it was last foreseen late. */
+  /**
+   * An open run.
+   *
+   * @param firedMillis the wall-clock time at which the run was fired
+   * @param report the last report that the run will miss or has missed its deadline, possibly
+   *     withdrawn since; null if there is none
+   */
   public record Run(long dueMillis, long firedMillis, JsonNode report) {
     boolean hasOpenReport() {
       return report != null && !report.path("withdrawn").asBoolean();
@@ -48,7 +54,6 @@
       String name, ObjectNode definition, ControllerId entity, String uid, long nowMillis) {
     ObjectNode value = Cbor.newMap().put("uid", uid).put("entity", entity.value());
     value.put("version", 1).put("paused", false).put("cursor", nowMillis).put("blocks", 0);
-
     value.set("def", definition);
     value.putArray("runs");
     value.putArray("past");
@@ -61,8 +66,8 @@
     return new ScheduleRow(name, next, modRevision);
   }
 
-  ScheduleRow withModRevision(long revision) {
-    return new ScheduleRow(name, value, revision);
+  ScheduleRow withModRevision(long newModRevision) {
+    return new ScheduleRow(name, value, newModRevision);
   }
 
   String name() {
@@ -101,7 +106,7 @@
     return value.path("version").asInt();
   }
 
-  /** Every due time up to here is settled. */
+  /** Returns the time up to which all due times are settled, that is fired or skipped. */
   long cursorMillis() {
     return value.path("cursor").asLong();
   }
@@ -114,52 +119,60 @@
     return runs;
   }
 
-  /** How due times ended that are not in a block yet. */
+  /** Returns the ended runs and skipped due times that are not in a history block yet. */
   ArrayNode endedRuns() {
     return (ArrayNode) value.get("past");
   }
 
-  static void recordFired(ObjectNode row, long dueMillis, long nowMillis) {
-    row.put("cursor", dueMillis);
-    ((ArrayNode) row.get("runs")).addObject().put("due", dueMillis).put("fired", nowMillis);
+  static void recordFired(ObjectNode rowValue, long dueMillis, long nowMillis) {
+    rowValue.put("cursor", dueMillis);
+    ((ArrayNode) rowValue.get("runs")).addObject().put("due", dueMillis).put("fired", nowMillis);
   }
 
-  /** The entry of a run in a row under construction. */
-  static ObjectNode runEntry(ObjectNode row, long dueMillis) {
-    for (JsonNode run : row.path("runs")) {
+  /**
+   * Returns the entry of an open run, which the caller may modify.
+   *
+   * @throws IllegalStateException if the row has no open run with this due time
+   */
+  static ObjectNode runEntry(ObjectNode rowValue, long dueMillis) {
+    for (JsonNode run : rowValue.path("runs")) {
       if (run.path("due").asLong() == dueMillis) {
         return (ObjectNode) run;
       }
     }
-    throw new IllegalStateException("no run of " + dueMillis);
+    throw new IllegalStateException("the row has no open run with due time " + dueMillis + " ms");
   }
 
   static void recordEnded(
-      ObjectNode row, long dueMillis, long nowMillis, String outcome, boolean late) {
-    ObjectNode run = runEntry(row, dueMillis);
-    ObjectNode ended = ((ArrayNode) row.get("past")).addObject();
+      ObjectNode rowValue, long dueMillis, long nowMillis, String outcome, boolean late) {
+    ObjectNode run = runEntry(rowValue, dueMillis);
+    ObjectNode ended = ((ArrayNode) rowValue.get("past")).addObject();
     ended.put("due", dueMillis).put("fired", run.path("fired").asLong()).put("done", nowMillis);
     ended.put("how", outcome).put("late", late);
     if (run.has("report")) {
       ended.set("report", run.get("report"));
     }
     ArrayNode remaining = Cbor.newList();
-    boolean left = false;
-    for (JsonNode node : row.path("runs")) {
-      if (!left && node.path("due").asLong() == dueMillis) {
-        left = true;
+    boolean removed = false;
+    for (JsonNode node : rowValue.path("runs")) {
+      if (!removed && node.path("due").asLong() == dueMillis) {
+        removed = true;
       } else {
         remaining.add(node);
       }
     }
-    row.set("runs", remaining);
+    rowValue.set("runs", remaining);
   }
 
-  /** Due times that get no run, for a reason. */
+  /**
+   * Records that consecutive due times get no run.
+   *
+   * @param reason stored in the history for operators
+   */
   static void recordSkipped(
-      ObjectNode row, long firstMillis, long lastMillis, int count, String reason) {
-    row.put("cursor", lastMillis);
-    ((ArrayNode) row.get("past"))
+      ObjectNode rowValue, long firstMillis, long lastMillis, int count, String reason) {
+    rowValue.put("cursor", lastMillis);
+    ((ArrayNode) rowValue.get("past"))
         .addObject()
         .put("due", firstMillis)
         .put("last", lastMillis)
@@ -172,7 +185,7 @@
     return HISTORY_KEY_PREFIX + uid() + "/" + "%08d".formatted(number);
   }
 
-  /** The keys of the history blocks that are kept, the oldest first. */
+  /** Returns the keys of the history blocks that are kept, the oldest first. */
   List<String> historyBlockKeys() {
     List<String> keys = new ArrayList<>();
     int count = value.path("blocks").asInt();
@@ -183,8 +196,9 @@
   }
 
   /**
-   * The id of the run of a due time: it follows from the two, so a run that is stored twice is the
-   * same job, whose claim exists.
+   * Returns the job id of the run for a due time. The id is derived from the schedule's uid and the
+   * due time, so a second attempt to store the run is for the same job, whose id is already
+   * claimed.
    */
   static JobId runJobId(String uid, long dueMillis) {
     return DerivedJobId.of(RUN_JOB_ID_PREFIX, "violetrail run " + uid + " " + dueMillis);
--- a/src/main/java/io/violetrail/calendar/ScheduleState.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleState.java
@@ -6,9 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a trigger knows of one schedule: its last known row, the row's definition, the next due time
- * and whether a write of the row is in progress. All of it is derived from the row and is gone
- * after a crash.
+ * The state that a trigger keeps of one schedule: its last known row, the row's definition, the
+ * next due time and whether a write of the row is in flight. It is lost in a crash and is derived
+ * from the row again.
  */
 final class ScheduleState {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleState.class);
@@ -16,7 +16,7 @@
 
   private ScheduleRow row;
 
-  /** Null if the stored definition cannot be read. */
+  /** Null if the stored definition cannot be parsed. */
   private ScheduleDefinition definition;
 
   private long nextDueMillis = NEVER;
@@ -27,7 +27,7 @@
     this.definition = parseDefinition(row);
   }
 
-  /** Takes a newer row over; the next due time is to be planned then. */
+  /** Replaces the row by a newer one; the caller then calls {@link #planNextDue}. */
   void replaceRow(ScheduleRow newRow) {
     boolean definitionUnchanged = row.definition().equals(newRow.definition());
     row = newRow;
@@ -40,12 +40,15 @@
     try {
       return ScheduleDefinition.parse(row.definition());
     } catch (InvalidDefinitionException exception) {
-      LOG.error("schedule {} cannot be read: {}", row.name(), exception.getMessage());
+      LOG.error(
+          "schedule {}: the stored definition cannot be parsed, so it is not fired: {}",
+          row.name(),
+          exception.getMessage());
       return null;
     }
   }
 
-  /** Computes the next due time after the row's cursor. */
+  /** Computes the next due time after the row's cursor; there is none while paused. */
   void planNextDue(DayCalendar dayCalendar) {
     nextDueMillis = NEVER;
     if (definition == null || row.isPaused()) {
@@ -61,7 +64,7 @@
     return row;
   }
 
-  /** The row's definition; null if it cannot be read. */
+  /** Returns the row's definition; null if it cannot be parsed. */
   ScheduleDefinition definition() {
     return definition;
   }
@@ -70,7 +73,7 @@
     return definition != null && nextDueMillis < NEVER;
   }
 
-  /** The next due time, far in the future if there is none. */
+  /** Returns the next due time, {@link Long#MAX_VALUE} if there is none. */
   long nextDueMillis() {
     return nextDueMillis;
   }
--- a/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
@@ -19,33 +19,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fires the schedules of one owned entity, follows their runs, and reports what will be late.
- * Decides by the rows that it knows and by the clock; whether a step counts is decided by its
- * transaction, which is conditional on the row's revision. So a decision by an old row changes
- * nothing.
+ * Fires the schedules of one owned entity, monitors their runs, and reports runs that are forecast
+ * to miss their deadline. Decisions are based on the known rows and the clock. Every step takes
+ * effect only through its transaction, which is conditional on the row's revision, so a decision
+ * based on an outdated row changes nothing.
  *
  * <p>Called on the event loop's thread by the {@link ScheduleRegistry}. After a crash the entity's
- * next owner goes on from the rows, which have all that is needed.
+ * next owner continues from the rows, which contain the complete state.
  */
 final class ScheduleTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleTrigger.class);
 
-  /** How often each schedule with open runs is checked. */
+  /** The interval at which each schedule with open runs is checked. */
   private static final long RUN_CHECK_INTERVAL_MILLIS = 2_000;
 
-  /** The delay before a step that could not be taken is tried again. */
+  /** The delay before a step that could not be taken is retried. */
   private static final long RETRY_DELAY_MILLIS = 1_000;
 
-  /** Runs of one schedule that are not over; what is due beyond that waits. */
+  /** The maximum number of open runs of one schedule; further due times wait until a run ends. */
   static final int MAX_OPEN_RUNS = 12;
 
-  /** Ended runs that a row keeps before they go into a history block. */
+  /** The number of ended runs at which a row's ended runs are moved to a history block. */
   static final int RUNS_PER_BLOCK = 16;
 
-  /** History blocks kept of a schedule; the oldest is deleted. */
+  /** The number of history blocks kept for a schedule; the oldest is deleted beyond that. */
   static final int MAX_HISTORY_BLOCKS = 64;
 
-  /** Steps of one tick: submissions and heartbeats are handled in between. */
+  /**
+   * The maximum number of steps of each kind in one tick, so that submissions and heartbeats are
+   * handled between the ticks.
+   */
   private static final int MAX_STEPS_PER_TICK = 50;
 
   private final Environment environment;
@@ -55,39 +58,52 @@
   private final PriorityQueue<ScheduleTimer> runCheckTimers = new PriorityQueue<>();
   private final ClockJumpGuard clockJumpGuard;
 
-  /** The edges: clocks, the state service, and what is known of jobs. */
+  /** Access to the clocks, the state service and the state of jobs. */
   interface Environment {
     long wallClockMillis();
 
     long monotonicMillis();
 
-    /** How many runs may be stored now without delaying other submissions. */
+    /** Returns how many runs may be stored now without delaying other submissions. */
     int availableRunSlots();
 
-    /** Stores a run's job with the next state of its schedule, by one transaction. */
+    /** Stores a run's job and the next state of its schedule's row in one transaction. */
     CompletableFuture<WriteOutcome> storeRun(ScheduleRow before, ScheduleRow next, JobSpec spec);
 
-    /** Stores the next state; {@code block}, if not null, with it as the block of a number. */
+    /**
+     * Stores the next state of a schedule's row.
+     *
+     * @param block a history block that is stored in the same transaction, under the number that
+     *     follows from the block count of {@code next}; null if there is none
+     * @param urgent whether the write has normal rather than background priority
+     */
     CompletableFuture<WriteOutcome> storeRow(
         ScheduleRow before, ScheduleRow next, ObjectNode block, boolean urgent);
 
-    /** What is known of a job for sure; null if it has to be looked up, which this begins. */
+    /**
+     * Returns the state of a job that is open here or is known to have ended. Otherwise starts a
+     * lookup and returns null; a later call returns the result.
+     */
     JobView findJobView(JobId id);
 
-    /** The progress of an open job; null if it is not open here. */
+    /** Returns the progress of an open job; null if the job is not open here. */
     RunProgress findRunProgress(JobId id);
   }
 
-  /** What a transaction came to. */
+  /**
+   * The outcome of a transaction.
+   *
+   * @param modRevision the row's new revision if the transaction was applied
+   */
   record WriteOutcome(WriteResult result, long modRevision) {}
 
   enum WriteResult {
     APPLIED,
-    /** The row has been changed by somebody else; the watch delivers the change. */
+    /** Another write has changed the row; the watch delivers the change. */
     CONFLICT
   }
 
-  /** When a schedule is to be looked at; those of equal time in the order of their deadlines. */
+  /** The time of a schedule's next step. Timers of equal time are ordered by deadline. */
   private record ScheduleTimer(long atMillis, long deadlineMillis, String name)
       implements Comparable<ScheduleTimer> {
     @Override
@@ -99,13 +115,13 @@
   }
 
   ScheduleTrigger(
-      Environment environment, Supplier<DayCalendar> dayCalendar, double clockBoundSeconds) {
+      Environment environment, Supplier<DayCalendar> dayCalendar, double clockErrorBoundSeconds) {
     this.environment = environment;
     this.dayCalendar = dayCalendar;
-    this.clockJumpGuard = new ClockJumpGuard(clockBoundSeconds);
+    this.clockJumpGuard = new ClockJumpGuard(clockErrorBoundSeconds);
   }
 
-  /** Takes a schedule's row over if it is newer than the known one. */
+  /** Replaces the known row of a schedule if the given one is newer. */
   void onRowChanged(ScheduleRow row) {
     ScheduleState schedule = schedulesByName.get(row.name());
     if (schedule == null) {
@@ -135,7 +151,7 @@
     }
   }
 
-  /** Plans all due times again after a change of local days. */
+  /** Recomputes the next due times of all schedules after a change of local days. */
   void onDaysChanged() {
     schedulesByName.values().forEach(this::planNextDue);
   }
@@ -159,7 +175,10 @@
     schedulesByName.remove(name);
   }
 
-  /** When the next step is due by the clock; for whoever skips idle time. */
+  /**
+   * Returns the wall-clock time of the next timer, {@link Long#MAX_VALUE} if there is none. It
+   * allows a caller to skip idle time.
+   */
   long nextStepAtMillis() {
     long first = dueTimers.isEmpty() ? Long.MAX_VALUE : dueTimers.peek().atMillis();
     return Math.min(
@@ -184,7 +203,7 @@
     while (remainingSteps > 0 && isFirstDue(dueTimers, nowMillis)) {
       remainingSteps--;
       ScheduleState schedule = schedulesByName.get(dueTimers.poll().name());
-      // Timers are not taken back when a schedule changes: one that means nothing now is passed.
+      // Timers are not removed when a schedule changes, so outdated timers are skipped here.
       if (schedule != null
           && !schedule.isWriteInFlight()
           && schedule.nextDueMillis() <= nowMillis) {
@@ -213,19 +232,19 @@
     return !timers.isEmpty() && timers.peek().atMillis() <= nowMillis;
   }
 
-  /** Settles the next due time: it gets its run, or a reason why not, or is tried again later. */
+  /** Fires a run for the next due time, records why it is skipped, or enqueues it for a retry. */
   private void settleNextDue(ScheduleState schedule, long nowMillis) {
     ScheduleRow row = schedule.row();
     ScheduleDefinition definition = schedule.definition();
     OverlapPolicy overlap = definition.overlap();
     long oldestDueMillis = nowMillis - (long) (1000 * definition.catchUpSeconds());
-    boolean unfinished = !row.openRuns().isEmpty();
+    boolean hasOpenRuns = !row.openRuns().isEmpty();
     if (schedule.nextDueMillis() < oldestDueMillis) {
       skipDueBefore(schedule, oldestDueMillis);
-    } else if (unfinished && overlap == OverlapPolicy.SKIP) {
+    } else if (hasOpenRuns && overlap == OverlapPolicy.SKIP) {
       long dueMillis = schedule.nextDueMillis();
       recordSkipped(schedule, dueMillis, dueMillis, 1, "the run before is not over");
-    } else if ((unfinished && overlap == OverlapPolicy.WAIT)
+    } else if ((hasOpenRuns && overlap == OverlapPolicy.WAIT)
         || row.openRuns().size() >= MAX_OPEN_RUNS) {
       enqueueDue(schedule, nowMillis + RUN_CHECK_INTERVAL_MILLIS);
     } else if (environment.availableRunSlots() <= 0) {
@@ -235,7 +254,7 @@
     }
   }
 
-  /** Settles all due times that are too old to be made up, by one write. */
+  /** Records in one write that all due times beyond the catch-up limit are skipped. */
   private void skipDueBefore(ScheduleState schedule, long oldestDueMillis) {
     ScheduleDefinition definition = schedule.definition();
     long lastMillis = schedule.nextDueMillis();
@@ -256,7 +275,7 @@
         schedule
             .row()
             .withChange(
-                row -> ScheduleRow.recordSkipped(row, firstMillis, lastMillis, count, reason)),
+                value -> ScheduleRow.recordSkipped(value, firstMillis, lastMillis, count, reason)),
         true);
   }
 
@@ -269,50 +288,56 @@
     } catch (ScheduleDefinition.InvalidDefinitionException exception) {
       throw new IllegalStateException(exception);
     }
-    ScheduleRow next = before.withChange(v -> ScheduleRow.recordFired(v, dueMillis, nowMillis));
+    ScheduleRow next =
+        before.withChange(value -> ScheduleRow.recordFired(value, dueMillis, nowMillis));
     schedule.onWriteStarted();
     Futures.logFailure(
         environment
             .storeRun(before, next, spec)
             .whenComplete(
-                (stored, failure) -> {
-                  LOG.debug("schedule {} due {}: {}", before.name(), dueMillis, stored);
-                  onWriteCompleted(schedule, next, stored, failure);
+                (outcome, failure) -> {
+                  LOG.debug(
+                      "schedule {}: write of the run due at {} completed: {}",
+                      before.name(),
+                      dueMillis,
+                      outcome);
+                  onWriteCompleted(schedule, next, outcome, failure);
                 }),
-        "fire a schedule");
+        "store a run of a schedule");
   }
 
   private void writeRow(ScheduleState schedule, ScheduleRow next, boolean urgent) {
     ScheduleRow before = schedule.row();
-    ScheduleRow archived = next;
+    ScheduleRow rowToStore = next;
     ObjectNode block = null;
     if (next.endedRuns().size() >= RUNS_PER_BLOCK) {
       block = RunHistoryCodec.encode(next.endedRuns());
-      archived =
+      rowToStore =
           next.withChange(
-              node -> {
-                node.putArray("past");
-                node.put("blocks", node.path("blocks").asInt() + 1);
+              value -> {
+                value.putArray("past");
+                value.put("blocks", value.path("blocks").asInt() + 1);
               });
     }
-    ScheduleRow stored = archived;
+    ScheduleRow storedRow = rowToStore;
     schedule.onWriteStarted();
     Futures.logFailure(
         environment
-            .storeRow(before, stored, block, urgent)
-            .whenComplete((result, failure) -> onWriteCompleted(schedule, stored, result, failure)),
-        "write a schedule's runs");
+            .storeRow(before, storedRow, block, urgent)
+            .whenComplete(
+                (outcome, failure) -> onWriteCompleted(schedule, storedRow, outcome, failure)),
+        "write the row of a schedule");
   }
 
   private void onWriteCompleted(
-      ScheduleState schedule, ScheduleRow next, WriteOutcome stored, Throwable failure) {
+      ScheduleState schedule, ScheduleRow next, WriteOutcome outcome, Throwable failure) {
     schedule.onWriteCompleted();
-    if (failure == null && stored.result() == WriteResult.APPLIED) {
-      if (stored.modRevision() > schedule.row().modRevision()) {
-        replaceRow(schedule, next.withModRevision(stored.modRevision()));
+    if (failure == null && outcome.result() == WriteResult.APPLIED) {
+      if (outcome.modRevision() > schedule.row().modRevision()) {
+        replaceRow(schedule, next.withModRevision(outcome.modRevision()));
       }
     } else if (schedule.hasNextDue()) {
-      // If the row was changed, the watch delivers it; until then a new try would fail as well.
+      // After a conflict the watch delivers the changed row; a retry before that fails as well.
       enqueueDue(
           schedule,
           Math.max(schedule.nextDueMillis(), environment.wallClockMillis() + RETRY_DELAY_MILLIS));
@@ -320,7 +345,11 @@
     enqueueRunCheck(schedule);
   }
 
-  /** Checks a schedule's runs up to the first that leads to a write; true if one does. */
+  /**
+   * Checks a schedule's open runs up to the first one that requires a write, and starts the write.
+   *
+   * @return whether a write was started
+   */
   private boolean checkRuns(ScheduleState schedule, long nowMillis) {
     for (Run run : schedule.row().openRuns()) {
       JobId id = ScheduleRow.runJobId(schedule.row().uid(), run.dueMillis());
@@ -335,7 +364,8 @@
             schedule
                 .row()
                 .withChange(
-                    v -> ScheduleRow.recordEnded(v, run.dueMillis(), nowMillis, outcome, late)),
+                    value ->
+                        ScheduleRow.recordEnded(value, run.dueMillis(), nowMillis, outcome, late)),
             false);
         return true;
       }
@@ -353,7 +383,12 @@
     return false;
   }
 
-  /** Writes a report of a miss, of its change or of its recovery; true if there is one to write. */
+  /**
+   * Writes a report if the run is forecast to miss its deadline, if an earlier report needs an
+   * update, or if the report is to be withdrawn.
+   *
+   * @return whether a write was started
+   */
   private boolean reportForecast(
       ScheduleState schedule, Run run, long nowMillis, long forecastMillis, long deadlineMillis) {
     DeadlineReport.Assessment assessment =
@@ -368,22 +403,24 @@
     }
     ObjectNode report = DeadlineReport.toJson(run, nowMillis, forecastMillis, assessment);
     LOG.info(
-        "schedule {} due {}: {}",
+        "schedule {}: the run due at {} {}",
         schedule.row().name(),
         Instant.ofEpochMilli(run.dueMillis()),
         assessment.recovered()
-            ? "it will be in time after all"
-            : "it will miss its deadline " + Instant.ofEpochMilli(deadlineMillis));
+            ? "is forecast to meet its deadline again; its report is withdrawn"
+            : "is late: it is forecast to end after its deadline "
+                + Instant.ofEpochMilli(deadlineMillis));
     writeRow(
         schedule,
         schedule
             .row()
-            .withChange(row -> ScheduleRow.runEntry(row, run.dueMillis()).set("report", report)),
+            .withChange(
+                value -> ScheduleRow.runEntry(value, run.dueMillis()).set("report", report)),
         true);
     return true;
   }
 
-  /** Rows with a report that was not withdrawn. */
+  /** Returns the rows of schedules that have a report which was not withdrawn. */
   List<ScheduleRow> findSchedulesWithOpenReports() {
     return schedulesByName.values().stream()
         .map(ScheduleState::row)
