--- a/src/main/java/io/violetrail/calendar/CalendarExpression.java
+++ b/src/main/java/io/violetrail/calendar/CalendarExpression.java
@@ -20,15 +20,18 @@
 import org.antlr.v4.runtime.Recognizer;
 
 /**
- * When something is due: times of day on days of a calendar. Plain and immutable; days are looked
- * up in what is handed in.
+ * A parsed expression of due times: times of day on days of a calendar. Immutable; holidays and
+ * local days are looked up in the {@link DayCalendar} that the caller passes.
  *
- * <p>Local times become instants by one rule. A time that daylight saving skips is due at the end
- * of the gap; one that comes twice is due the first time. Times that become the same instant are
- * one.
+ * <p>Local times are converted to instants as follows. A time that a change to daylight saving time
+ * skips is due at the end of the gap. A time that occurs twice is due at its first occurrence.
+ * Times that are converted to the same instant are one due time.
  */
 public final class CalendarExpression {
-  /** From one 29 February to the next at most, across a century without one, is eight years. */
+  /**
+   * Eight years: the longest interval between two days 29 February, across a century year that is
+   * not a leap year.
+   */
   static final int MAX_LOOKAHEAD_DAYS = 8 * 366 + 1;
 
   private static final int MAX_LENGTH = 1_000;
@@ -42,7 +45,7 @@
     this.rules = rules;
   }
 
-  /** A text that is no expression, with line, column and what was expected there. */
+  /** Thrown for an invalid expression; the message names the line, the column and what is wrong. */
   public static final class MalformedExpressionException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
@@ -51,18 +54,24 @@
     }
   }
 
-  /** Some times on some days; {@code intervalMinutes} above 0 instead: counted from midnight. */
+  /**
+   * Due times on the days that a day rule matches.
+   *
+   * @param times the times of day; empty if an interval is used
+   * @param intervalMinutes the interval of due times, counted from midnight; 0 if times are used
+   */
   record Rule(List<LocalTime> times, int intervalMinutes, DayRule dayRule) {}
 
   /**
    * Parses a calendar expression.
    *
    * @throws MalformedExpressionException if the text is too long, does not follow the grammar or
-   *     can never match
+   *     contains a value out of range
    */
   public static CalendarExpression parse(String text) throws MalformedExpressionException {
     if (text.length() > MAX_LENGTH) {
-      throw new MalformedExpressionException("longer than " + MAX_LENGTH + " characters");
+      throw new MalformedExpressionException(
+          "the expression has " + text.length() + " characters; the limit is " + MAX_LENGTH);
     }
     List<String> errors = new ArrayList<>();
     BaseErrorListener listener =
@@ -96,12 +105,16 @@
     return text;
   }
 
-  /** Names of holiday regions and local days that it speaks of. */
+  /** Adds the holiday regions and the names of local days that the expression refers to. */
   public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
-    rules.forEach(r -> r.dayRule().collectReferences(regions, dayNames));
+    rules.forEach(rule -> rule.dayRule().collectReferences(regions, dayNames));
   }
 
-  /** The first due instant after another; null if there is none within eight years. */
+  /**
+   * Returns the first due instant after the given one; null if there is none within eight years.
+   *
+   * @param region the region whose holidays are not workdays; null if no holidays apply
+   */
   public Instant findNextDue(Instant after, ZoneId zone, String region, DayCalendar dayCalendar) {
     LocalDate day = after.atZone(zone).toLocalDate().minusDays(1);
     for (int i = 0; i < MAX_LOOKAHEAD_DAYS; i++, day = day.plusDays(1)) {
@@ -114,7 +127,11 @@
     return null;
   }
 
-  /** The due instants of a local day, in order. */
+  /**
+   * Returns the due instants of a local day in ascending order.
+   *
+   * @param region the region whose holidays are not workdays; null if no holidays apply
+   */
   public TreeSet<Instant> dueTimesOn(
       LocalDate day, ZoneId zone, String region, DayCalendar dayCalendar) {
     TreeSet<Instant> dueTimes = new TreeSet<>();
@@ -122,7 +139,7 @@
       if (!rule.dayRule().matches(day, region, dayCalendar)) {
         continue;
       }
-      rule.times().forEach(t -> dueTimes.add(toInstant(day.atTime(t), zone)));
+      rule.times().forEach(time -> dueTimes.add(toInstant(day.atTime(time), zone)));
       if (rule.intervalMinutes() > 0) {
         for (int minute = 0; minute < MINUTES_PER_DAY; minute += rule.intervalMinutes()) {
           dueTimes.add(toInstant(day.atStartOfDay().plusMinutes(minute), zone));
@@ -138,14 +155,14 @@
       ZoneOffsetTransition gap = zone.getRules().getTransition(local);
       return gap.getInstant();
     }
-    // In an overlap the first is the earlier instant.
+    // In an overlap the first offset gives the earlier instant.
     return local.toInstant(offsets.get(0));
   }
 
-  /** Why a day is due or is not, for people. */
+  /** Returns a human-readable explanation of why a day is due or not. */
   public String explain(LocalDate day, String region, DayCalendar dayCalendar) {
     return rules.stream()
-        .map(r -> r.dayRule().explain(day, region, dayCalendar))
+        .map(rule -> rule.dayRule().explain(day, region, dayCalendar))
         .collect(Collectors.joining("; "));
   }
 }
--- a/src/main/java/io/violetrail/calendar/ClockJumpGuard.java
+++ b/src/main/java/io/violetrail/calendar/ClockJumpGuard.java
@@ -4,45 +4,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices jumps of the time of day against the steady clock. After a jump beyond the bound that the
- * settings state, the time of day is not trusted for a moment: it may jump back, and schedules
- * would have fired too early. Exactly one run of each due time does not depend on this, since a
- * schedule's cursor only advances.
+ * Detects jumps of the wall clock relative to the monotonic clock. After a jump beyond the clock
+ * error bound of the settings, the wall clock is not trusted for 5 s: it may jump back, and
+ * schedules would have been fired too early. The guarantee of exactly one run for each due time
+ * does not depend on this guard, since a schedule's cursor only advances.
  */
 final class ClockJumpGuard {
   private static final Logger LOG = LoggerFactory.getLogger(ClockJumpGuard.class);
-  private static final long DISTRUST_MILLIS = 5_000;
+  private static final long UNTRUSTED_PERIOD_MILLIS = 5_000;
 
-  /** What two looks at the clocks may differ by beyond the bound on the time of day. */
+  /** The allowed change of the clocks' offset between two readings, beyond the error bound. */
   private static final long TOLERANCE_MILLIS = 1_000;
 
-  private final long maxStepMillis;
+  private final long maxOffsetChangeMillis;
   private long offsetMillis;
   private boolean offsetKnown;
-  private long distrustedUntilMonotonicMillis;
+  private long untrustedUntilMonotonicMillis;
 
   /**
-   * Starts without a known offset.
+   * Creates a guard without a known offset; the first reading is never a jump.
    *
-   * @param clockBoundSeconds how far the time of day may be wrong, either way
+   * @param clockErrorBoundSeconds the maximum error of the wall clock in either direction
    */
-  ClockJumpGuard(double clockBoundSeconds) {
-    // The two clocks may part by twice the bound in one step: from one end of it to the other.
-    this.maxStepMillis = (long) (2_000 * clockBoundSeconds) + TOLERANCE_MILLIS;
+  ClockJumpGuard(double clockErrorBoundSeconds) {
+    // The offset may change by twice the bound: from one end of the error range to the other.
+    this.maxOffsetChangeMillis = (long) (2_000 * clockErrorBoundSeconds) + TOLERANCE_MILLIS;
   }
 
-  /** Takes a look at both clocks; false for a moment after a jump. */
+  /**
+   * Records a reading of both clocks.
+   *
+   * @return false if this reading shows a jump, or for 5 s of monotonic time after one
+   */
   boolean isTrusted(long wallClockMillis, long monotonicMillis) {
     long newOffsetMillis = wallClockMillis - monotonicMillis;
-    if (offsetKnown && Math.abs(newOffsetMillis - offsetMillis) > maxStepMillis) {
+    if (offsetKnown && Math.abs(newOffsetMillis - offsetMillis) > maxOffsetChangeMillis) {
       LOG.info(
-          "the time of day jumped by {} ms: no schedule is fired for {} ms",
+          "the wall clock jumped by {} ms; no schedule is fired for the next {} ms",
           newOffsetMillis - offsetMillis,
-          DISTRUST_MILLIS);
-      distrustedUntilMonotonicMillis = monotonicMillis + DISTRUST_MILLIS;
+          UNTRUSTED_PERIOD_MILLIS);
+      untrustedUntilMonotonicMillis = monotonicMillis + UNTRUSTED_PERIOD_MILLIS;
     }
     offsetMillis = newOffsetMillis;
     offsetKnown = true;
-    return monotonicMillis >= distrustedUntilMonotonicMillis;
+    return monotonicMillis >= untrustedUntilMonotonicMillis;
   }
 }
--- a/src/main/java/io/violetrail/calendar/CompletionForecast.java
+++ b/src/main/java/io/violetrail/calendar/CompletionForecast.java
@@ -1,43 +1,46 @@
 package io.violetrail.calendar;
 
-/** When a run will be done, by what is seen of it. A plain decision. */
+/** Forecasts the completion time of a run from its progress. Stateless. */
 final class CompletionForecast {
-  /** A task that runs longer than expected is taken to go on for this part of its age. */
+  /**
+   * A task that has run longer than expected is assumed to continue for this fraction of its age.
+   */
   private static final double OVERRUN_FRACTION = 0.1;
 
   private CompletionForecast() {}
 
   /**
-   * What is seen of a run.
+   * The observed progress of a run.
    *
-   * @param averageAgeSeconds for how long its running tasks have run on average
-   * @param runtimeSeconds how long a task runs, by its estimate and what was observed of its class
-   * @param startDelaySeconds how long a task waits that is to start now
+   * @param averageAgeSeconds how long the running tasks have run on average; 0 if none is running
+   * @param expectedRuntimeSeconds the expected runtime of a task, from its estimate and the
+   *     observed runtimes of its job class
+   * @param startDelaySeconds the expected delay until a task that is to start now runs
    */
   record RunProgress(
       int taskCount,
       int doneCount,
       int runningCount,
       double averageAgeSeconds,
-      double runtimeSeconds,
+      double expectedRuntimeSeconds,
       double startDelaySeconds) {}
 
   static long completionMillis(long nowMillis, RunProgress progress) {
-    int remaining = progress.taskCount() - progress.doneCount();
-    if (remaining <= 0) {
+    int remainingTasks = progress.taskCount() - progress.doneCount();
+    if (remainingTasks <= 0) {
       return nowMillis;
     }
     double remainingSeconds;
     if (progress.runningCount() == 0) {
-      remainingSeconds = progress.startDelaySeconds() + progress.runtimeSeconds();
+      remainingSeconds = progress.startDelaySeconds() + progress.expectedRuntimeSeconds();
     } else {
-      int waiting = remaining - progress.runningCount();
-      double rounds = Math.ceil(waiting / (double) progress.runningCount());
+      int waitingTasks = remainingTasks - progress.runningCount();
+      double rounds = Math.ceil(waitingTasks / (double) progress.runningCount());
       remainingSeconds =
           Math.max(
-                  progress.runtimeSeconds() - progress.averageAgeSeconds(),
+                  progress.expectedRuntimeSeconds() - progress.averageAgeSeconds(),
                   OVERRUN_FRACTION * progress.averageAgeSeconds())
-              + rounds * progress.runtimeSeconds();
+              + rounds * progress.expectedRuntimeSeconds();
     }
     return nowMillis + (long) (1000 * remainingSeconds);
   }
--- a/src/main/java/io/violetrail/calendar/DayCalendar.java
+++ b/src/main/java/io/violetrail/calendar/DayCalendar.java
@@ -5,25 +5,32 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What days are called: holidays of regions, and local days that operators keep as data. */
+/** Provides the holidays of regions, and the named local days that operators store. */
 public interface DayCalendar {
-  /** Whether it is a holiday of a region such as {@code de} or {@code de-by}. */
+  /** Returns whether the day is a holiday of a region such as {@code de} or {@code de-by}. */
   boolean isHoliday(String region, LocalDate day);
 
-  /** Whether the region is known. */
   boolean isKnownRegion(String region);
 
-  /** The days kept under a name; null if there are none under it. */
+  /** Returns the local days stored under a name; null if there are none. */
   Set<LocalDate> findNamedDays(String name);
 
-  /** Monday to Friday, unless it is a holiday of the region; null: there are none. */
+  /**
+   * Returns whether the day is Monday to Friday and not a holiday of the region.
+   *
+   * @param region null if no holidays apply
+   */
   default boolean isWorkday(String region, LocalDate day) {
     DayOfWeek dayOfWeek = day.getDayOfWeek();
     boolean weekend = dayOfWeek == DayOfWeek.SATURDAY || dayOfWeek == DayOfWeek.SUNDAY;
     return !weekend && (region == null || !isHoliday(region, day));
   }
 
-  /** Days by names, with the holidays of a library. */
+  /**
+   * Returns a calendar of public holidays and local days.
+   *
+   * @param namedDays the local days by name; later changes of the map take effect
+   */
   static DayCalendar of(PublicHolidays holidays, Map<String, Set<LocalDate>> namedDays) {
     return new DayCalendar() {
       @Override
--- a/src/main/java/io/violetrail/calendar/DayRule.java
+++ b/src/main/java/io/violetrail/calendar/DayRule.java
@@ -8,16 +8,23 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Which days. Plain decisions on a day and what days are called. */
+/**
+ * A rule that selects days. Stateless: the result depends only on the arguments. The {@code region}
+ * arguments name the region whose holidays are not workdays; null means that no holidays apply.
+ */
 interface DayRule {
   boolean matches(LocalDate day, String region, DayCalendar dayCalendar);
 
-  /** Why it matches or does not. */
+  /** Returns a human-readable explanation of why the day matches or does not. */
   String explain(LocalDate day, String region, DayCalendar dayCalendar);
 
   default void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {}
 
-  /** A simple rule with a name for people. */
+  /**
+   * A rule defined by a predicate.
+   *
+   * @param description completes the sentence "the day is ..." in explanations
+   */
   record PredicateRule(String description, DayPredicate predicate) implements DayRule {
     interface DayPredicate {
       boolean test(LocalDate day, String region, DayCalendar dayCalendar);
@@ -59,7 +66,12 @@
             day.getDayOfMonth() == dayOfMonth && months.contains(day.getMonth()));
   }
 
-  /** The n-th (0: the last) day of its kind in its month; a kind is null for any day. */
+  /**
+   * Returns a rule that matches the n-th day of a kind in each of the given months.
+   *
+   * @param ordinal the number of the day from 1; 0 for the last day of the kind
+   * @param kind the days that are counted
+   */
   static DayRule nthOfMonth(int ordinal, PredicateRule kind, Set<Month> months) {
     return new PredicateRule(
         (ordinal == 0 ? "the last" : "number " + ordinal)
@@ -80,7 +92,11 @@
         });
   }
 
-  /** Holidays of a region. */
+  /**
+   * A rule that matches the holidays of a region.
+   *
+   * @param holidayRegion the region, regardless of the one whose holidays are not workdays
+   */
   record RegionHolidays(String holidayRegion) implements DayRule {
     @Override
     public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
@@ -101,7 +117,7 @@
     }
   }
 
-  /** Days that are kept under a name; none if nothing is. */
+  /** A rule that matches the local days stored under a name; no day if there are none. */
   record NamedDays(String name) implements DayRule {
     @Override
     public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
@@ -124,14 +140,19 @@
     }
   }
 
-  /** So many days or workdays before (negative) or after another rule's days. */
+  /**
+   * A rule that matches days at an offset from the days of another rule.
+   *
+   * @param offset the number of days; negative for days before those of the base rule
+   * @param countsWorkdays whether only workdays are counted
+   */
   record ShiftedDays(DayRule base, int offset, boolean countsWorkdays) implements DayRule {
     @Override
     public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
       if (countsWorkdays && !dayCalendar.isWorkday(region, day)) {
         return false;
       }
-      // Every base day from which so many steps lead here.
+      // Walks back from the day to each base day from which the offset leads to it.
       LocalDate candidate = day;
       int remaining = Math.abs(offset);
       int step = offset < 0 ? 1 : -1;
@@ -141,7 +162,8 @@
           remaining--;
           continue;
         }
-        // Days between two workdays lead to the same one as the nearer workday's end.
+        // In the last step, every day up to and including the next workday counts as a base day:
+        // counting workdays from any of them leads to the same workday.
         if (remaining == 1 && base.matches(candidate, region, dayCalendar)) {
           return true;
         }
@@ -166,12 +188,12 @@
     }
   }
 
-  /** Any of these, and none of those. */
+  /** A rule that matches days that any included rule and no excluded rule matches. */
   record DaySelection(List<DayRule> included, List<DayRule> excluded) implements DayRule {
     @Override
     public boolean matches(LocalDate day, String region, DayCalendar dayCalendar) {
-      return included.stream().anyMatch(r -> r.matches(day, region, dayCalendar))
-          && excluded.stream().noneMatch(r -> r.matches(day, region, dayCalendar));
+      return included.stream().anyMatch(rule -> rule.matches(day, region, dayCalendar))
+          && excluded.stream().noneMatch(rule -> rule.matches(day, region, dayCalendar));
     }
 
     @Override
@@ -187,13 +209,13 @@
         }
       }
       return String.join(
-          ", ", included.stream().map(r -> r.explain(day, region, dayCalendar)).toList());
+          ", ", included.stream().map(rule -> rule.explain(day, region, dayCalendar)).toList());
     }
 
     @Override
     public void collectReferences(TreeSet<String> regions, TreeSet<String> dayNames) {
-      included.forEach(r -> r.collectReferences(regions, dayNames));
-      excluded.forEach(r -> r.collectReferences(regions, dayNames));
+      included.forEach(rule -> rule.collectReferences(regions, dayNames));
+      excluded.forEach(rule -> rule.collectReferences(regions, dayNames));
     }
   }
 }
--- a/src/main/java/io/violetrail/calendar/DeadlineReport.java
+++ b/src/main/java/io/violetrail/calendar/DeadlineReport.java
@@ -4,29 +4,37 @@
 import io.violetrail.calendar.ScheduleRow.Run;
 import io.violetrail.wire.Cbor;
 
-/** When a run's operators are told that it will miss its deadline, and in which stored form. */
+/**
+ * Decides when to report that a run is forecast to miss its deadline or has missed it, and encodes
+ * the report in its stored form.
+ */
 final class DeadlineReport {
-  /** A miss that becomes this much worse is reported again. */
+  /** A report is repeated when the forecast gets worse than the reported one by more than this. */
   private static final long REREPORT_THRESHOLD_MILLIS = 60_000;
 
   /**
-   * A report is withdrawn once the run is expected this part of its time to the deadline before the
-   * deadline: without a margin a forecast at the edge would report and withdraw in turn.
+   * A report is withdrawn once the forecast completion precedes the deadline by at least this
+   * fraction of the time from the due time to the deadline. Without a margin, a forecast close to
+   * the deadline would cause alternating reports and withdrawals.
    */
   private static final double RECOVERY_MARGIN_FRACTION = 0.05;
 
   private DeadlineReport() {}
 
   /**
-   * What a forecast means for a run's report.
+   * The consequences of a forecast for a run's report.
    *
-   * @param reportDue whether anything new is to be reported
+   * @param reportDue whether a new or changed report is to be written
    * @param recovered whether an open report is to be withdrawn
-   * @param deadlinePassed whether the deadline is over
+   * @param deadlinePassed whether the deadline has passed
    */
   record Assessment(boolean reportDue, boolean recovered, boolean deadlinePassed) {}
 
-  /** Compares a run's forecast with its deadline and its last report. */
+  /**
+   * Compares a run's forecast with its deadline and its last report.
+   *
+   * @param secondsToDeadline the time from the run's due time to its deadline
+   */
   static Assessment assess(
       Run run, long nowMillis, long forecastMillis, long deadlineMillis, double secondsToDeadline) {
     boolean late = forecastMillis > deadlineMillis;
@@ -46,7 +54,10 @@
     return new Assessment(worse || missed || recovered, recovered, deadlinePassed);
   }
 
-  /** The report as a run's entry in its row has it. */
+  /**
+   * Returns the report in its stored form: {@code at} is the time of the first report, {@code said}
+   * that of this one, {@code done} the forecast completion.
+   */
   static ObjectNode toJson(Run run, long nowMillis, long forecastMillis, Assessment assessment) {
     long firstReportedMillis = run.hasOpenReport() ? run.report().path("at").asLong() : nowMillis;
     return Cbor.newMap()
--- a/src/main/java/io/violetrail/calendar/ExpressionParser.java
+++ b/src/main/java/io/violetrail/calendar/ExpressionParser.java
@@ -33,7 +33,10 @@
 import java.util.Set;
 import org.antlr.v4.runtime.Token;
 
-/** Turns the parser's tree into rules; what the grammar lets through and has no meaning is said. */
+/**
+ * Converts the parse tree of a calendar expression to rules. Rejects values that the grammar
+ * accepts but that are out of range.
+ */
 final class ExpressionParser {
   private static final int MAX_SHIFT_DAYS = 60;
 
@@ -62,7 +65,7 @@
     int value =
         token.getText().length() > 6 ? Integer.MAX_VALUE : Integer.parseInt(token.getText());
     if (value < min || value > max) {
-      throw errorAt(token, "is no " + quantityName + ": expected " + min + " to " + max);
+      throw errorAt(token, "is not a valid " + quantityName + ": expected " + min + " to " + max);
     }
     return value;
   }
@@ -73,21 +76,21 @@
       for (var time : atTimes.TIME()) {
         try {
           times.add(LocalTime.parse(time.getText()));
-        } catch (DateTimeException everySpan) {
-          throw errorAt(time.getSymbol(), "is no time of day: expected 00:00 to 23:59");
+        } catch (DateTimeException exception) {
+          throw errorAt(time.getSymbol(), "is not a time of day: expected 00:00 to 23:59");
         }
       }
       return new Rule(times, 0, parseDays(atTimes.days()));
     }
     EverySpanContext everySpan = (EverySpanContext) dueRule;
-    boolean hours = everySpan.unit.getType() == CalendarParser.HOURS;
+    boolean unitIsHours = everySpan.unit.getType() == CalendarParser.HOURS;
     int interval =
         parseNumber(
             everySpan.INT().getSymbol(),
             1,
-            hours ? 24 : 24 * 60,
+            unitIsHours ? 24 : 24 * 60,
             "number of " + everySpan.unit.getText());
-    return new Rule(List.of(), hours ? 60 * interval : interval, parseDays(everySpan.days()));
+    return new Rule(List.of(), unitIsHours ? 60 * interval : interval, parseDays(everySpan.days()));
   }
 
   private DayRule parseDays(DaysContext context) throws MalformedExpressionException {
@@ -133,7 +136,7 @@
               : nthOfMonth.which.getText().charAt(0) - '0';
       return DayRule.nthOfMonth(
           ordinal,
-          (DayRule.PredicateRule) dayKind(nthOfMonth.what),
+          (DayRule.PredicateRule) parseDayKind(nthOfMonth.what),
           parseMonths(nthOfMonth.months()));
     } else if (base instanceof DayOfMonthContext dayOfMonth) {
       return DayRule.dayOfMonth(
@@ -147,13 +150,13 @@
       try {
         return DayRule.onDate(LocalDate.parse(date.DATE().getText()));
       } catch (DateTimeException exception) {
-        throw errorAt(date.DATE().getSymbol(), "is no date: expected YEAR-MONTH-DAY");
+        throw errorAt(date.DATE().getSymbol(), "is not a date: expected YEAR-MONTH-DAY");
       }
     }
     return DayRule.everyDay();
   }
 
-  private static DayRule dayKind(Token what) {
+  private static DayRule parseDayKind(Token what) {
     return switch (what.getType()) {
       case CalendarParser.WORKDAY -> DayRule.workdays();
       case CalendarParser.WEEKDAY -> DayRule.onWeekday(parseWeekday(what));
@@ -173,7 +176,7 @@
     Set<Month> months = EnumSet.noneOf(Month.class);
     context
         .MONTHNAME()
-        .forEach(n -> months.add(Month.valueOf(n.getText().toUpperCase(Locale.ROOT))));
+        .forEach(name -> months.add(Month.valueOf(name.getText().toUpperCase(Locale.ROOT))));
     return months.isEmpty() ? EnumSet.allOf(Month.class) : months;
   }
 }
--- a/src/main/java/io/violetrail/calendar/LocalDaysResource.java
+++ b/src/main/java/io/violetrail/calendar/LocalDaysResource.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * Named sets of local days for their operators. Reads give what this controller knows; writes go to
- * the state service, and every controller's schedules follow the stored sets.
+ * The operators' API for named sets of local days. Reads return the sets known to this controller.
+ * Writes go to the state service, and the schedules of every controller follow the stored sets.
  */
 final class LocalDaysResource {
   private static final int MAX_DATES = 600;
@@ -31,15 +31,17 @@
   }
 
   /**
-   * Serves a request for one set of days.
+   * Handles a request for one set of days.
    *
    * @throws KubernetesJson.MalformedRequestException if the body is not a JSON object
-   * @throws InvalidDefinitionException if it is not a list of dates
+   * @throws InvalidDefinitionException if the body is not a valid list of dates
    */
   void handle(String method, String name, byte[] body, Consumer<HttpAnswer> responder)
       throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
     if (!name.matches(ScheduleApi.NAME_PATTERN)) {
-      responder.accept(JsonAnswers.error(404, "no such path"));
+      responder.accept(
+          JsonAnswers.error(
+              404, "invalid name of local days: must match " + ScheduleApi.NAME_PATTERN));
       return;
     }
     String key = ScheduleRow.CALENDAR_KEY_PREFIX + name;
@@ -51,14 +53,15 @@
               new Transaction().put(key, validateDates(KubernetesJson.parse(body))),
               responder);
       case "DELETE" -> store(name, new Transaction().delete(key), responder);
-      default -> responder.accept(JsonAnswers.error(405, "GET, PUT and DELETE are served"));
+      default ->
+          responder.accept(JsonAnswers.error(405, "method not allowed: use GET, PUT or DELETE"));
     }
   }
 
   private void show(String name, Consumer<HttpAnswer> responder) {
     Set<LocalDate> dates = scheduleRegistry.dayCalendar().findNamedDays(name);
     if (dates == null) {
-      responder.accept(JsonAnswers.error(404, "no days are kept under this name"));
+      responder.accept(JsonAnswers.error(404, "there are no local days named " + name));
       return;
     }
     ObjectNode json = Cbor.newMap().put("name", name);
@@ -66,7 +69,7 @@
     responder.accept(JsonAnswers.of(200, json));
   }
 
-  /** A repeated write does no harm: it replaces the whole set by the same one. */
+  /** Sends the write. It replaces the whole set, so repeating a request is harmless. */
   private void store(String name, Transaction transaction, Consumer<HttpAnswer> responder) {
     Futures.logFailure(
         store
@@ -75,23 +78,30 @@
                 (outcome, failure) ->
                     responder.accept(
                         failure != null
-                            ? JsonAnswers.error(503, "the days could not be stored")
+                            ? JsonAnswers.error(
+                                503,
+                                "the state service did not confirm the write; repeat the request")
                             : JsonAnswers.of(200, Cbor.newMap().put("name", name)))),
         "store local days");
   }
 
   private static ObjectNode validateDates(ObjectNode json) throws InvalidDefinitionException {
     if (json.size() != 1 || !json.path("dates").isArray()) {
-      throw new InvalidDefinitionException(400, "dates", "must be the only field, and a list");
+      throw new InvalidDefinitionException(
+          400, "dates", "must be the only field and must be a list of dates");
     }
     if (json.get("dates").size() > MAX_DATES) {
-      throw new InvalidDefinitionException(422, "dates", "must be at most " + MAX_DATES);
+      throw new InvalidDefinitionException(
+          422,
+          "dates",
+          "must have at most " + MAX_DATES + " entries; got " + json.get("dates").size());
     }
-    for (JsonNode node : json.get("dates")) {
+    for (JsonNode date : json.get("dates")) {
       try {
-        LocalDate.parse(node.asText());
+        LocalDate.parse(date.asText());
       } catch (DateTimeException exception) {
-        throw new InvalidDefinitionException(400, "dates", "'" + node.asText() + "' is no date");
+        throw new InvalidDefinitionException(
+            400, "dates", "'" + date.asText() + "' is not a date: expected YEAR-MONTH-DAY");
       }
     }
     return json;
--- a/src/main/java/io/violetrail/calendar/PublicHolidays.java
+++ b/src/main/java/io/violetrail/calendar/PublicHolidays.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Public holidays from Jollyday, kept by region and year. */
+/** Public holidays from the Jollyday library, cached by region and year. */
 public final class PublicHolidays {
-  /** Some dozen days each. */
-  private static final int MAX_CACHED_YEARS = 500;
+  /** The maximum number of cached sets; each set has about a dozen days. */
+  private static final int MAX_CACHED_REGION_YEARS = 500;
 
   private final Map<String, HolidayManager> managersByCountry = new HashMap<>();
   private final Cache<String, Set<LocalDate>> holidaysByRegionAndYear =
-      CacheBuilder.newBuilder().maximumSize(MAX_CACHED_YEARS).build();
+      CacheBuilder.newBuilder().maximumSize(MAX_CACHED_REGION_YEARS).build();
 
   boolean isKnownRegion(String region) {
     try {
@@ -56,6 +56,6 @@
   private HolidayManager managerFor(String country) {
     return managersByCountry.computeIfAbsent(
         country.toLowerCase(Locale.ROOT),
-        c -> HolidayManager.getInstance(ManagerParameters.create(c)));
+        lowerCaseCountry -> HolidayManager.getInstance(ManagerParameters.create(lowerCaseCountry)));
   }
 }
--- a/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
+++ b/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
@@ -15,11 +15,13 @@
 import org.tukaani.xz.XZOutputStream;
 
 /**
- * Blocks of ended runs: XZ, which checks what it unpacks, in the text that the state service's
- * values allow. What does not unpack whole, or holds another number of runs than it says, is torn.
+ * Encodes and decodes history blocks of ended runs. A block is compressed with XZ, whose checksum
+ * is verified on decompression, and stored as Base64, since the state service's values allow only
+ * text. A block that cannot be decompressed completely, or whose number of runs differs from its
+ * stored count, is corrupt.
  */
 final class RunHistoryCodec {
-  /** A block is a few KiB; the smallest dictionary is enough, and costs the least memory. */
+  /** A block is a few KiB, so the smallest dictionary suffices; it uses the least memory. */
   private static final int DICTIONARY_BYTES = LZMA2Options.DICT_SIZE_MIN;
 
   private static final int MAX_MEMORY_KIB = 4 * 1024;
@@ -27,7 +29,7 @@
 
   private RunHistoryCodec() {}
 
-  /** A block that cannot be read. */
+  /** Thrown for a block that is missing or cannot be decoded. */
   static final class CorruptBlockException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
@@ -60,16 +62,19 @@
           new XZInputStream(new ByteArrayInputStream(compressed), MAX_MEMORY_KIB)) {
         bytes = xz.readNBytes(MAX_DECODED_BYTES);
         if (xz.read() >= 0) {
-          throw new CorruptBlockException("the block is too long");
+          throw new CorruptBlockException(
+              "the decompressed block exceeds " + MAX_DECODED_BYTES + " bytes");
         }
       }
       JsonNode runs = Cbor.parse(bytes).get("runs");
       if (!(runs instanceof ArrayNode runList) || runList.size() != block.path("count").asInt(-1)) {
-        throw new CorruptBlockException("the block holds another number of runs than it says");
+        throw new CorruptBlockException(
+            "the block's runs are missing or their number differs from the stored count");
       }
       return runList;
     } catch (IOException | IllegalArgumentException | Cbor.MalformedMessageException exception) {
-      throw new CorruptBlockException("the block does not unpack: " + exception.getMessage());
+      throw new CorruptBlockException(
+          "the block cannot be decompressed and parsed: " + exception.getMessage());
     }
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -14,23 +14,24 @@
 import java.util.function.Consumer;
 
 /**
- * Schedules and local days for their operators, in JSON, at any controller. Routes requests to
- * {@link ScheduleQueries}, {@link ScheduleEditor} and {@link LocalDaysResource} and answers what
- * they refuse. Called on the event loop's thread; keeps nothing between requests.
+ * The operators' JSON API for schedules and local days, which every controller serves. Routes
+ * requests to {@link ScheduleQueries}, {@link ScheduleEditor} and {@link LocalDaysResource}, and
+ * answers requests that they reject. Called on the event loop's thread; keeps no state between
+ * requests.
  */
 public final class ScheduleApi implements RequestHandler {
   private static final String SCHEDULES_PATH = "/schedules";
   private static final String CALENDARS_PATH = "/calendars/";
   private static final String REPORTS_PATH = "/reports";
 
-  /** The form of schedules' names and of those of local days. */
+  /** The pattern that the names of schedules and of local days match. */
   static final String NAME_PATTERN = "[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?";
 
   private final ScheduleQueries queries;
   private final ScheduleEditor editor;
   private final LocalDaysResource localDays;
 
-  /** Serves what is stored, and what the registry here knows. */
+  /** Creates the API on the stored rows and this controller's registry. */
   public ScheduleApi(
       EventLoop loop,
       Random random,
@@ -55,7 +56,7 @@
     this.localDays = new LocalDaysResource(store, scheduleRegistry);
   }
 
-  /** Whether a path is served here. */
+  /** Returns whether this API serves the path. */
   public static boolean servesPath(String path) {
     return path.startsWith(SCHEDULES_PATH)
         || path.startsWith(CALENDARS_PATH)
@@ -92,10 +93,10 @@
       } else if (method.equals("GET")) {
         queries.list(query, responder);
       } else {
-        responder.accept(JsonAnswers.error(405, "GET and POST are served"));
+        responder.accept(JsonAnswers.error(405, "method not allowed: use GET or POST"));
       }
     } else if (segments.length > 4 || segments.length < 3 || !segments[2].matches(NAME_PATTERN)) {
-      responder.accept(JsonAnswers.error(404, "no such path"));
+      responder.accept(JsonAnswers.error(404, "unknown path: " + path));
     } else if (segments.length == 4 && method.equals("GET") && segments[3].equals("history")) {
       queries.showHistory(segments[2], responder);
     } else if (segments.length == 4
@@ -103,7 +104,7 @@
         && segments[3].matches("pause|resume")) {
       editor.setPaused(segments[2], segments[3].equals("pause"), responder);
     } else if (segments.length == 4) {
-      responder.accept(JsonAnswers.error(404, "no such path"));
+      responder.accept(JsonAnswers.error(404, "unknown path: " + path));
     } else {
       handleSchedule(method, segments[2], body, responder);
     }
@@ -116,7 +117,8 @@
       case "GET" -> queries.show(name, responder);
       case "PUT" -> editor.replace(name, KubernetesJson.parse(body), responder);
       case "DELETE" -> editor.delete(name, responder);
-      default -> responder.accept(JsonAnswers.error(405, "GET, PUT and DELETE are served"));
+      default ->
+          responder.accept(JsonAnswers.error(405, "method not allowed: use GET, PUT or DELETE"));
     }
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleJson.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleJson.java
@@ -9,7 +9,7 @@
 import java.time.Instant;
 import java.util.Set;
 
-/** Schedules and their runs in the JSON that operators read: moments as times, not as numbers. */
+/** Converts schedules and runs to JSON for operators, with timestamps as text in ISO 8601. */
 final class ScheduleJson {
   private static final Set<String> TIMESTAMP_FIELDS =
       Set.of("due", "last", "fired", "done", "at", "said");
@@ -17,13 +17,14 @@
   private ScheduleJson() {}
 
   /**
-   * A schedule with its open runs and its next due time.
+   * Returns a schedule with its open runs and its next due time, which is null while the schedule
+   * is paused.
    *
-   * @param dayCalendar what the next due time is computed by
+   * @param dayCalendar the holidays and local days for computing the next due time
    */
   static ObjectNode schedule(ScheduleRow row, DayCalendar dayCalendar) {
     ObjectNode json = Cbor.newMap().put("name", row.name()).put("version", row.version());
-    row.definition().properties().forEach(e -> json.set(e.getKey(), e.getValue()));
+    row.definition().properties().forEach(field -> json.set(field.getKey(), field.getValue()));
     json.put("paused", row.isPaused()).put("entity", row.entity().value());
     json.put("settled", Instant.ofEpochMilli(row.cursorMillis()).toString());
     try {
@@ -41,7 +42,7 @@
     return json;
   }
 
-  /** A run that is not over, with its deadline and its report. */
+  /** Returns an open run with its deadline and its report. */
   static ObjectNode openRun(ScheduleRow row, Run run) {
     ObjectNode json = Cbor.newMap().put("due", Instant.ofEpochMilli(run.dueMillis()).toString());
     json.put("job", ScheduleRow.runJobId(row.uid(), run.dueMillis()).value());
@@ -57,15 +58,15 @@
     return json;
   }
 
-  /** An entry of the run history; its timestamps are stored as numbers. */
+  /** Converts an entry of the run history, in which timestamps are stored as numbers. */
   static JsonNode endedRun(JsonNode run) {
     ObjectNode json = Cbor.newMap();
     run.properties()
         .forEach(
             entry -> {
-              boolean timestamp =
+              boolean isTimestamp =
                   TIMESTAMP_FIELDS.contains(entry.getKey()) && entry.getValue().isNumber();
-              if (timestamp) {
+              if (isTimestamp) {
                 json.put(
                     entry.getKey(), Instant.ofEpochMilli(entry.getValue().asLong()).toString());
               } else {
--- a/src/main/java/io/violetrail/calendar/ScheduleQueries.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleQueries.java
@@ -16,9 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * Answers operators' questions about schedules. Rows and history are read from the state service
- * for every request, so no answer is older than one given before; reports are those of the entities
- * owned here. Keeps nothing.
+ * Answers operators' queries about schedules. Rows and history are read from the state service for
+ * every request, so an answer is never older than an earlier one. Reports cover only the entities
+ * that this controller owns. Stateless.
  */
 final class ScheduleQueries {
   private static final int PAGE_SIZE = 200;
@@ -31,12 +31,15 @@
     this.scheduleRegistry = scheduleRegistry;
   }
 
-  /** A schedule in JSON, with the next due time by the local days known here. */
+  /** Converts a schedule to JSON; the next due time is based on this controller's local days. */
   ObjectNode toJson(ScheduleRow row) {
     return ScheduleJson.schedule(row, scheduleRegistry.dayCalendar());
   }
 
-  /** Reads a schedule; without one, or when it cannot be read, answers the request at once. */
+  /**
+   * Reads a schedule for a request. If it does not exist or cannot be read, answers the request
+   * with an error and does not call {@code onFound}.
+   */
   void read(String name, Consumer<HttpAnswer> responder, Consumer<ScheduleRow> onFound) {
     String key = ScheduleRow.KEY_PREFIX + name;
     Futures.logFailure(
@@ -45,12 +48,14 @@
             .whenComplete(
                 (entry, failure) -> {
                   if (failure != null) {
-                    boolean busy = RequestFailedException.from(failure).isRateLimited();
+                    boolean rateLimited = RequestFailedException.from(failure).isRateLimited();
                     responder.accept(
                         JsonAnswers.error(
-                            busy ? 429 : 503, "the state service cannot be asked now"));
+                            rateLimited ? 429 : 503,
+                            "the schedule cannot be read from the state service now; retry later"));
                   } else if (entry.value() == null) {
-                    responder.accept(JsonAnswers.error(404, "there is no such schedule"));
+                    responder.accept(
+                        JsonAnswers.error(404, "schedule " + name + " does not exist"));
                   } else {
                     onFound.accept(ScheduleRow.fromRow(key, entry.value(), entry.modRevision()));
                   }
@@ -73,24 +78,26 @@
     Futures.logFailure(
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
             .whenComplete(
-                (nothing, failure) ->
+                (ignored, failure) ->
                     responder.accept(
                         failure != null
                             ? JsonAnswers.error(
-                                429, "the history cannot be read now: too many requests")
+                                429,
+                                "the history cannot be read now: too many requests; retry later")
                             : JsonAnswers.of(200, historyToJson(row, keys, reads)))),
         "read a schedule's history");
   }
 
   /**
-   * All that is kept of ended runs; a block that cannot be read is named, never taken for empty.
+   * Returns all ended runs that are kept. A missing or corrupt block is listed under {@code torn}
+   * and never treated as empty.
    *
    * @param reads completed reads of the blocks, in the keys' order
    */
   private static ObjectNode historyToJson(
       ScheduleRow row, List<String> keys, List<CompletableFuture<JsonNode>> reads) {
     ObjectNode json = Cbor.newMap().put("name", row.name());
-    ArrayNode torn = json.putArray("torn");
+    ArrayNode corruptBlocks = json.putArray("torn");
     ArrayNode runs = json.putArray("runs");
     for (int i = 0; i < keys.size(); i++) {
       try {
@@ -100,7 +107,7 @@
         }
         RunHistoryCodec.decode(block).forEach(run -> runs.add(ScheduleJson.endedRun(run)));
       } catch (RunHistoryCodec.CorruptBlockException exception) {
-        torn.addObject().put("block", keys.get(i)).put("error", exception.getMessage());
+        corruptBlocks.addObject().put("block", keys.get(i)).put("error", exception.getMessage());
       }
     }
     row.endedRuns().forEach(run -> runs.add(ScheduleJson.endedRun(run)));
@@ -110,7 +117,8 @@
   void list(String query, Consumer<HttpAnswer> responder) {
     String after = query.startsWith("after=") ? query.substring(6) : "";
     if (!after.isEmpty() && !after.matches(ScheduleApi.NAME_PATTERN)) {
-      responder.accept(JsonAnswers.error(400, "after: is no name"));
+      responder.accept(
+          JsonAnswers.error(400, "after: must be the name of a schedule; got '" + after + "'"));
       return;
     }
     Futures.logFailure(
@@ -123,7 +131,10 @@
                 (page, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        JsonAnswers.error(503, "the state service cannot be asked now"));
+                        JsonAnswers.error(
+                            503,
+                            "the schedules cannot be read from the state service now; retry"
+                                + " later"));
                     return;
                   }
                   ObjectNode json = Cbor.newMap();
@@ -143,7 +154,7 @@
         "list schedules");
   }
 
-  /** Answers with the open reports of the entities owned here. */
+  /** Answers with the open reports of the entities that this controller owns. */
   void listReports(Consumer<HttpAnswer> responder) {
     ObjectNode json = Cbor.newMap();
     ArrayNode reports = json.putArray("reports");
--- a/src/test/java/io/violetrail/calendar/ReferenceSchedule.java
+++ b/src/test/java/io/violetrail/calendar/ReferenceSchedule.java
@@ -15,8 +15,10 @@
 import java.util.function.Predicate;
 
 /**
- * A calendar twice over: as an expression, and as plain java.time, written apart from the
- * subsystem. Checkers go by the second.
+ * A schedule as an expression and, independently of the tested code, as a predicate based on {@code
+ * java.time}. Checks use the latter.
+ *
+ * @param isDueDay null for the expression that has different times on different days
  */
 record ReferenceSchedule(String expression, Predicate<LocalDate> isDueDay, List<LocalTime> times) {
   static final Set<LocalDate> MEETINGS =
@@ -31,7 +33,7 @@
     return date.getDayOfWeek().getValue() < 6;
   }
 
-  static ReferenceSchedule draw(Random random) {
+  static ReferenceSchedule createRandom(Random random) {
     LocalTime time = LocalTime.of(random.nextInt(24), 5 * random.nextInt(12));
     LocalTime secondTime = LocalTime.of(2, 30);
     return switch (random.nextInt(8)) {
@@ -88,7 +90,7 @@
     };
   }
 
-  /** Due instants in a span, the first excluded and the last included. */
+  /** Returns the due instants after {@code from}, up to and including {@code to}. */
   TreeSet<Instant> dueTimesBetween(Instant from, Instant to, ZoneId zone) {
     TreeSet<Instant> dueTimes = new TreeSet<>();
     LocalDate lastDate = to.atZone(zone).toLocalDate().plusDays(1);
@@ -96,8 +98,9 @@
         !date.isAfter(lastDate);
         date = date.plusDays(1)) {
       if (isDueDay == null) {
-        boolean march = date.getMonthValue() == 3 || date.getMonthValue() == 10;
-        if (march && date.equals(date.with(TemporalAdjusters.lastInMonth(DayOfWeek.SUNDAY)))) {
+        boolean marchOrOctober = date.getMonthValue() == 3 || date.getMonthValue() == 10;
+        if (marchOrOctober
+            && date.equals(date.with(TemporalAdjusters.lastInMonth(DayOfWeek.SUNDAY)))) {
           dueTimes.add(toInstant(date.atTime(2, 30), zone));
         }
         if (date.getMonthValue() == 2 && date.getDayOfMonth() == 29) {
@@ -109,7 +112,7 @@
         }
       }
     }
-    dueTimes.removeIf(i -> !i.isAfter(from) || i.isAfter(to));
+    dueTimes.removeIf(dueTime -> !dueTime.isAfter(from) || dueTime.isAfter(to));
     return dueTimes;
   }
 
--- a/src/test/java/io/violetrail/calendar/RunHistoryCodecTest.java
+++ b/src/test/java/io/violetrail/calendar/RunHistoryCodecTest.java
@@ -8,7 +8,7 @@
 import io.violetrail.wire.Cbor;
 import org.junit.jupiter.api.Test;
 
-/** Blocks of past runs are read back whole or not at all. */
+/** Tests that a block of ended runs is decoded completely or rejected. */
 class RunHistoryCodecTest {
   @Test
   void corruptHistoryBlockIsDetected() throws Exception {
@@ -23,9 +23,11 @@
       ObjectNode truncated = block.deepCopy().put("xz", text.substring(0, cut));
       assertThrows(
           RunHistoryCodec.CorruptBlockException.class, () -> RunHistoryCodec.decode(truncated));
-      char other = text.charAt(cut) == 'A' ? 'B' : 'A';
+      char replacement = text.charAt(cut) == 'A' ? 'B' : 'A';
       ObjectNode altered =
-          block.deepCopy().put("xz", text.substring(0, cut) + other + text.substring(cut + 1));
+          block
+              .deepCopy()
+              .put("xz", text.substring(0, cut) + replacement + text.substring(cut + 1));
       assertThrows(
           RunHistoryCodec.CorruptBlockException.class, () -> RunHistoryCodec.decode(altered));
     }
--- a/src/test/java/io/violetrail/calendar/ScheduleDefinitionTest.java
+++ b/src/test/java/io/violetrail/calendar/ScheduleDefinitionTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Definitions are validated when they are stored. */
+/** Tests which schedule definitions are rejected, and with which status. */
 class ScheduleDefinitionTest {
   private static final DayCalendar DAYS =
       DayCalendar.of(new PublicHolidays(), Map.of("meetings", ReferenceSchedule.MEETINGS));
@@ -26,7 +26,7 @@
     return definition;
   }
 
-  private static int rejectionCode(ObjectNode definition) {
+  private static int rejectionStatus(ObjectNode definition) {
     return assertThrows(
             InvalidDefinitionException.class,
             () ->
@@ -36,19 +36,19 @@
   }
 
   @Test
-  void definitionsThatAreNeverDueAreRejected() throws Exception {
+  void invalidAndNeverDueDefinitionsAreRejected() throws Exception {
     ScheduleDefinition.parse(definition("at 06:00")).validate(Instant.EPOCH, DAYS);
-    assertEquals(400, rejectionCode(definition("at dawn")));
-    assertEquals(422, rejectionCode(definition("at 06:00 on 2020-01-01")), "never due again");
+    assertEquals(400, rejectionStatus(definition("at dawn")));
     assertEquals(
-        422, rejectionCode(definition("at 06:00 on day 30 of february")), "never due at all");
-    assertEquals(422, rejectionCode(definition("at 06:00 on days \"unheard\"")));
-    assertEquals(422, rejectionCode(definition("at 06:00 on holidays \"xx\"")));
-    assertEquals(422, rejectionCode(definition("at 06:00").put("meeting_s", 610.0)));
-    assertEquals(422, rejectionCode(definition("at 06:00").put("surprise", 1)));
-    assertEquals(400, rejectionCode(definition("at 06:00").put("deadline_s", "soon")));
+        422, rejectionStatus(definition("at 06:00 on 2020-01-01")), "only due in the past");
+    assertEquals(422, rejectionStatus(definition("at 06:00 on day 30 of february")), "no such day");
+    assertEquals(422, rejectionStatus(definition("at 06:00 on days \"unknown\"")));
+    assertEquals(422, rejectionStatus(definition("at 06:00 on holidays \"xx\"")));
+    assertEquals(422, rejectionStatus(definition("at 06:00").put("meeting_s", 610.0)));
+    assertEquals(422, rejectionStatus(definition("at 06:00").put("unknown", 1)));
+    assertEquals(400, rejectionStatus(definition("at 06:00").put("deadline_s", "soon")));
     ObjectNode daemon = definition("at 06:00");
     ((ObjectNode) daemon.get("job")).put("shape", "daemon");
-    assertEquals(422, rejectionCode(daemon), "a daemon is never done");
+    assertEquals(422, rejectionStatus(daemon), "a daemon never ends");
   }
 }
--- a/src/test/java/io/violetrail/calendar/ScheduleExpressionTest.java
+++ b/src/test/java/io/violetrail/calendar/ScheduleExpressionTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** When expressions are due, and how malformed ones are refused. */
+/** Tests when expressions are due, and the errors for malformed expressions. */
 class ScheduleExpressionTest {
   private static final DayCalendar DAYS =
       DayCalendar.of(new PublicHolidays(), Map.of("meetings", ReferenceSchedule.MEETINGS));
@@ -38,11 +38,11 @@
     assertEquals(
         "[2027-10-31T00:30:00Z]",
         dueTimes("at 02:30", "Europe/Berlin", "2027-10-31", 1).toString(),
-        "the first time");
+        "at the first occurrence");
     assertEquals(
         1,
         dueTimes("at 02:10, 02:50", "Europe/Berlin", "2027-03-28", 1).size(),
-        "one instant, one run");
+        "both times are the same instant");
     assertEquals(
         "[2028-02-29T09:00:00Z]",
         dueTimes("at 12:00 on day 29 of february", "Africa/Dar_es_Salaam", "2027-01-01", 800)
@@ -53,16 +53,16 @@
   void expressionsAgreeWithJavaTime() throws Exception {
     Random random = new Random(3);
     for (int i = 0; i < 60; i++) {
-      ReferenceSchedule reference = ReferenceSchedule.draw(random);
+      ReferenceSchedule reference = ReferenceSchedule.createRandom(random);
       ZoneId zone = ZoneId.of(List.of("Europe/Berlin", "America/New_York").get(i % 2));
       Instant from = Instant.parse("2026-12-30T07:00:00Z");
       Instant to = Instant.parse("2028-03-02T00:00:00Z");
       TreeSet<Instant> actual = new TreeSet<>();
       CalendarExpression expression = CalendarExpression.parse(reference.expression());
-      for (Instant at = expression.findNextDue(from, zone, null, DAYS);
-          at != null && !at.isAfter(to);
-          at = expression.findNextDue(at, zone, null, DAYS)) {
-        actual.add(at);
+      for (Instant dueTime = expression.findNextDue(from, zone, null, DAYS);
+          dueTime != null && !dueTime.isAfter(to);
+          dueTime = expression.findNextDue(dueTime, zone, null, DAYS)) {
+        actual.add(dueTime);
       }
       assertEquals(reference.dueTimesBetween(from, to, zone), actual, reference.expression());
     }
@@ -73,10 +73,10 @@
     for (var entry :
         Map.of(
                 "at 06:30 on lst workday of month", "line 1, column 13",
-                "at 25:00", "column 4: '25:00' is no time of day",
+                "at 25:00", "column 4: '25:00' is not a time of day",
                 "at 06:30 on\nmonday of", "line 2, column 8",
-                "every 0 minutes", "column 7: '0' is no number of minutes",
-                "at 06:00 on 2027-02-30", "is no date",
+                "every 0 minutes", "column 7: '0' is not a valid number of minutes",
+                "at 06:00 on 2027-02-30", "is not a date",
                 "", "expecting")
             .entrySet()) {
       String message =
--- a/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
+++ b/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
@@ -27,10 +27,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A calendar year on a stand-in clock. Three controllers own an entity each and take one another's
- * over; they crash, freeze and go on with what they believed, lose the state service, and their
- * clocks wander and leap. Transactions are refused, applied without an answer, or applied late. All
- * is drawn from one seed.
+ * Simulates schedules over a year or less with a simulated clock. Three controllers own one entity
+ * each and take over each other's entities. They crash, freeze and resume with outdated state, and
+ * lose the state service; their clocks drift and jump. Transactions fail, are applied without a
+ * usable answer, or are applied late. All events are drawn from one seed.
  */
 public final class ScheduleYearSimulation {
   private static final List<String> ZONES =
@@ -38,18 +38,20 @@
   private static final long CLOCK_ERROR_BOUND_MILLIS = 250;
 
   private final Random random;
-  private final Instant beginsAt = Instant.parse("2027-01-01T00:00:00Z");
-  private final Instant endsAt;
-  private long nowMillis = beginsAt.toEpochMilli();
+  private final Instant startTime = Instant.parse("2027-01-01T00:00:00Z");
+  private final Instant endTime;
+  private long nowMillis = startTime.toEpochMilli();
   private long nextEventSequence;
   private final PriorityQueue<TimedEvent> events = new PriorityQueue<>();
 
-  /** The state service: rows with stamps, and claims of jobs. */
+  /** The state service's rows with their revisions. */
   final TreeMap<String, StoredRow> rows = new TreeMap<>();
 
-  final Map<String, Long> claims = new HashMap<>();
+  /** The times at which job ids were claimed in the state service. */
+  final Map<String, Long> claimTimesByJobId = new HashMap<>();
+
   private long revision;
-  private int changeCount;
+  private int rowChangeCount;
   int reportCount;
   int withdrawnCount;
   private final List<Long> leadTimesMillis = new ArrayList<>();
@@ -57,11 +59,14 @@
   private final List<SimulatedSchedule> schedules = new ArrayList<>();
   private final Map<String, SimulatedJob> jobs = new HashMap<>();
   private final List<SimulatedOwner> owners = new ArrayList<>();
-  private final long[] versions = new long[3];
+  private final long[] currentVersions = new long[3];
   private final ClockJumps[] clockJumps = {new ClockJumps(), new ClockJumps(), new ClockJumps()};
   private long outageUntilMillis;
 
-  /** When each entity was without a live owner, for what can be asked of reports. */
+  /**
+   * Spans in which each entity had no live owner or the state service was unavailable. Reports are
+   * not required then.
+   */
   private final List<List<long[]>> ownerlessSpans =
       List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
 
@@ -77,7 +82,7 @@
     }
   }
 
-  /** One schedule with what its checker knows of it. */
+  /** A schedule with what the check needs to know of it. */
   private static final class SimulatedSchedule {
     String name;
     String uid;
@@ -86,24 +91,27 @@
     long deadlineMillis;
     Instant createdAt;
 
-    /** Spans in which due times get no run: from what was settled at a pause until its end. */
+    /**
+     * Spans in which due times get no run: from the cursor at a pause until the cursor when it
+     * ends, which is 0 while paused.
+     */
     final List<long[]> pausedSpans = new ArrayList<>();
 
     long deletedAtMillis = Long.MAX_VALUE;
   }
 
   private record SimulatedJob(
-      long beginsMillis, long endsMillis, int taskCount, boolean looksStuck) {}
+      long startMillis, long endMillis, int taskCount, boolean hasLateStartForecast) {}
 
   private static final class ClockJumps {
     long offsetMillis;
     final List<long[]> spans = new ArrayList<>();
   }
 
-  /** Draws the schedules and failures of so many days from the seed; {@link #run} plays them. */
+  /** Draws the schedules and failures from the seed; {@link #run} simulates them. */
   public ScheduleYearSimulation(long seed, int schedules, int days) {
     this.random = new Random(seed);
-    this.endsAt = beginsAt.plus(Duration.ofDays(days));
+    this.endTime = startTime.plus(Duration.ofDays(days));
     for (int i = 0; i < schedules; i++) {
       addSchedule(i);
     }
@@ -131,11 +139,11 @@
   private void addSchedule(int number) {
     SimulatedSchedule schedule = new SimulatedSchedule();
     schedule.name = "s" + number;
-    schedule.reference = ReferenceSchedule.draw(random);
+    schedule.reference = ReferenceSchedule.createRandom(random);
     schedule.zone = ZoneId.of(ZONES.get(random.nextInt(ZONES.size())));
     schedule.deadlineMillis = 600_000L + random.nextInt(3_000_000);
     schedule.uid = "uid-" + number;
-    schedule.createdAt = beginsAt;
+    schedule.createdAt = startTime;
     ObjectNode definition =
         Cbor.newMap()
             .put("due", schedule.reference.expression())
@@ -154,18 +162,18 @@
             definition,
             new ControllerId("c" + number % 3),
             schedule.uid,
-            beginsAt.toEpochMilli());
+            startTime.toEpochMilli());
     rows.put(row.key(), new StoredRow(row.value(), ++revision));
     schedules.add(schedule);
   }
 
-  /** One entity's engine at one controller, under one version. */
+  /** The trigger of an entity at one controller, with the entity's version as fencing token. */
   private final class SimulatedOwner implements ScheduleTrigger.Environment {
     final int controller;
     final int entity;
     final long version;
     final ScheduleTrigger trigger =
-        new ScheduleTrigger(this, this::calendarDays, CLOCK_ERROR_BOUND_MILLIS / 1000.0);
+        new ScheduleTrigger(this, this::dayCalendar, CLOCK_ERROR_BOUND_MILLIS / 1000.0);
     final long startedAtMillis = nowMillis;
     long frozenUntilMillis;
 
@@ -176,7 +184,7 @@
       loadRows();
     }
 
-    private DayCalendar calendarDays() {
+    private DayCalendar dayCalendar() {
       return DayCalendar.of(new PublicHolidays(), Map.of("meetings", ReferenceSchedule.MEETINGS));
     }
 
@@ -221,30 +229,35 @@
       return storeWithFaults(before, next, block, null, 0);
     }
 
-    /** The transaction: fenced by the version, conditional on the row, claiming the job. */
+    /**
+     * Applies a transaction if the version is current, the row is unchanged and the job's id is not
+     * claimed yet.
+     *
+     * @param claimedJob the job whose id the transaction claims; null if there is none
+     */
     private boolean applyTransaction(
         ScheduleRow before, ScheduleRow next, ObjectNode block, JobId claimedJob, int tasks) {
       StoredRow stored = rows.get(before.key());
-      boolean holds =
-          versions[entity] == version
+      boolean conditionsHold =
+          currentVersions[entity] == version
               && stored != null
               && stored.revision() == before.modRevision()
-              && (claimedJob == null || !claims.containsKey(claimedJob.value()));
-      if (!holds) {
+              && (claimedJob == null || !claimTimesByJobId.containsKey(claimedJob.value()));
+      if (!conditionsHold) {
         return false;
       }
       revision++;
-      changeCount++;
+      rowChangeCount++;
       rows.put(before.key(), new StoredRow(next.value(), revision));
       if (block != null) {
-        changeCount++;
+        rowChangeCount++;
         rows.put(
             next.blockKey(next.value().path("blocks").asInt() - 1), new StoredRow(block, revision));
       }
       if (claimedJob != null) {
-        changeCount += 2;
-        claims.put(claimedJob.value(), nowMillis);
-        jobs.put(claimedJob.value(), drawJob(tasks));
+        rowChangeCount += 2;
+        claimTimesByJobId.put(claimedJob.value(), nowMillis);
+        jobs.put(claimedJob.value(), createRandomJob(tasks));
       }
       notifyOwners(before.key(), next.value(), revision);
       return true;
@@ -262,13 +275,13 @@
       if (draw < 2) {
         runAfter(delay, () -> answer.completeExceptionally(unavailable()));
       } else if (draw < 5) {
-        // Nobody hears of it, and it is applied much later, if it still holds.
+        // The answer is lost; the transaction is applied much later if its conditions still hold.
         runAfter(delay, () -> answer.completeExceptionally(unavailable()));
         runAfter(
             delay + random.nextInt(120_000),
             () -> applyTransaction(before, next, block, claimedJob, tasks));
       } else if (draw < 8) {
-        // Applied, and the answer does not say under which revision.
+        // Applied if its conditions hold, but the answer reports a conflict.
         runAfter(
             delay,
             () -> {
@@ -295,13 +308,13 @@
       if (job == null) {
         return null;
       }
-      boolean done = nowMillis >= job.endsMillis();
-      boolean runs = nowMillis >= job.beginsMillis();
+      boolean done = nowMillis >= job.endMillis();
+      boolean started = nowMillis >= job.startMillis();
       return new JobView(
           id.value(),
-          done ? JobStatus.DONE : runs ? JobStatus.RUNNING : JobStatus.QUEUED,
+          done ? JobStatus.DONE : started ? JobStatus.RUNNING : JobStatus.QUEUED,
           done ? job.taskCount() : 0,
-          runs && !done ? job.taskCount() : 0);
+          started && !done ? job.taskCount() : 0);
     }
 
     @Override
@@ -310,17 +323,17 @@
       if (job == null) {
         return null;
       }
-      boolean runs = nowMillis >= job.beginsMillis();
-      double ageSeconds = runs ? (nowMillis - job.beginsMillis()) / 1000.0 : 0;
-      // Some look as if no machine would come for long, and then one does.
-      double startSeconds = job.looksStuck() ? 4_000 : 40;
+      boolean started = nowMillis >= job.startMillis();
+      double ageSeconds = started ? (nowMillis - job.startMillis()) / 1000.0 : 0;
+      // Some jobs are forecast to start late, so a report is withdrawn when they start soon.
+      double startDelaySeconds = job.hasLateStartForecast() ? 4_000 : 40;
       return new RunProgress(
-          job.taskCount(), 0, runs ? job.taskCount() : 0, ageSeconds, 60, startSeconds);
+          job.taskCount(), 0, started ? job.taskCount() : 0, ageSeconds, 60, startDelaySeconds);
     }
   }
 
-  /** Most are quick; some find no machine for long, some run on and on. */
-  private SimulatedJob drawJob(int taskCount) {
+  /** Draws a job. Most are short; some wait long for a machine, and some run long. */
+  private SimulatedJob createRandomJob(int taskCount) {
     int draw = random.nextInt(20);
     long waitMillis =
         draw == 0 ? 300_000 + random.nextInt(6_000_000) : 1_000 + random.nextInt(60_000);
@@ -330,8 +343,8 @@
         nowMillis + waitMillis, nowMillis + waitMillis + runMillis, taskCount, draw == 2);
   }
 
-  /** The feed: whoever is awake hears of a row soon, whoever is frozen hears of it afterwards. */
-  private void notifyOwners(String key, ObjectNode value, long stamp) {
+  /** Delivers a row change to all owners: soon to a live owner, to a frozen one when it resumes. */
+  private void notifyOwners(String key, ObjectNode value, long modRevision) {
     for (SimulatedOwner owner : List.copyOf(owners)) {
       long frozenMillis = Math.max(0, owner.frozenUntilMillis - nowMillis);
       runAfter(
@@ -343,7 +356,7 @@
             if (value == null) {
               owner.trigger.onScheduleDeleted(key.substring(ScheduleRow.KEY_PREFIX.length()));
             } else {
-              ScheduleRow row = ScheduleRow.fromRow(key, value, stamp);
+              ScheduleRow row = ScheduleRow.fromRow(key, value, modRevision);
               if (row.entity().value().equals("c" + owner.entity)) {
                 owner.trigger.onRowChanged(row);
               }
@@ -353,11 +366,11 @@
   }
 
   private void assignOwner(int entity, int controller) {
-    versions[entity] = (versions[entity] / 10 + 1) * 10 + controller;
-    owners.add(new SimulatedOwner(controller, entity, versions[entity]));
+    currentVersions[entity] = (currentVersions[entity] / 10 + 1) * 10 + controller;
+    owners.add(new SimulatedOwner(controller, entity, currentVersions[entity]));
   }
 
-  /** An entity's owner fails in one of several ways, again and again. */
+  /** Schedules the next failure of an entity's owner, and repeats so after each one. */
   private void scheduleFailures(int entity) {
     runAfter(
         hoursToMillis(6 + random.nextInt(80)),
@@ -373,11 +386,11 @@
             if (failureKind == 0) {
               owners.remove(owner);
             } else {
-              // It stands still, and goes on with all that it believed.
+              // It freezes and resumes with outdated state.
               owner.frozenUntilMillis =
                   nowMillis + gapMillis + random.nextInt(failureKind == 1 ? 60_000 : 3_600_000);
-              long wakesAtMillis = owner.frozenUntilMillis;
-              runAfter(wakesAtMillis - nowMillis + 5_000, () -> owners.remove(owner));
+              long resumesAtMillis = owner.frozenUntilMillis;
+              runAfter(resumesAtMillis - nowMillis + 5_000, () -> owners.remove(owner));
             }
           }
           runAfter(gapMillis, () -> assignOwner(entity, nextController));
@@ -393,7 +406,7 @@
     runAfter(hoursToMillis(20 + random.nextInt(100)), this::startOutage);
   }
 
-  /** Nobody is there for hours, across due times. */
+  /** Stops all controllers for a minute to six hours, so that due times are missed. */
   private void stopAllControllers() {
     owners.clear();
     long gapMillis = 60_000L + random.nextInt(6 * 3_600_000);
@@ -405,7 +418,7 @@
     runAfter(gapMillis + hoursToMillis(60 + random.nextInt(200)), this::stopAllControllers);
   }
 
-  /** A clock is off by up to ten minutes for a while, far beyond its bound. */
+  /** Makes a clock wrong by up to ten minutes for a while, far beyond the clock error bound. */
   private void jumpClock(int controller) {
     long spanMillis = 120_000L + random.nextInt(1_800_000);
     clockJumps[controller].offsetMillis = random.nextInt(1_200_000) - 600_000L;
@@ -414,7 +427,7 @@
     runAfter(spanMillis + hoursToMillis(5 + random.nextInt(60)), () -> jumpClock(controller));
   }
 
-  /** An operator pauses a schedule for a while, or deletes one. */
+  /** Pauses a schedule for a while, or deletes it. */
   private void pauseOrDelete() {
     SimulatedSchedule schedule = schedules.get(random.nextInt(schedules.size()));
     String key = ScheduleRow.KEY_PREFIX + schedule.name;
@@ -453,9 +466,9 @@
     return cursorMillis;
   }
 
-  /** Plays the year, and long enough after it for the last due times to be settled. */
+  /** Runs the simulation until 12 hours after its end, so that the last due times are settled. */
   public ScheduleYearSimulation run() {
-    long endMillis = endsAt.toEpochMilli() + hoursToMillis(12);
+    long endMillis = endTime.toEpochMilli() + hoursToMillis(12);
     while (nowMillis < endMillis) {
       long nextMillis = Math.min(endMillis, nowMillis + 60_000);
       if (!events.isEmpty()) {
@@ -481,28 +494,35 @@
     return this;
   }
 
-  /** What is wrong with the year, by java.time alone. */
+  /**
+   * Checks the simulated runs and reports against {@link ReferenceSchedule}, which relies on {@code
+   * java.time} alone.
+   *
+   * @return a description of each problem
+   */
   public List<String> findProblems() {
     List<String> problems = new ArrayList<>();
     Set<String> expectedRuns = new HashSet<>();
     for (SimulatedSchedule schedule : schedules) {
-      // The clocks that decide may run ahead: what is due in that time after the end may have run.
-      Instant lastCertain = endsAt;
+      // Controllers' clocks may be ahead, so due times shortly after the end may have a run.
+      Instant lastRequiredDueTime = endTime;
       TreeSet<Instant> dueTimes =
           schedule.reference.dueTimesBetween(
-              schedule.createdAt, endsAt.plus(Duration.ofHours(13)), schedule.zone);
-      TreeMap<Long, Integer> reportedRuns = countReportedRuns(schedule, problems);
+              schedule.createdAt, endTime.plus(Duration.ofHours(13)), schedule.zone);
+      TreeMap<Long, Integer> recordedRuns = countRecordedRuns(schedule, problems);
       for (Instant dueTime : dueTimes) {
         long dueMillis = dueTime.toEpochMilli();
         String id = ScheduleRow.runJobId(schedule.uid, dueMillis).value();
         expectedRuns.add(id);
-        boolean hasRun = claims.containsKey(id);
+        boolean hasRun = claimTimesByJobId.containsKey(id);
         boolean skipped =
             dueMillis > schedule.deletedAtMillis
                 || schedule.pausedSpans.stream()
                     .anyMatch(
-                        s -> dueMillis > s[0] && dueMillis <= (s[1] == 0 ? Long.MAX_VALUE : s[1]));
-        if (!hasRun && !skipped && !dueTime.isAfter(lastCertain)) {
+                        span ->
+                            dueMillis > span[0]
+                                && dueMillis <= (span[1] == 0 ? Long.MAX_VALUE : span[1]));
+        if (!hasRun && !skipped && !dueTime.isAfter(lastRequiredDueTime)) {
           problems.add(
               schedule.name
                   + " ("
@@ -511,25 +531,29 @@
                   + dueTime);
         }
         if (hasRun && skipped) {
-          problems.add(schedule.name + " has a run of " + dueTime + ", when it was paused or gone");
+          problems.add(
+              schedule.name + " has a run of " + dueTime + ", when it was paused or deleted");
         }
         if (rows.containsKey(ScheduleRow.KEY_PREFIX + schedule.name)
-            && reportedRuns.getOrDefault(dueMillis, 0) != (hasRun ? 1 : 0)) {
+            && recordedRuns.getOrDefault(dueMillis, 0) != (hasRun ? 1 : 0)) {
           problems.add(
-              schedule.name + " tells of " + reportedRuns.get(dueMillis) + " runs of " + dueTime);
+              schedule.name + " records " + recordedRuns.get(dueMillis) + " runs of " + dueTime);
         }
       }
     }
-    for (String id : claims.keySet()) {
+    for (String id : claimTimesByJobId.keySet()) {
       if (!expectedRuns.contains(id)) {
-        problems.add(id + " is a run of no due time");
+        problems.add(id + " is a run without a due time");
       }
     }
     return problems;
   }
 
-  /** How often a schedule's row and blocks tell of a run, by due time; checks its reports. */
-  private TreeMap<Long, Integer> countReportedRuns(
+  /**
+   * Counts the runs that a schedule's row and history blocks record, by due time, and checks their
+   * reports.
+   */
+  private TreeMap<Long, Integer> countRecordedRuns(
       SimulatedSchedule schedule, List<String> problems) {
     TreeMap<Long, Integer> countByDueTime = new TreeMap<>();
     StoredRow row = rows.get(ScheduleRow.KEY_PREFIX + schedule.name);
@@ -543,8 +567,8 @@
         rows.subMap("cal/h/" + schedule.uid + "/", "cal/h/" + schedule.uid + "/~").entrySet()) {
       try {
         RunHistoryCodec.decode(entry.getValue().value()).forEach(runs::add);
-      } catch (RunHistoryCodec.CorruptBlockException torn) {
-        problems.add(entry.getKey() + ": " + torn.getMessage());
+      } catch (RunHistoryCodec.CorruptBlockException exception) {
+        problems.add(entry.getKey() + ": " + exception.getMessage());
       }
     }
     for (JsonNode run : runs) {
@@ -558,57 +582,57 @@
     return countByDueTime;
   }
 
-  /** A run that missed its deadline was reported before the meeting, if anybody was there. */
+  /**
+   * Checks that a run which missed its deadline was reported at most {@link
+   * ScheduleDefinition#MIN_REPORT_LEAD_SECONDS} after the deadline, if the entity had an owner.
+   */
   private void checkReport(
       SimulatedSchedule schedule, long dueMillis, JsonNode report, List<String> problems) {
     SimulatedJob job = jobs.get(ScheduleRow.runJobId(schedule.uid, dueMillis).value());
     long deadlineMillis = dueMillis + schedule.deadlineMillis;
-    long meetingMillis =
+    long reportByMillis =
         deadlineMillis + (long) (1000 * ScheduleDefinition.MIN_REPORT_LEAD_SECONDS);
     reportCount += report == null ? 0 : 1;
     withdrawnCount += report != null && report.path("withdrawn").asBoolean() ? 1 : 0;
     if (job == null
-        || job.endsMillis() <= deadlineMillis + 15_000
-        || meetingMillis > endsAt.toEpochMilli()) {
+        || job.endMillis() <= deadlineMillis + 15_000
+        || reportByMillis > endTime.toEpochMilli()) {
       return;
     }
     int entity = Integer.parseInt(schedule.name.substring(1)) % 3;
     long knownFromMillis =
         Math.max(
-            claims.get(ScheduleRow.runJobId(schedule.uid, dueMillis).value()),
+            claimTimesByJobId.get(ScheduleRow.runJobId(schedule.uid, dueMillis).value()),
             deadlineMillis - 30_000);
     boolean ownerPresent =
-        knownFromMillis + 40_000 < meetingMillis
+        knownFromMillis + 40_000 < reportByMillis
             && ownerlessSpans.get(entity).stream()
-                .noneMatch(d -> d[0] < meetingMillis && d[1] > knownFromMillis - 20_000);
-    // A clock beyond its bound shows another time to the deadline than there is.
+                .noneMatch(span -> span[0] < reportByMillis && span[1] > knownFromMillis - 20_000);
+    // A clock error beyond the bound gives a wrong time to the deadline.
     boolean clockJumped = false;
     for (ClockJumps jump : clockJumps) {
       clockJumped |=
-          jump.spans.stream().anyMatch(span -> span[0] < meetingMillis && span[1] > dueMillis);
+          jump.spans.stream().anyMatch(span -> span[0] < reportByMillis && span[1] > dueMillis);
     }
     boolean reportedInTime =
         report != null
-            && report.path("at").asLong() <= meetingMillis + 2 * CLOCK_ERROR_BOUND_MILLIS;
+            && report.path("at").asLong() <= reportByMillis + 2 * CLOCK_ERROR_BOUND_MILLIS;
     if (ownerPresent && !clockJumped && report != null && !report.path("withdrawn").asBoolean()) {
-      leadTimesMillis.add(meetingMillis - report.path("at").asLong());
+      leadTimesMillis.add(reportByMillis - report.path("at").asLong());
     }
     if (ownerPresent && !clockJumped && report == null) {
       problems.add(
           schedule.name
               + " missed the deadline of "
               + Instant.ofEpochMilli(dueMillis)
-              + " and said nothing");
+              + " without a report");
     } else if (ownerPresent && !clockJumped && !reportedInTime) {
       problems.add(
-          schedule.name
-              + " reported the miss of "
-              + Instant.ofEpochMilli(dueMillis)
-              + " after the meeting");
+          schedule.name + " reported the miss of " + Instant.ofEpochMilli(dueMillis) + " too late");
     }
   }
 
-  /** What a year came to, for the program that plays large ones. */
+  /** The figures of a simulation, for the program that runs large ones. */
   public record Summary(
       int runs,
       int reports,
@@ -618,13 +642,13 @@
       long historyBytes,
       List<Long> leadTimesMillis) {
 
-    /** Bytes of history per run, as if all blocks were full. */
+    /** Returns the bytes of history per run, assuming that all blocks are full. */
     public double historyBytesPerRun() {
       return historyBytes / (double) Math.max(1, historyBlocks * ScheduleTrigger.RUNS_PER_BLOCK);
     }
   }
 
-  /** Returns the counts of the year as played so far; lead times are in ascending order. */
+  /** Returns the figures of the simulation so far; lead times are in ascending order. */
   public Summary summarize() {
     List<ObjectNode> blocks =
         rows.entrySet().stream()
@@ -632,10 +656,10 @@
             .map(entry -> entry.getValue().value())
             .toList();
     return new Summary(
-        claims.size(),
+        claimTimesByJobId.size(),
         reportCount,
         withdrawnCount,
-        changeCount,
+        rowChangeCount,
         blocks.size(),
         blocks.stream().mapToLong(block -> Cbor.encode(block).length).sum(),
         leadTimesMillis.stream().sorted().toList());
