--- a/src/main/java/io/violetrail/configuration/ClusterConfiguration.java
+++ b/src/main/java/io/violetrail/configuration/ClusterConfiguration.java
@@ -17,9 +17,10 @@
 import java.util.Set;
 
 /**
- * The content of one revision.
+ * The content of one configuration revision.
  *
- * @param closedTeams names of teams that take in no new jobs
+ * @param teams the teams by name, open and closed ones
+ * @param closedTeams the names of teams that accept no new jobs
  */
 public record ClusterConfiguration(
     Map<String, Team> teams, Set<String> closedTeams, List<Objective> objectives) {
@@ -29,8 +30,8 @@
   }
 
   /**
-   * This content where {@code previous} was in force: its teams that are not named any more are
-   * closed rather than gone, since they may have open jobs.
+   * Returns this content as the successor of {@code previous}. Teams of {@code previous} that this
+   * content omits are kept as closed teams, because they may have open jobs.
    */
   public ClusterConfiguration replacing(ClusterConfiguration previous) {
     Map<String, Team> allTeams = new LinkedHashMap<>(teams);
@@ -44,7 +45,7 @@
     return new ClusterConfiguration(allTeams, nowClosed, objectives);
   }
 
-  /** Teams and objectives as a tree, in the form of the platform's file. */
+  /** Returns the teams and objectives as a tree in the form of the settings file. */
   public ObjectNode toTree() {
     ObjectNode tree = Cbor.newMap();
     var teamList = tree.putArray("teams");
@@ -81,7 +82,7 @@
         .put("times", objective.deadlineFactor());
   }
 
-  /** The inverse of {@link #toTree}, of what was checked before it was stored. */
+  /** Reads the result of {@link #toTree}. The tree must be valid; it is not checked again. */
   public static ClusterConfiguration fromTree(JsonNode tree) {
     Map<String, Team> teams = new LinkedHashMap<>();
     Set<String> closedTeams = new HashSet<>();
@@ -112,7 +113,7 @@
     return new ClusterConfiguration(teams, closedTeams, List.copyOf(objectives));
   }
 
-  /** Equal for equal contents, whatever the order of their fields. */
+  /** Returns a digest that is equal for equal contents, independent of the order of fields. */
   public String digest() {
     return digest(toTree());
   }
--- a/src/main/java/io/violetrail/configuration/Configuration.java
+++ b/src/main/java/io/violetrail/configuration/Configuration.java
@@ -6,32 +6,32 @@
 import java.util.List;
 
 /**
- * The teams and objectives that decisions go by.
+ * The teams and objectives that apply to scheduling decisions.
  *
- * <p>Called on the event loop's thread only. What is returned is a snapshot, which a later revision
- * replaces.
+ * <p>Called on the event loop's thread only. A returned value is a snapshot: it does not change
+ * when a later revision comes into force.
  */
 public interface Configuration {
-  /** A team with its guarantee and limit; null if there is no such team. */
+  /** Returns a team with its guarantee and limit; null if there is no such team. */
   Team findTeam(String name);
 
   Collection<Team> teams();
 
   List<Objective> objectives();
 
-  /** Whether new jobs of the team are accepted. A closed team only finishes what it has. */
+  /** Whether new jobs of the team are accepted. A closed team only finishes its open jobs. */
   boolean acceptsJobs(String team);
 
-  /** Whether limits may change while this controller runs. */
+  /** Whether teams and objectives may change while this controller runs. */
   boolean canChange();
 
   /**
-   * Whether tasks may be started by what is known here: false once the controller cannot show that
-   * this was in force a moment ago.
+   * Whether tasks may be started under the revision known here. False if the controller has no
+   * recent confirmation that this revision is in force.
    */
   boolean isFresh();
 
-  /** Counts changes; 0 is the platform's settings file. */
+  /** The number of the revision in force here; 0 for the settings file. */
   long revision();
 
   /**
@@ -40,17 +40,17 @@
    */
   long modRevision();
 
-  /** This controller's state for operators; null if its configuration cannot change. */
+  /** Returns this controller's state for operators; null if its configuration cannot change. */
   default ConfigurationState findState() {
     return null;
   }
 
-  /** To be called when the common rows have changed. */
+  /** Called after the common rows have changed. */
   default void onRowsChanged() {}
 
-  /** Runs the step whenever another revision comes into force here. */
+  /** Registers a listener that runs whenever another revision comes into force here. */
   default void addChangeListener(Runnable listener) {}
 
-  /** Starts what is needed to follow changes. */
+  /** Starts to follow changes of the stored configuration, if it can change. */
   default void start() {}
 }
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -24,24 +24,30 @@
 import java.util.function.Supplier;
 
 /**
- * The configuration for operators, in JSON, at any controller:
+ * The operators' JSON API of the configuration, which every controller serves:
  *
  * <ul>
- *   <li>{@code GET /config}: what is in force here; {@code GET /config/status}: at each controller;
- *       {@code GET /config/history}: the kept revisions
- *   <li>{@code POST /config}: teams and objectives, with {@code expected}, {@code request}, {@code
- *       who} and {@code why}; {@code POST /config/rollback}: {@code to} in their place
+ *   <li>{@code GET /config} returns the configuration in force at this controller.
+ *   <li>{@code GET /config/status} returns the revision in force at each controller.
+ *   <li>{@code GET /config/history} returns the kept revisions.
+ *   <li>{@code POST /config} replaces teams and objectives. The body also holds {@code expected},
+ *       {@code request}, {@code who} and {@code why}.
+ *   <li>{@code POST /config/rollback} restores the content of revision {@code to}. The body holds
+ *       the same fields except teams and objectives.
  * </ul>
  *
- * <p>A change is answered with 200 and its revision, 409 and the revision in force, 400 or 422 with
- * what is wrong by path, or 503 where the outcome is not known.
+ * <p>A change is answered with 200 and its revision, with 409 and the revision in force, with 400
+ * or 422 and the problems by path, or with 503 if the outcome is unknown.
  *
- * <p>Keeps nothing between requests. Called on the event loop's thread.
+ * <p>Stateless between requests. Called on the event loop's thread.
  */
 public final class ConfigurationApi implements RequestHandler {
   private static final String PATH = "/config";
 
-  /** Less than the command line's timeout; the change may still be in progress then. */
+  /**
+   * Shorter than the timeout of the command line's client. The change may still be in progress when
+   * this time has passed.
+   */
   private static final double DECISION_TIMEOUT_SECONDS = 8;
 
   private static final int MAX_NAME_LENGTH = 64;
@@ -55,9 +61,9 @@
   private final RequestHandler fallback;
 
   /**
-   * Creates the API of the changeable configuration.
+   * Creates the API of a configuration that can change.
    *
-   * @param stateCollector asks every controller for its state
+   * @param stateCollector requests the state of every controller
    * @param fallback serves all other paths
    */
   public ConfigurationApi(
@@ -87,7 +93,9 @@
         case "GET /config/history" -> showHistory(timedResponder);
         case "POST /config" -> applyConfiguration(body, timedResponder);
         case "POST /config/rollback" -> rollback(body, timedResponder);
-        default -> timedResponder.accept(JsonAnswers.error(404, "no such path or method"));
+        default ->
+            timedResponder.accept(
+                JsonAnswers.error(404, "no such path or method: " + method + " " + path));
       }
     } catch (KubernetesJson.MalformedRequestException exception) {
       timedResponder.accept(JsonAnswers.malformed(exception));
@@ -95,7 +103,8 @@
   }
 
   /**
-   * A responder that answers once: the first answer given to it, or 503 when none comes in time.
+   * Returns a responder that passes on only the first answer given to it, and answers 503 if there
+   * is none within {@link #DECISION_TIMEOUT_SECONDS}.
    */
   private Consumer<HttpAnswer> withTimeout(Consumer<HttpAnswer> responder) {
     AtomicBoolean answered = new AtomicBoolean();
@@ -105,7 +114,11 @@
             () -> {
               if (answered.compareAndSet(false, true)) {
                 responder.accept(
-                    JsonAnswers.error(503, "no decision in time; the outcome is not known"));
+                    JsonAnswers.error(
+                        503,
+                        "no decision within "
+                            + DECISION_TIMEOUT_SECONDS
+                            + " s; the outcome of a change is unknown"));
               }
             });
     return answer -> {
@@ -136,17 +149,18 @@
             .get()
             .whenComplete(
                 (states, failure) -> {
-                  List<ConfigurationState> known = failure == null ? states : List.of();
-                  responder.accept(JsonAnswers.of(200, statusToJson(known)));
+                  List<ConfigurationState> collected = failure == null ? states : List.of();
+                  responder.accept(JsonAnswers.of(200, statusToJson(collected)));
                 }),
         "collect the controllers' configuration");
   }
 
   private ObjectNode statusToJson(List<ConfigurationState> states) {
     ObjectNode json = Cbor.newMap().put("in_force_here", configuration.revision());
-    var list = json.putArray("controllers");
+    var controllers = json.putArray("controllers");
     for (ConfigurationState state : states) {
-      list.addObject()
+      controllers
+          .addObject()
           .put("controller", state.controller())
           .put("answers", state.inForceSinceMs() > 0)
           .put("revision", state.revision())
@@ -175,9 +189,10 @@
 
   private static ObjectNode historyToJson(List<Revision> revisions) {
     ObjectNode json = Cbor.newMap();
-    var list = json.putArray("revisions");
+    var revisionList = json.putArray("revisions");
     for (Revision revision : revisions) {
-      list.addObject()
+      revisionList
+          .addObject()
           .put("revision", revision.number())
           .put("digest", revision.digest())
           .put("request", revision.requestId())
@@ -193,17 +208,19 @@
     ObjectNode json = KubernetesJson.parse(body);
     ObjectNode tree = json.deepCopy();
     tree.remove(CHANGE_FIELDS);
-    ValidationResult checked = ConfigurationFormat.parseTree(tree);
-    if (!checked.isValid()) {
-      ObjectNode refusal = Cbor.newMap().put("error", "the configuration is not valid");
+    ValidationResult validation = ConfigurationFormat.parseTree(tree);
+    if (!validation.isValid()) {
+      ObjectNode refusal = Cbor.newMap().put("error", "the configuration is invalid");
       var problems = refusal.putArray("problems");
-      checked
+      validation
           .problems()
-          .forEach(p -> problems.addObject().put("path", p.path()).put("why", p.message()));
+          .forEach(
+              problem ->
+                  problems.addObject().put("path", problem.path()).put("why", problem.message()));
       responder.accept(JsonAnswers.of(422, refusal));
       return;
     }
-    submitChange(json, checked.configuration(), 0, responder);
+    submitChange(json, validation.configuration(), 0, responder);
   }
 
   private void rollback(byte[] body, Consumer<HttpAnswer> responder)
@@ -241,7 +258,7 @@
       case CONFLICT -> JsonAnswers.of(409, json);
       case REFUSED -> JsonAnswers.of(422, json);
       case UNKNOWN ->
-          JsonAnswers.of(503, json.put("error", "the outcome is not known: " + result.message()));
+          JsonAnswers.of(503, json.put("error", "the outcome is unknown: " + result.message()));
     };
   }
 
@@ -258,7 +275,7 @@
     String value = json.path(field).isTextual() ? json.get(field).asText() : "";
     if (value.isBlank() || value.length() > maxLength) {
       throw new KubernetesJson.MalformedRequestException(
-          field, "must be text of 1 to " + maxLength + " characters");
+          field, "must be a string of 1 to " + maxLength + " characters and not blank");
     }
     return value;
   }
--- a/src/main/java/io/violetrail/configuration/ConfigurationChange.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationChange.java
@@ -1,12 +1,14 @@
 package io.violetrail.configuration;
 
 /**
- * What an operator asks for.
+ * A change of the configuration that an operator requests.
  *
- * @param expectedRevision the revision that it is to replace
- * @param requestId names the request: a repeat under the same name changes nothing more
- * @param content what is to be in force; null to go back to {@code rollbackRevision}
- * @param rollbackRevision a kept revision whose content is to be in force again
+ * @param expectedRevision the revision that the change replaces; any other one in force is a
+ *     conflict
+ * @param requestId identifies the request, so that a repeat with the same id has no further effect
+ * @param content the requested content; null for a rollback to {@code rollbackRevision}
+ * @param rollbackRevision a kept revision whose content is restored; ignored unless {@code content}
+ *     is null
  */
 public record ConfigurationChange(
     long expectedRevision,
@@ -16,26 +18,28 @@
     ClusterConfiguration content,
     long rollbackRevision) {
 
-  /** What became of it. */
+  /** The outcome of a requested change. */
   public enum Outcome {
-    /** It is in force, or was until a later change. */
+    /** The change is in force, or was in force until a later change. */
     APPLIED,
     /** Nothing was changed: another revision than the expected one is in force. */
     CONFLICT,
-    /** Nothing was changed: the change asks for what cannot be. */
+    /** Nothing was changed: the request cannot be fulfilled. */
     REFUSED,
-    /** It may be in force or may come into force; a repeat under the same name tells. */
+    /** The change may be in force or come into force. A repeat with the same id tells which. */
     UNKNOWN
   }
 
   /**
-   * What became of a proposed change, with a message for the operator.
+   * The outcome of a requested change, with a message for the operator.
    *
-   * @param revision the change's own if it was applied, else the one in force
+   * @param revision the change's own revision if it was applied, the revision in force if it was
+   *     rejected, 0 if the outcome is unknown
+   * @param message empty if the change was applied
    */
   public record Result(Outcome outcome, long revision, String message) {}
 
-  /** Equal for repeats of the same request. */
+  /** Returns a text that is equal for repeats of the same request. */
   String requestDigest() {
     return content == null ? "rollback " + rollbackRevision : content.digest();
   }
--- a/src/main/java/io/violetrail/configuration/ConfigurationDiff.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationDiff.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What changes from one configuration to another, a line each. */
+/** Formats the differences between two configurations for operators. */
 public final class ConfigurationDiff {
   private final List<String> lines = new ArrayList<>();
 
@@ -19,7 +19,7 @@
     to.teams().forEach((name, team) -> diff.compareTeam(from, to, team));
     for (String name : from.teams().keySet()) {
       if (!to.teams().containsKey(name) && !from.closedTeams().contains(name)) {
-        diff.lines.add("- team " + name + " (closed: it finishes what it has)");
+        diff.lines.add("- team " + name + " (closed: it only finishes its open jobs)");
       }
     }
     diff.compareObjectives(from.objectives(), to.objectives());
--- a/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFollower.java
@@ -22,36 +22,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the stored configuration.
+ * Follows the configuration in the state service with bounded staleness.
  *
- * <p>Bounded staleness: a task starts nowhere later than {@link #MAX_STALENESS_SECONDS} after
- * another revision was stored, unless by that revision. The head row is read with each renewal of
- * the lease. A reading that shows the revision in force here confirms it as of its
- * <em>sending</em>: a later one cannot have been stored before. Tasks are launched only while the
- * last confirmation is younger than {@link #MAX_CONFIRMATION_AGE_SECONDS}, and workers drop an
- * answer that is older than {@link #MAX_ANSWER_AGE_SECONDS}. The argument rests on this
- * controller's steady clock alone, so it holds for a controller that is slow, partitioned, paused
- * or just started, and for one that has just acquired an entity.
+ * <p>Guarantee: once a revision has been stored for {@link #MAX_STALENESS_SECONDS}, no controller
+ * starts a task under an older one. The head row is read at least as often as the lease is renewed.
+ * A read that returns the revision in force here confirms it as of the time at which the read was
+ * <em>sent</em>, because a newer revision cannot have been stored before that. Tasks are launched
+ * only while the last confirmation is younger than {@link #MAX_CONFIRMATION_AGE_SECONDS}, and
+ * workers drop a heartbeat answer that is older than {@link #MAX_ANSWER_AGE_SECONDS}. The guarantee
+ * depends only on this controller's monotonic clock. It therefore holds for a controller that is
+ * slow, partitioned, paused or just started, and for one that has just acquired an entity.
  *
- * <p>The watch of the common rows only shortens the delay. Called on the event loop's thread;
- * nothing here survives a crash, and a new process begins unconfirmed.
+ * <p>The watch of the common rows only shortens the delay; the guarantee does not depend on it.
+ *
+ * <p>Called on the event loop's thread. No state survives a crash: a new process starts without a
+ * confirmation.
  */
 public final class ConfigurationFollower implements Configuration {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFollower.class);
 
-  /** The time within which a stored revision is in force everywhere, or nothing is started. */
+  /**
+   * The time after which a stored revision is in force at every controller that still starts tasks.
+   */
   public static final double MAX_STALENESS_SECONDS = 8;
 
-  /** A worker drops an answer that is older than this (PROTOCOL, "Workers"). */
+  /** The age above which a worker drops a heartbeat answer (PROTOCOL, "Workers"). */
   static final double MAX_ANSWER_AGE_SECONDS = 4;
 
   private static final double MAX_CLOCK_DRIFT = 0.002;
 
-  /** With a confirmation older than this nothing is started. */
+  /** The age from which a confirmation no longer permits the start of tasks. */
   static final double MAX_CONFIRMATION_AGE_SECONDS =
       (MAX_STALENESS_SECONDS - MAX_ANSWER_AGE_SECONDS) * (1 - MAX_CLOCK_DRIFT);
 
-  /** The longest interval between reads of the head row, however long the lease is. */
+  /** The longest interval between reads of the head row, for any lease duration. */
   private static final double MAX_POLL_SECONDS = 1.5;
 
   private final Settings settings;
@@ -63,8 +67,11 @@
   private ClusterConfiguration content;
   private ConfigurationHead head = ConfigurationHead.NONE;
 
-  /** The parts of the content in force, which the next one mostly shares. */
-  private Map<String, JsonNode> parts = Map.of();
+  /**
+   * The parts of the content in force. They are not read again for the next revision, which usually
+   * shares most of them.
+   */
+  private Map<String, JsonNode> partsByDigest = Map.of();
 
   private double confirmedAtSeconds = Double.NEGATIVE_INFINITY;
   private long inForceSinceMillis;
@@ -73,8 +80,8 @@
   private boolean wasFresh;
 
   /**
-   * Creates a follower that starts from the settings' own configuration; nothing is read before
-   * {@code start()}.
+   * Creates a follower that holds the configuration of the settings file until {@link #start} reads
+   * the stored one.
    */
   public ConfigurationFollower(
       Settings settings,
@@ -123,8 +130,10 @@
   }
 
   /**
-   * Also false while the quota shares known here may be older than the revision: an entity may have
-   * claimed more of a limit under the revision before.
+   * {@inheritDoc}
+   *
+   * <p>Also returns false while the quota shares known here may be older than the revision in
+   * force, because an entity may have claimed a larger share under the previous revision.
    */
   @Override
   public boolean isFresh() {
@@ -179,25 +188,26 @@
             .getUrgent(ConfigurationHead.KEY)
             .thenCompose(
                 row -> {
-                  ConfigurationHead found = ConfigurationHead.fromRow(row);
+                  ConfigurationHead storedHead = ConfigurationHead.fromRow(row);
                   if (row.value() != null) {
                     clusterView.apply(new RowChange(row.key(), row.value(), row.modRevision()));
                   }
-                  if (found.modRevision() <= head.modRevision()) {
+                  if (storedHead.modRevision() <= head.modRevision()) {
                     return CompletableFuture.completedFuture(
-                        new ReadResult(found, new Assembled(content, parts)));
+                        new ReadResult(storedHead, new Assembled(content, partsByDigest)));
                   }
-                  return ConfigurationParts.readContent(store, found.findLatest(), parts)
-                      .thenApply(read -> new ReadResult(found, read));
+                  return ConfigurationParts.readContent(
+                          store, storedHead.findLatest(), partsByDigest)
+                      .thenApply(assembled -> new ReadResult(storedHead, assembled));
                 })
             .whenComplete(
-                (read, failure) -> {
+                (result, failure) -> {
                   readInFlight = false;
                   if (failure == null) {
-                    applyRead(read, sentAtSeconds);
+                    applyRead(result, sentAtSeconds);
                   } else {
                     LOG.debug(
-                        "configuration not confirmed: {}",
+                        "configuration not confirmed because reading it failed: {}",
                         RequestFailedException.from(failure).getMessage());
                   }
                   if (readAgain) {
@@ -210,20 +220,20 @@
 
   private record ReadResult(ConfigurationHead head, Assembled assembled) {}
 
-  private void applyRead(ReadResult read, double sentAtSeconds) {
-    if (read.head().modRevision() > head.modRevision()) {
-      head = read.head();
-      content = read.assembled().content();
-      parts = read.assembled().partsByDigest();
+  private void applyRead(ReadResult result, double sentAtSeconds) {
+    if (result.head().modRevision() > head.modRevision()) {
+      head = result.head();
+      content = result.assembled().content();
+      partsByDigest = result.assembled().partsByDigest();
       inForceSinceMillis = loop.wallMillis();
       LOG.info(
-          "configuration revision {} of {} ({}) is in force",
+          "configuration revision {} by {} ({}) is now in force",
           head.currentNumber(),
           head.findLatest().author(),
           head.findLatest().reason());
       confirmedAtSeconds = sentAtSeconds;
       List.copyOf(listeners).forEach(Runnable::run);
-    } else if (read.head().modRevision() == head.modRevision()) {
+    } else if (result.head().modRevision() == head.modRevision()) {
       confirmedAtSeconds = Math.max(confirmedAtSeconds, sentAtSeconds);
     }
     logFreshnessChange();
@@ -234,8 +244,8 @@
       wasFresh = isFresh();
       LOG.info(
           wasFresh
-              ? "configuration revision {} is confirmed"
-              : "configuration revision {} is not confirmed any more: nothing is started",
+              ? "configuration revision {} is confirmed: tasks may start"
+              : "configuration revision {} is no longer confirmed: no tasks are started",
           revision());
     }
   }
--- a/src/main/java/io/violetrail/configuration/ConfigurationFormat.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFormat.java
@@ -15,14 +15,14 @@
 import java.util.TreeSet;
 
 /**
- * Reads a configuration from the form that operators write, and names everything that is wrong with
- * it by its path.
+ * Parses and validates a configuration that an operator has written. All problems are reported,
+ * each with the path of the field.
  */
 public final class ConfigurationFormat {
   static final int MAX_TEAMS = 1_000;
   static final int MAX_OBJECTIVES = 200;
 
-  /** More than any fleet has: what is above it is a mistake. */
+  /** The largest valid amount. It exceeds every fleet's capacity, so a larger one is a mistake. */
   private static final double MAX_AMOUNT = 10_000_000;
 
   private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
@@ -30,16 +30,17 @@
       Set.of("name", "cpus", "gpus", "cpus_max", "gpus_max", "closed");
   private static final Set<String> OBJECTIVE_FIELDS =
       Set.of("kind", "class", "within_s", "share", "times");
-  private static final Set<String> KINDS = Set.of("wait", "finished", "deadline", "guarantee");
+  private static final Set<String> OBJECTIVE_KINDS =
+      Set.of("wait", "finished", "deadline", "guarantee");
 
-  /** Kinds that say within how many seconds. */
+  /** The kinds of objectives that require {@code within_s}. */
   private static final Set<String> TIMED_KINDS = Set.of("wait", "finished", "guarantee");
 
   private final List<Problem> problems = new ArrayList<>();
 
   private ConfigurationFormat() {}
 
-  /** Something wrong, at a path such as {@code teams[3].cpus_max}. */
+  /** A validation error at a path such as {@code teams[3].cpus_max}; empty for the whole file. */
   public record Problem(String path, String message) {
     @Override
     public String toString() {
@@ -47,41 +48,47 @@
     }
   }
 
-  /** The content, or what is wrong with it. */
+  /**
+   * The result of a validation.
+   *
+   * @param configuration the content; null if there are problems
+   * @param problems empty if the content is valid
+   */
   public record ValidationResult(ClusterConfiguration configuration, List<Problem> problems) {
     public boolean isValid() {
       return problems.isEmpty();
     }
   }
 
-  /** Reads TOML: teams and objectives under {@code cluster}, as in the platform's file. */
+  /** Parses TOML with teams and objectives under {@code cluster}, as in the settings file. */
   public static ValidationResult parseToml(String text) {
     try {
       JsonNode file = new TomlMapper().readTree(text);
       List<Problem> problems = new ArrayList<>();
       addUnknownFields(file, Set.of("cluster"), "", problems);
       if (!file.path("cluster").isObject()) {
-        problems.add(new Problem("cluster", "is missing"));
+        problems.add(
+            new Problem("cluster", "is required: [[cluster.teams]] must list at least one team"));
         return new ValidationResult(null, problems);
       }
-      ValidationResult checked = parseTree(file.get("cluster"));
-      problems.addAll(checked.problems());
-      return new ValidationResult(checked.configuration(), problems);
+      ValidationResult result = parseTree(file.get("cluster"));
+      problems.addAll(result.problems());
+      return new ValidationResult(result.configuration(), problems);
     } catch (JsonProcessingException exception) {
       String reason = exception.getOriginalMessage().lines().findFirst().orElse("");
       return new ValidationResult(null, List.of(new Problem("", "not TOML: " + reason)));
     }
   }
 
-  /** Checks a tree with {@code teams} and {@code objectives} as a whole. */
+  /** Validates a tree with the fields {@code teams} and {@code objectives}. */
   public static ValidationResult parseTree(JsonNode tree) {
     ConfigurationFormat format = new ConfigurationFormat();
-    ClusterConfiguration read = format.readConfiguration(tree);
+    ClusterConfiguration configuration = format.readConfiguration(tree);
     return new ValidationResult(
-        format.problems.isEmpty() ? read : null, List.copyOf(format.problems));
+        format.problems.isEmpty() ? configuration : null, List.copyOf(format.problems));
   }
 
-  /** The form that {@link #parseToml} reads. */
+  /** Returns the configuration as TOML that {@link #parseToml} reads. */
   public static String toToml(ClusterConfiguration configuration) {
     StringBuilder text = new StringBuilder();
     JsonNode tree = configuration.toTree();
@@ -93,7 +100,7 @@
             .forEach(
                 field -> {
                   if (!field.getValue().isNull()) {
-                    // JSON's texts, numbers and booleans are TOML's as well.
+                    // JSON strings, numbers and booleans are valid TOML values.
                     text.append(field.getKey()).append(" = ").append(field.getValue()).append('\n');
                   }
                 });
@@ -108,7 +115,7 @@
     map.fieldNames().forEachRemaining(unknown::add);
     unknown.removeAll(known);
     String prefix = path.isEmpty() ? "" : path + ".";
-    unknown.forEach(f -> problems.add(new Problem(prefix + f, "is not known")));
+    unknown.forEach(field -> problems.add(new Problem(prefix + field, "is not known")));
   }
 
   private void addProblem(String path, String reason) {
@@ -124,7 +131,7 @@
       readTeam("teams[" + i + "]", teamList.get(i), teams, closedTeams);
     }
     if (teamList.isEmpty()) {
-      addProblem("teams", "there must be at least one");
+      addProblem("teams", "must list at least one team");
     }
     checkTotal("cpus", teams.values().stream().mapToDouble(Team::guaranteedCpus).sum());
     checkTotal("gpus", teams.values().stream().mapToDouble(Team::guaranteedGpus).sum());
@@ -142,7 +149,7 @@
       return list;
     }
     if (list.isArray()) {
-      addProblem(field, "has " + list.size() + " entries, and " + maxEntries + " are allowed");
+      addProblem(field, "has " + list.size() + " entries; at most " + maxEntries + " are allowed");
     } else if (!list.isMissingNode()) {
       addProblem(field, "must be a list");
     }
@@ -152,7 +159,8 @@
   private void checkTotal(String resource, double sum) {
     if (sum > MAX_AMOUNT) {
       addProblem(
-          "teams", "guarantees of " + resource + " add up to more than " + (long) MAX_AMOUNT);
+          "teams",
+          "the guaranteed " + resource + " add up to " + sum + ", more than " + (long) MAX_AMOUNT);
     }
   }
 
@@ -165,7 +173,9 @@
     addUnknownFields(node, TEAM_FIELDS, path, problems);
     String name = node.path("name").isTextual() ? node.get("name").asText() : "";
     if (!name.matches(NAME_PATTERN)) {
-      addProblem(path + ".name", "must be text of letters, digits, '.', '_' and '-', at most 63");
+      addProblem(
+          path + ".name",
+          "must be 1 to 63 letters, digits, '.', '_' or '-', and begin with a letter or digit");
     }
     Team team =
         new Team(
@@ -175,13 +185,13 @@
             readLimit(path, node, "cpus"),
             readLimit(path, node, "gpus"));
     if (teams.put(name, team) != null) {
-      addProblem(path + ".name", "there is another team " + name);
+      addProblem(path + ".name", "another team is also named " + name);
     }
-    JsonNode isClosed = node.path("closed");
-    if (!isClosed.isMissingNode() && !isClosed.isBoolean()) {
+    JsonNode closedNode = node.path("closed");
+    if (!closedNode.isMissingNode() && !closedNode.isBoolean()) {
       addProblem(path + ".closed", "must be true or false");
     }
-    if (isClosed.asBoolean()) {
+    if (closedNode.asBoolean()) {
       closedTeams.add(name);
     }
   }
@@ -199,11 +209,11 @@
     return value;
   }
 
-  /** 0 means no limit. */
+  /** Reads a limit; 0 or an absent field stands for no limit and gives infinity. */
   private double readLimit(String path, JsonNode node, String resource) {
     double limit = readAmount(path, node, resource + "_max");
     if (limit > 0 && node.path(resource).asDouble() > limit) {
-      addProblem(path + "." + resource, "the guarantee is above " + resource + "_max");
+      addProblem(path + "." + resource, "the guarantee exceeds " + resource + "_max");
     }
     return limit == 0 ? Double.POSITIVE_INFINITY : limit;
   }
@@ -215,11 +225,11 @@
     }
     addUnknownFields(node, OBJECTIVE_FIELDS, path, problems);
     String kind = node.path("kind").asText("");
-    if (!KINDS.contains(kind)) {
-      addProblem(path + ".kind", "must be one of " + new TreeSet<>(KINDS));
+    if (!OBJECTIVE_KINDS.contains(kind)) {
+      addProblem(path + ".kind", "must be one of " + new TreeSet<>(OBJECTIVE_KINDS));
     }
     if (node.hasNonNull("class") && !node.get("class").isTextual()) {
-      addProblem(path + ".class", "must be text");
+      addProblem(path + ".class", "must be a string");
     }
     double withinSeconds = readAmount(path, node, "within_s");
     if (TIMED_KINDS.contains(kind) && withinSeconds <= 0) {
@@ -229,8 +239,8 @@
     if (share <= 0 || share > 1) {
       addProblem(path + ".share", "must be above 0 and at most 1");
     }
-    double times = node.has("times") ? readAmount(path, node, "times") : 1;
+    double deadlineFactor = node.has("times") ? readAmount(path, node, "times") : 1;
     String jobClass = node.hasNonNull("class") ? node.get("class").asText() : null;
-    return new Objective(kind, jobClass, withinSeconds, share, times);
+    return new Objective(kind, jobClass, withinSeconds, share, deadlineFactor);
   }
 }
--- a/src/main/java/io/violetrail/configuration/ConfigurationHead.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationHead.java
@@ -10,19 +10,22 @@
 import java.util.List;
 
 /**
- * The row that says which revision is in force, with the last ones before it. Its content is in
- * parts, rows named by the digests of their content, since a few hundred teams do not fit one
- * value; revisions share the parts that are equal. One conditional write of this row puts all parts
- * in force at once.
+ * The row that names the configuration revision in force and the revisions before it.
  *
- * @param revisions the newest first
- * @param modRevision the row's; 0 if there is none, and the platform's file is in force
+ * <p>The content of a revision is stored in separate rows (parts), because a few hundred teams do
+ * not fit into one value. The key of a part contains the digest of the part, so revisions share
+ * equal parts. A single conditional write of the head row puts all parts of a revision in force at
+ * once.
+ *
+ * @param revisions the kept revisions, the newest first; the first one is in force
+ * @param modRevision the state service's revision of this row; 0 if the row is absent and the
+ *     settings file is in force
  */
 public record ConfigurationHead(List<Revision> revisions, long modRevision) {
-  /** The head's key, among the rows that every controller watches. */
+  /** The key of the head row. Every controller watches it with the other common rows. */
   public static final String KEY = StateSchema.CONFIGURATION_KEY;
 
-  /** The prefix of the parts' keys, which no controller watches. */
+  /** The prefix of the parts' keys. No controller watches these rows. */
   static final String PART_KEY_PREFIX = "config/part/";
 
   static final int MAX_REVISIONS = 12;
@@ -30,12 +33,13 @@
   static final ConfigurationHead NONE = new ConfigurationHead(List.of(), 0);
 
   /**
-   * One revision.
+   * One revision of the configuration.
    *
-   * @param digest of its content
-   * @param partDigests digests of the rows that hold it, in order
-   * @param requestId names the request that asked for it
-   * @param requestDigest digest of what was asked for, before teams that it leaves out were closed
+   * @param digest the digest of the complete content
+   * @param partDigests the digests of the parts that hold the content, in the content's order
+   * @param requestId the id of the request that created the revision
+   * @param requestDigest the digest of the requested content, before the teams that the request
+   *     omits were added as closed teams
    */
   public record Revision(
       long number,
@@ -64,17 +68,20 @@
     return revisions.isEmpty() ? null : revisions.get(0);
   }
 
-  /** The kept revision of that number; null if there is none. */
+  /** Returns the revision with the given number; null if it is not kept or never existed. */
   Revision findRevision(long number) {
     return revisions.stream().filter(r -> r.number() == number).findFirst().orElse(null);
   }
 
-  /** The kept revision that the request made; null if there is none. */
+  /** Returns the kept revision that the given request created; null if there is none. */
   Revision findByRequest(String requestId) {
     return revisions.stream().filter(r -> r.requestId().equals(requestId)).findFirst().orElse(null);
   }
 
-  /** This head with another revision in force; the oldest ones go. */
+  /**
+   * Returns a head with {@code next} in force, which keeps at most {@link #MAX_REVISIONS}
+   * revisions.
+   */
   ConfigurationHead withRevision(Revision next) {
     List<Revision> allRevisions = new ArrayList<>(revisions);
     allRevisions.add(0, next);
@@ -85,18 +92,17 @@
 
   ObjectNode toRow() {
     ObjectNode value = Cbor.newMap();
-    ArrayNode list = value.putArray("revisions");
-    for (Revision kept : revisions) {
-      ObjectNode revision = list.addObject();
-      kept.partDigests().forEach(revision.putArray("parts")::add);
-      revision
-          .put("number", kept.number())
-          .put("digest", kept.digest())
-          .put("request", kept.requestId())
-          .put("asked", kept.requestDigest())
-          .put("who", kept.author())
-          .put("why", kept.reason())
-          .put("at", kept.createdMillis());
+    ArrayNode revisionList = value.putArray("revisions");
+    for (Revision revision : revisions) {
+      ObjectNode node = revisionList.addObject();
+      revision.partDigests().forEach(node.putArray("parts")::add);
+      node.put("number", revision.number())
+          .put("digest", revision.digest())
+          .put("request", revision.requestId())
+          .put("asked", revision.requestDigest())
+          .put("who", revision.author())
+          .put("why", revision.reason())
+          .put("at", revision.createdMillis());
     }
     return value;
   }
--- a/src/main/java/io/violetrail/configuration/ConfigurationParts.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationParts.java
@@ -14,21 +14,26 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A revision's content as rows of the state service, each within the limit for values and named by
- * the digest of what it holds. A change of one team leaves the other parts as they are.
+ * Splits the content of a revision into rows of the state service (parts) and reads it from them.
+ * Each part fits the value size limit, and its key is derived from the digest of its content. A
+ * change of one team leaves the other parts unchanged.
  */
 final class ConfigurationParts {
-  /** Of the value limit, which counts a longer encoding than the one that is estimated. */
+  /**
+   * The usable fraction of the value size limit. The limit applies to a longer encoding than the
+   * one that {@link #MAX_ENTRY_CHARS} estimates.
+   */
   private static final double FILL_FRACTION = 0.75;
 
-  /** What a team or an objective takes at most, with the longest names and numbers. */
+  /** The most characters that a team or an objective takes, with the longest names and numbers. */
   private static final int MAX_ENTRY_CHARS = 200;
 
   private ConfigurationParts() {}
 
   /**
-   * Cuts a content into values by their digests, in order. Each holds as many entries as any other:
-   * cut by size, one longer number would have moved all cuts behind it.
+   * Splits a content into parts by digest, in the content's order. All parts except the last of a
+   * list hold the same number of entries. If they were split by size, one longer number could move
+   * entries between all later parts, which would change their digests.
    */
   static Map<String, ObjectNode> split(
       ClusterConfiguration content, int maxValueBytes, long nowMillis) {
@@ -50,13 +55,14 @@
     return parts;
   }
 
-  /** A content, and the parts that it was put together from. */
+  /** A content and the parts from which it was assembled. */
   record Assembled(ClusterConfiguration content, Map<String, JsonNode> partsByDigest) {}
 
   /**
-   * Reads a revision's content; fails if a part is missing or is not what the digest says.
+   * Reads the content of a revision. Fails with an {@link InconsistentRowsException} if a part is
+   * missing or the assembled content does not match the revision's digest.
    *
-   * @param knownParts parts that need not be read again
+   * @param knownParts parts by digest that were read before and are not read again
    */
   static CompletableFuture<Assembled> readContent(
       StateStore store, ConfigurationHead.Revision revision, Map<String, JsonNode> knownParts) {
@@ -70,7 +76,7 @@
               : store.getUrgent(ConfigurationHead.partKey(digest)).thenApply(Entry::value));
     }
     return CompletableFuture.allOf(reads.values().toArray(CompletableFuture[]::new))
-        .thenApply(nothing -> assemble(revision, reads));
+        .thenApply(ignored -> assemble(revision, reads));
   }
 
   private static Assembled assemble(
--- a/src/main/java/io/violetrail/configuration/ConfigurationState.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationState.java
@@ -1,12 +1,13 @@
 package io.violetrail.configuration;
 
 /**
- * Which revision a controller goes by.
+ * The configuration revision in force at one controller.
  *
- * @param confirmedMsAgo how long ago it asked the state service and was told that this revision is
- *     in force; negative if it never was
- * @param inForceSinceMs time of day at which it began to go by it
- * @param fresh whether it starts tasks by it
+ * @param confirmedMsAgo milliseconds since the controller sent the last read of the state service
+ *     that confirmed this revision; negative if there was none
+ * @param inForceSinceMs wall-clock time at which the revision came into force at the controller; 0
+ *     if the controller did not answer
+ * @param fresh whether the controller starts tasks under this revision
  */
 public record ConfigurationState(
     String controller, long revision, long confirmedMsAgo, long inForceSinceMs, boolean fresh) {}
--- a/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
@@ -24,20 +24,24 @@
 /**
  * Stores changes of the configuration.
  *
- * <p>The parts are written first, under names that their content gives them, so a late write of one
- * changes nothing. Then one transaction writes the head on the condition of its own revision and of
- * the parts' revisions: it puts the whole revision in force, or nothing. Any controller can do it;
- * it needs no lease, since nothing but the rows decides.
+ * <p>The parts are written first, under keys derived from their content, so that a delayed write of
+ * a part has no effect. One transaction then writes the head, conditional on the revisions of the
+ * head and of all parts. It puts the whole revision in force or changes nothing. Any controller can
+ * store a change, and no lease is needed, because only these conditions decide the outcome.
  */
 public final class ConfigurationWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationWriter.class);
 
   /**
-   * Parts that no head names are removed once they are older: a writer may be about to name them.
+   * The age from which a part that no kept revision refers to is deleted. A younger part may belong
+   * to a change whose head has not been written yet.
    */
   private static final double UNUSED_PART_RETENTION_SECONDS = 600;
 
-  /** Of the value limit, which counts a longer encoding than the one that is measured. */
+  /**
+   * The usable fraction of the value size limit. The limit applies to a longer encoding than the
+   * JSON text that is measured here.
+   */
   private static final double FILL_FRACTION = 0.9;
 
   private static final int MAX_ATTEMPTS = 3;
@@ -53,9 +57,13 @@
     this.store = store;
   }
 
-  /** Never fails: whatever goes wrong on the way leaves the outcome unknown. */
+  /**
+   * Stores a change if the expected revision is in force. Idempotent per request id.
+   *
+   * @return never fails: any failure yields {@link Outcome#UNKNOWN}
+   */
   public CompletableFuture<Result> apply(ConfigurationChange change) {
-    return attempt(change, 1)
+    return tryApply(change, 1)
         .exceptionally(
             failure -> {
               Throwable cause =
@@ -64,7 +72,7 @@
             });
   }
 
-  private CompletableFuture<Result> attempt(ConfigurationChange change, int attempt) {
+  private CompletableFuture<Result> tryApply(ConfigurationChange change, int attempt) {
     return readHead()
         .thenCompose(
             head -> {
@@ -80,7 +88,7 @@
     return store.getForUser(ConfigurationHead.KEY).thenApply(ConfigurationHead::fromRow);
   }
 
-  /** The outcome if it is certain without a write; null if it is not. */
+  /** Returns the outcome if no write is needed to determine it; null otherwise. */
   private static Result findCertainOutcome(ConfigurationChange change, ConfigurationHead head) {
     Revision existing = head.findByRequest(change.requestId());
     if (existing != null) {
@@ -89,24 +97,31 @@
           : new Result(
               Outcome.REFUSED,
               head.currentNumber(),
-              "the request's name was used for another change");
+              "request id "
+                  + change.requestId()
+                  + " was already used for a different change; use a new id");
     }
     if (head.currentNumber() != change.expectedRevision()) {
       return new Result(
           Outcome.CONFLICT,
           head.currentNumber(),
-          "revision " + head.currentNumber() + " is in force");
+          "revision "
+              + head.currentNumber()
+              + " is in force, not the expected revision "
+              + change.expectedRevision());
     }
     if (change.content() == null && head.findRevision(change.rollbackRevision()) == null) {
       return new Result(
           Outcome.REFUSED,
           head.currentNumber(),
-          "revision " + change.rollbackRevision() + " is not kept any more, or never was");
+          "revision "
+              + change.rollbackRevision()
+              + " does not exist or is no longer kept; see the history for the kept revisions");
     }
     return null;
   }
 
-  /** What is in force, and what is asked for. */
+  /** The content in force and the content that the change requests. */
   private record Contents(ClusterConfiguration previous, ClusterConfiguration requested) {}
 
   private CompletableFuture<Contents> readContents(
@@ -135,7 +150,9 @@
           new Result(
               Outcome.REFUSED,
               head.currentNumber(),
-              "with the closed teams there are more than " + ConfigurationFormat.MAX_TEAMS));
+              next.teams().size()
+                  + " teams, including closed ones, exceed the limit of "
+                  + ConfigurationFormat.MAX_TEAMS));
     }
     Map<String, ObjectNode> parts =
         ConfigurationParts.split(
@@ -156,32 +173,37 @@
         .thenCompose(
             applied -> {
               if (!applied && attempt < MAX_ATTEMPTS) {
-                // Another change came first, or this one did by a try whose answer was lost.
-                return attempt(change, attempt + 1);
+                // Another change was stored first, or an earlier attempt of this one succeeded but
+                // its reply was lost.
+                return tryApply(change, attempt + 1);
               }
               if (applied) {
-                LOG.info("configuration revision {} stored", revision.number());
-                removeUnused(newHead);
+                LOG.info("stored configuration revision {}", revision.number());
+                removeUnusedParts(newHead);
               }
               return CompletableFuture.completedFuture(
                   applied
                       ? new Result(Outcome.APPLIED, revision.number(), "")
-                      : new Result(Outcome.UNKNOWN, 0, "too many changes at once"));
+                      : new Result(
+                          Outcome.UNKNOWN,
+                          0,
+                          "each of " + MAX_ATTEMPTS + " attempts met a concurrent change"));
             });
   }
 
-  /** Drops the oldest revisions until the row fits a value. */
+  /** Drops the oldest revisions until the head row fits the value size limit. */
   private ConfigurationHead trimToValueLimit(ConfigurationHead head) {
-    ConfigurationHead fitting = head;
+    ConfigurationHead trimmed = head;
     int maxChars = (int) (settings.stateStoreLimits().maxValueBytes() * FILL_FRACTION);
-    while (fitting.revisions().size() > 1 && fitting.toRow().toString().length() > maxChars) {
-      List<Revision> fewer = fitting.revisions().subList(0, fitting.revisions().size() - 1);
-      fitting = new ConfigurationHead(List.copyOf(fewer), fitting.modRevision());
+    while (trimmed.revisions().size() > 1 && trimmed.toRow().toString().length() > maxChars) {
+      List<Revision> newestRevisions =
+          trimmed.revisions().subList(0, trimmed.revisions().size() - 1);
+      trimmed = new ConfigurationHead(List.copyOf(newestRevisions), trimmed.modRevision());
     }
-    return fitting;
+    return trimmed;
   }
 
-  /** Writes the parts that are not there yet; completes with the revisions of all of them. */
+  /** Writes the parts that are absent; completes with the row revisions of all parts by key. */
   private CompletableFuture<Map<String, Long>> storeParts(Map<String, ObjectNode> parts) {
     Map<String, Long> modRevisions = new TreeMap<>();
     List<CompletableFuture<Void>> writes = new ArrayList<>();
@@ -191,10 +213,14 @@
           writes.add(storePart(key, part).thenAccept(revision -> modRevisions.put(key, revision)));
         });
     return CompletableFuture.allOf(writes.toArray(CompletableFuture[]::new))
-        .thenApply(nothing -> modRevisions);
+        .thenApply(ignored -> modRevisions);
   }
 
-  /** Completes with the part's revision; most parts are there from the revision before. */
+  /**
+   * Writes a part if it is absent; most parts exist already from the previous revision.
+   *
+   * @return completes with the part's row revision
+   */
   private CompletableFuture<Long> storePart(String key, ObjectNode part) {
     return store
         .getUrgent(key)
@@ -214,19 +240,22 @@
   }
 
   private CompletableFuture<Boolean> storeHead(
-      ConfigurationHead before, ConfigurationHead next, Map<String, Long> partModRevisions) {
+      ConfigurationHead current, ConfigurationHead next, Map<String, Long> partModRevisions) {
     Transaction transaction =
         new Transaction()
-            .ifRevision(ConfigurationHead.KEY, before.modRevision())
+            .ifRevision(ConfigurationHead.KEY, current.modRevision())
             .put(ConfigurationHead.KEY, next.toRow());
     partModRevisions.forEach(transaction::ifRevision);
     return store.commit(transaction).thenApply(outcome -> outcome.applied());
   }
 
-  /** Removes old parts that no kept revision names. What fails is left to the next change. */
-  private void removeUnused(ConfigurationHead head) {
-    Set<String> namedKeys = new HashSet<>();
-    head.revisions().forEach(r -> namedKeys.addAll(r.partKeys()));
+  /**
+   * Deletes old parts that no kept revision refers to. Parts whose deletion fails are left to the
+   * next change.
+   */
+  private void removeUnusedParts(ConfigurationHead head) {
+    Set<String> referencedKeys = new HashSet<>();
+    head.revisions().forEach(revision -> referencedKeys.addAll(revision.partKeys()));
     long cutoffMillis = loop.wallMillis() - (long) (1000 * UNUSED_PART_RETENTION_SECONDS);
     Futures.logFailure(
         store
@@ -235,16 +264,16 @@
                 listing ->
                     listing.entries().stream()
                         .filter(
-                            e ->
-                                !namedKeys.contains(e.key())
-                                    && writtenMillis(e.value()) < cutoffMillis)
+                            entry ->
+                                !referencedKeys.contains(entry.key())
+                                    && writtenMillis(entry.value()) < cutoffMillis)
                         .forEach(
-                            e ->
+                            entry ->
                                 Futures.logFailure(
                                     store.commitInBackground(
                                         new Transaction()
-                                            .ifRevision(e.key(), e.modRevision())
-                                            .delete(e.key())),
+                                            .ifRevision(entry.key(), entry.modRevision())
+                                            .delete(entry.key())),
                                     "delete an unreferenced configuration part"))),
         "list unreferenced configuration parts");
   }
@@ -253,7 +282,7 @@
     return part == null ? Long.MAX_VALUE : part.path("at").asLong(Long.MAX_VALUE);
   }
 
-  /** The kept revisions, the newest first. */
+  /** Reads the kept revisions, the newest first. Fails if the head row cannot be read. */
   public CompletableFuture<List<Revision>> history() {
     return readHead().thenApply(ConfigurationHead::revisions);
   }
--- a/src/main/java/io/violetrail/configuration/FixedConfiguration.java
+++ b/src/main/java/io/violetrail/configuration/FixedConfiguration.java
@@ -8,8 +8,9 @@
 import java.util.List;
 
 /**
- * The platform's settings file, for as long as the process runs. Where another controller has
- * stored a configuration, this one cannot know what the limits are and starts nothing.
+ * The configuration of the settings file, which stays the same while the process runs. If another
+ * controller has stored a configuration, the limits in force are unknown here and this controller
+ * starts no tasks.
  */
 public final class FixedConfiguration implements Configuration {
   private final Settings settings;
--- a/src/test/java/io/violetrail/configuration/ConfigurationFormatTest.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationFormatTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The file that operators write: what is read, what is refused and how that is said. */
+/** Parsing and validation of the operators' configuration file, and the diff of two contents. */
 class ConfigurationFormatTest {
   private static final String VALID =
       """
--- a/src/test/java/io/violetrail/configuration/ConfigurationInvariantChecker.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationInvariantChecker.java
@@ -14,10 +14,17 @@
 import java.util.Map;
 
 /**
- * What must hold at every moment while the configuration changes, by the rows of the state service:
- * no team uses more than the largest limit that could be in force, no controller starts tasks by a
- * revision that was replaced longer ago than the bound, and quota shares only add up to more where
- * a limit allows it.
+ * Checks invariants against the rows of the state service at every step while the configuration
+ * changes. The invariants are:
+ *
+ * <ul>
+ *   <li>No team uses more than the largest limit that may be in force.
+ *   <li>No controller starts tasks under a revision that was replaced longer ago than the staleness
+ *       bound.
+ *   <li>Revision numbers have no gaps, and the parts and the digest of each revision are
+ *       consistent.
+ *   <li>The sum of a team's quota shares grows only as far as a limit that may be in force allows.
+ * </ul>
  */
 final class ConfigurationInvariantChecker {
   private static final double CHECK_INTERVAL_SECONDS = 0.05;
@@ -25,9 +32,9 @@
 
   private final ClusterSimulation simulation;
   private final List<Revision> revisions = new ArrayList<>();
-  private final Map<String, Double> sliceSums = new HashMap<>();
+  private final Map<String, Double> quotaShareSums = new HashMap<>();
 
-  /** A revision with its content, and since when it is in force. */
+  /** A revision with its content and the simulated time at which it was first seen. */
   private record Revision(long number, double sinceSeconds, ClusterConfiguration content) {}
 
   ConfigurationInvariantChecker(ClusterSimulation simulation) {
@@ -53,7 +60,7 @@
           ConfigurationHead.fromRow(new Entry(StateSchema.CONFIGURATION_KEY, head, 1)).findLatest();
       if (newest.number() != latestRevision()) {
         reportViolationIf(
-            "revisions skip from " + latestRevision() + " to " + newest.number(),
+            "revision numbers skip from " + latestRevision() + " to " + newest.number(),
             newest.number() != latestRevision() + 1);
         revisions.add(new Revision(newest.number(), simulation.nowSeconds(), readContent(newest)));
       }
@@ -62,7 +69,7 @@
     simulation
         .stateService()
         .keysWithPrefix(StateSchema.QUOTA_SHARE_PREFIX)
-        .forEach(this::checkSliceSum);
+        .forEach(this::checkQuotaShareSum);
     simulation.runAfter(CHECK_INTERVAL_SECONDS, this::check);
   }
 
@@ -78,18 +85,23 @@
     var objectives = tree.putArray("objectives");
     for (String key : revision.partKeys()) {
       JsonNode part = simulation.stateService().findValue(key);
-      reportViolationIf("part " + key + " of the head is missing", part == null);
+      reportViolationIf("part " + key + " that the head refers to is missing", part == null);
       if (part != null) {
         part.path("teams").forEach(teams::add);
         part.path("objectives").forEach(objectives::add);
       }
     }
     ClusterConfiguration content = ClusterConfiguration.fromTree(tree);
-    reportViolationIf("the head's digest is another", !content.digest().equals(revision.digest()));
+    reportViolationIf(
+        "the content does not match the digest in the head",
+        !content.digest().equals(revision.digest()));
     return content;
   }
 
-  /** Revisions that were in force within the bound; what was seen is as old as a step. */
+  /**
+   * Returns the revisions that were in force within the staleness bound. The bound is extended by
+   * one check interval, because a replacement is seen up to one interval late.
+   */
   private List<Revision> revisionsPossiblyInForce() {
     double sinceSeconds =
         simulation.nowSeconds()
@@ -124,21 +136,23 @@
     long oldest = revisionsPossiblyInForce().get(0).number();
     reportViolationIf(
         controller.settings().self()
-            + " starts by revision "
+            + " may start tasks under the replaced revision "
             + controller.configuration().revision(),
         controller.configuration().revision() < oldest);
   }
 
-  private void checkSliceSum(String key) {
+  private void checkQuotaShareSum(String key) {
     String team = key.substring(StateSchema.QUOTA_SHARE_PREFIX.length());
     double sum = 0;
-    for (JsonNode slice : simulation.stateService().findValue(key)) {
-      double cpus = slice.path(0).asDouble();
+    for (JsonNode share : simulation.stateService().findValue(key)) {
+      double cpus = share.path(0).asDouble();
       sum += cpus < 0 ? Double.POSITIVE_INFINITY : cpus;
     }
-    double previousSum = sliceSums.getOrDefault(team, Double.POSITIVE_INFINITY);
+    double previousSum = quotaShareSums.getOrDefault(team, Double.POSITIVE_INFINITY);
     double allowed = Math.max(previousSum, largestLimit(team).maxCpus());
-    reportViolationIf("slices of " + team + " grow to " + sum, sum > allowed + ROUNDING_TOLERANCE);
-    sliceSums.put(team, sum);
+    reportViolationIf(
+        "quota shares of " + team + " grow to " + sum + ", above " + allowed,
+        sum > allowed + ROUNDING_TOLERANCE);
+    quotaShareSums.put(team, sum);
   }
 }
--- a/src/test/java/io/violetrail/configuration/ConfigurationTest.java
+++ b/src/test/java/io/violetrail/configuration/ConfigurationTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The configuration changes while controllers, the network and the state service fail. */
+/** Changes of the configuration while controllers, the network and the state service fail. */
 class ConfigurationTest extends SimulationTestBase {
   private ConfigurationInvariantChecker checker;
 
@@ -115,9 +115,9 @@
 
   private double quotaShareSum(String team) {
     double sum = 0;
-    for (JsonNode slice :
+    for (JsonNode share :
         simulation.stateService().findValue(StateSchema.QUOTA_SHARE_PREFIX + team)) {
-      sum += slice.get(0).asDouble();
+      sum += share.get(0).asDouble();
     }
     return sum;
   }
@@ -226,7 +226,7 @@
     assertEquals(
         200,
         user.submit("c1", SimulatedUser.jobRequest("job-1", 4)),
-        "known jobs keep their answers");
+        "a repeated submission of a known job is still accepted");
     simulation.runUntil(40, () -> user.pollStatus("c2", "job-1").equals("done"));
     assertEquals(
         200,
@@ -267,7 +267,7 @@
     assertEquals(
         422,
         applyChange("c2", changeRequest(1, "r1", teamNode("red", 25))).status(),
-        "another content");
+        "the same request id with another content");
     assertEquals(1, checker.latestRevision());
   }
 
@@ -279,12 +279,12 @@
     var lateReply = post("c0", "/config", change);
     simulation.runFor(4);
     simulation.stateService().lateTransactionShare().clear();
-    int other = applyChange("c1", changeRequest(0, "r2", teamNode("red", 10))).status();
+    int otherStatus = applyChange("c1", changeRequest(0, "r2", teamNode("red", 10))).status();
     await(lateReply);
     simulation.runFor(15);
     JsonNode history = getJson("c2", "/config/history").get("revisions");
     assertEquals(
-        other == 200 ? "r2" : "r1", history.get(history.size() - 1).get("request").asText());
+        otherStatus == 200 ? "r2" : "r1", history.get(history.size() - 1).get("request").asText());
     long first = history.get(history.size() - 1).get("revision").asLong();
     assertEquals(1, first);
     awaitInForce(checker.latestRevision());
@@ -381,14 +381,15 @@
     assertEquals(
         2,
         simulation.stateService().writeCountByUse().get("config") - configWrites,
-        "one part and the head");
+        "writes one part and the head");
     simulation.runFor(700);
     assertEquals(200, applyChange("c0", changeRequest(41, "last", teams)).status());
     simulation.runFor(5);
-    int named = ConfigurationHead.MAX_REVISIONS * 13;
+    int maxReferencedParts = ConfigurationHead.MAX_REVISIONS * 13;
     assertTrue(
-        simulation.stateService().keysWithPrefix(ConfigurationHead.PART_KEY_PREFIX).size() <= named,
-        "old parts are removed");
+        simulation.stateService().keysWithPrefix(ConfigurationHead.PART_KEY_PREFIX).size()
+            <= maxReferencedParts,
+        "unreferenced old parts are deleted");
   }
 
   @Test
@@ -408,7 +409,10 @@
     assertEquals(null, simulation.stateService().findValue(StateSchema.CONFIGURATION_KEY));
   }
 
-  /** Changes meet everything that can fail, in any order; the checker and the rules judge. */
+  /**
+   * Changes the configuration while random faults occur in random order. The configuration checker
+   * and the simulation's invariant checker report violations.
+   */
   @ParameterizedTest
   @ValueSource(
       longs = {
