--- a/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -25,12 +25,12 @@
 import java.util.function.Consumer;
 
 /**
- * Runs a controller for a moment against services that answer from a script, all in this process,
- * so that the build can archive the classes a start needs. A start without the archive takes about
- * two seconds longer, which is outage time. Takes no part in serving.
+ * Runs a controller for a short time against scripted services in the same process, so that the
+ * build can archive the classes that a start loads. A start without the archive takes about two
+ * seconds longer, and this time adds to an outage. Not used in production.
  *
- * <p>{@link #run} is called on the main thread; the requests and the script's answers are run on
- * the event loops' threads.
+ * <p>{@link #run} is called on the main thread. Requests and scripted answers run on the event
+ * loops' threads.
  */
 final class ClassArchiveWarmUp {
   private static final long RUN_MILLIS = 2_500;
@@ -49,7 +49,10 @@
       new MachineType("t", new Resources(4, 0, 8), 9, 1, 1, 1, 5, List.of(ZONE));
   private static final long LEASE_ID = 7;
 
-  /** Above what the controller has been granted by then, so that it sees a higher token. */
+  /**
+   * Exceeds every token granted to the controller by then, so that the controller meets a higher
+   * token than its own.
+   */
   private static final long HIGH_FENCING_TOKEN = 100;
 
   private static final String SETTINGS_TOML =
@@ -104,9 +107,9 @@
   }
 
   /**
-   * Plays the script and ends the process with status 0: the archive is written when it ends.
+   * Runs the script and exits the process with status 0. The JVM writes the archive at exit.
    *
-   * @return never
+   * @return never returns
    */
   static int run() throws IOException, InvalidSettingsException, InterruptedException {
     ClassArchiveWarmUp warmUp = new ClassArchiveWarmUp(readSettings());
@@ -128,7 +131,7 @@
     return Settings.parse(new TomlMapper().readTree(toml));
   }
 
-  /** The provider and the state service, served at the addresses that the settings name. */
+  /** Serves the cloud provider and the state service at the addresses in the settings. */
   private void startScriptedServices() throws IOException {
     Settings scriptSettings =
         new Settings(
@@ -211,7 +214,7 @@
       String method, String path, byte[] body, Consumer<RequestHandler.HttpAnswer> responder) {
     revision++;
     if (path.startsWith("/changes")) {
-      return; // A watch without changes stays open.
+      return; // A watch stays open as long as there are no changes.
     }
     if (path.equals("/flavors")) {
       responder.accept(
--- a/src/main/java/io/violetrail/cli/ConfigCommand.java
+++ b/src/main/java/io/violetrail/cli/ConfigCommand.java
@@ -22,39 +22,39 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.ScopeType;
 
-/** Shows and changes the configuration of teams and objectives at a running controller. */
+/** Shows and changes the configuration of teams and objectives through a running controller. */
 @Command(
     name = "config",
     mixinStandardHelpOptions = true,
     description = {
-      "Teams and objectives that change while the service runs.",
-      "Files are TOML with [[cluster.teams]] and [[cluster.objectives]], as in the platform's file."
+      "Shows and changes teams and objectives while the controllers run.",
+      "Files are TOML with [[cluster.teams]] and [[cluster.objectives]], as in the settings file."
     },
     exitCodeListHeading = "Exit status:%n",
     exitCodeList = {
-      "0:done; diff: no difference",
-      "1:refused, or the file is not valid; diff: there are differences",
+      "0:success; diff: no differences",
+      "1:refused, or the file is invalid; diff: there are differences",
       "2:bad usage",
-      "3:no controller answers; nothing was changed",
-      "4:the outcome is not known; repeat the command with the --request that it names",
-      "5:another revision than the expected one is in force; nothing was changed"
+      "3:no controller answered; nothing was changed",
+      "4:the outcome is unknown; repeat the command with the --request id that it prints",
+      "5:the revision in force is not the expected one; nothing was changed"
     })
 final class ConfigCommand extends ControllerCommand {
   private static final String SERVER_DESCRIPTION =
-      "a controller's API address, host:port; several by commas";
+      "a controller's API address, host:port; several are separated by commas";
 
   @Option(
       names = "--json",
       scope = ScopeType.INHERIT,
-      description = "print what the controller answers as JSON")
+      description = "print the controller's reply as JSON")
   private boolean json;
 
-  /** Prints what a controller answered, in the form for people. */
+  /** Prints a controller's reply in human-readable form. */
   private interface Printer {
-    void print(JsonNode answer);
+    void print(JsonNode reply);
   }
 
-  private int printAnswer(List<String> servers, String path, Printer printer) {
+  private int printReply(List<String> servers, String path, Printer printer) {
     try {
       Reply reply = new ControllerClient(servers).get(path);
       if (!reply.isSuccessful()) {
@@ -71,28 +71,30 @@
     }
   }
 
-  @Command(name = "show", description = "Prints what is in force, in the form that apply reads.")
+  @Command(
+      name = "show",
+      description = "Prints the configuration in force in the form that apply reads.")
   int show(
       @Option(names = "--server", split = ",", required = true, description = SERVER_DESCRIPTION)
           List<String> servers) {
-    return printAnswer(
+    return printReply(
         servers,
         "/config",
-        node -> {
-          out().println("# revision " + node.path("revision").asLong());
-          out().print(ConfigurationFormat.toToml(ClusterConfiguration.fromTree(node)));
+        reply -> {
+          out().println("# revision " + reply.path("revision").asLong());
+          out().print(ConfigurationFormat.toToml(ClusterConfiguration.fromTree(reply)));
         });
   }
 
-  @Command(name = "history", description = "Lists the kept revisions, the newest first.")
+  @Command(name = "history", description = "Lists the kept revisions, newest first.")
   int history(
       @Option(names = "--server", split = ",", required = true, description = SERVER_DESCRIPTION)
           List<String> servers) {
-    return printAnswer(
+    return printReply(
         servers,
         "/config/history",
-        node -> {
-          for (JsonNode revision : node.path("revisions")) {
+        reply -> {
+          for (JsonNode revision : reply.path("revisions")) {
             out()
                 .printf(
                     "%d  %s  %s: %s%n",
@@ -104,17 +106,17 @@
         });
   }
 
-  @Command(name = "status", description = "Says which controllers go by which revision.")
+  @Command(name = "status", description = "Prints the revision in force at each controller.")
   int status(
       @Option(names = "--server", split = ",", required = true, description = SERVER_DESCRIPTION)
           List<String> servers) {
-    return printAnswer(
-        servers, "/config/status", answer -> answer.path("controllers").forEach(this::printState));
+    return printReply(
+        servers, "/config/status", reply -> reply.path("controllers").forEach(this::printState));
   }
 
   private void printState(JsonNode state) {
     if (!state.path("answers").asBoolean()) {
-      out().println(state.path("controller").asText() + ": gives no answer");
+      out().println(state.path("controller").asText() + ": does not answer");
       return;
     }
     out()
@@ -124,21 +126,21 @@
             state.path("revision").asLong(),
             Instant.ofEpochMilli(state.path("in_force_since_ms").asLong()),
             state.path("confirmed_ms_ago").asLong(),
-            state.path("fresh").asBoolean() ? "" : "; starts nothing");
+            state.path("fresh").asBoolean() ? "" : "; starts no tasks");
   }
 
   /**
-   * Reads a configuration file and prints what is wrong with it.
+   * Reads a configuration file and prints its problems to the standard error.
    *
-   * @return null if it is not valid
+   * @return null if the file is invalid
    */
   private ClusterConfiguration readFile(Path file) throws IOException {
-    ValidationResult checked = ConfigurationFormat.parseToml(Files.readString(file));
-    checked.problems().forEach(problem -> err().println(file + ": " + problem));
-    return checked.configuration();
+    ValidationResult validation = ConfigurationFormat.parseToml(Files.readString(file));
+    validation.problems().forEach(problem -> err().println(file + ": " + problem));
+    return validation.configuration();
   }
 
-  @Command(name = "check", description = "Checks a file without a controller.")
+  @Command(name = "check", description = "Validates a file without calling a controller.")
   int check(@Parameters(paramLabel = "FILE") Path file) {
     try {
       ClusterConfiguration content = readFile(file);
@@ -151,11 +153,11 @@
               file, content.teams().size(), content.objectives().size());
       return ExitStatus.DONE;
     } catch (IOException exception) {
-      return failToRead(file);
+      return reportUnreadableFile(file);
     }
   }
 
-  @Command(name = "diff", description = "Says what applying a file would change.")
+  @Command(name = "diff", description = "Prints the changes that applying a file would make.")
   int diff(
       @Option(names = "--server", split = ",", required = true, description = SERVER_DESCRIPTION)
           List<String> servers,
@@ -174,13 +176,13 @@
       changes.forEach(out()::println);
       return changes.isEmpty() ? ExitStatus.DONE : ExitStatus.REFUSED;
     } catch (IOException exception) {
-      return failToRead(file);
+      return reportUnreadableFile(file);
     } catch (NoAnswerException exception) {
       return fail(ExitStatus.NO_ANSWER, exception.getMessage());
     }
   }
 
-  /** The options of every change. */
+  /** The options that all commands that change the configuration share. */
   static final class ChangeOptions {
     @Option(names = "--server", split = ",", required = true, description = SERVER_DESCRIPTION)
     private List<String> servers;
@@ -189,22 +191,27 @@
         names = "--expect",
         paramLabel = "REVISION",
         required = true,
-        description = "the revision that is to be replaced, as show tells it")
+        description = "the revision to replace, as printed by show")
     private long expected;
 
-    @Option(names = "--why", paramLabel = "TEXT", required = true, description = "kept with it")
+    @Option(
+        names = "--why",
+        paramLabel = "TEXT",
+        required = true,
+        description = "the reason, kept in the history")
     private String why;
 
     @Option(
         names = "--who",
         defaultValue = "${sys:user.name}",
-        description = "kept with it; default: ${DEFAULT-VALUE}")
+        description = "the author, kept in the history; default: ${DEFAULT-VALUE}")
     private String who;
 
     @Option(
         names = "--request",
         paramLabel = "ID",
-        description = "names the request; a repeat under the same name changes nothing more")
+        description =
+            "id of the request; a repeat with the same id has no further effect; default: random")
     private String request;
 
     private ObjectNode addTo(ObjectNode body) {
@@ -215,7 +222,7 @@
     }
   }
 
-  @Command(name = "apply", description = "Puts a file in force as a whole, or nothing of it.")
+  @Command(name = "apply", description = "Puts a file in force, either completely or not at all.")
   int apply(@Mixin ChangeOptions options, @Parameters(paramLabel = "FILE") Path file) {
     try {
       ClusterConfiguration content = readFile(file);
@@ -223,11 +230,13 @@
           ? ExitStatus.REFUSED
           : submitChange(options, "/config", content.toTree());
     } catch (IOException exception) {
-      return failToRead(file);
+      return reportUnreadableFile(file);
     }
   }
 
-  @Command(name = "rollback", description = "Puts a kept revision's content in force again.")
+  @Command(
+      name = "rollback",
+      description = "Stores the content of a kept revision as a new revision.")
   int rollback(@Mixin ChangeOptions options, @Parameters(paramLabel = "REVISION") long revision) {
     return submitChange(options, "/config/rollback", Cbor.newMap().put("to", revision));
   }
@@ -239,10 +248,10 @@
               .send("POST", path, KubernetesJson.toBytes(options.addTo(body)));
       return reportOutcome(reply, options);
     } catch (NoAnswerException exception) {
-      return exception.maybeCarriedOut()
+      return exception.mayHaveBeenReceived()
           ? fail(
               ExitStatus.UNKNOWN_OUTCOME,
-              exception.getMessage() + "; repeat it with --request " + options.request)
+              exception.getMessage() + "; repeat the command with --request " + options.request)
           : fail(ExitStatus.NO_ANSWER, exception.getMessage());
     }
   }
@@ -265,7 +274,8 @@
       }
       case 503 -> {
         return fail(
-            ExitStatus.UNKNOWN_OUTCOME, reason + "; repeat it with --request " + options.request);
+            ExitStatus.UNKNOWN_OUTCOME,
+            reason + "; repeat the command with --request " + options.request);
       }
       default -> {
         for (JsonNode problem : reply.body().path("problems")) {
--- a/src/main/java/io/violetrail/cli/ControllerClient.java
+++ b/src/main/java/io/violetrail/cli/ControllerClient.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Calls controllers' HTTP API from the command line; blocks its caller. Keeps no state. */
+/** Calls the controllers' HTTP API for the command line. Blocking and stateless. */
 final class ControllerClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -22,52 +22,52 @@
   /**
    * Creates a client of the controllers' HTTP API.
    *
-   * @param servers API addresses, host:port; the next one is asked where one cannot be reached
+   * @param servers API addresses, host:port, which are tried in this order
    */
   ControllerClient(List<String> servers) {
     this.servers = List.copyOf(servers);
   }
 
-  /** A controller's answer. */
+  /** A controller's reply. */
   record Reply(int status, JsonNode body) {
     boolean isSuccessful() {
       return status >= 200 && status < 300;
     }
 
-    /** What the controller says is wrong, or the status where it says nothing. */
+    /** Returns the reply's error text, or the HTTP status if it contains none. */
     String errorText() {
       return body.path("error").asText("status " + status);
     }
   }
 
-  /** No controller has answered. */
+  /** Thrown if no controller has answered a request. */
   static final class NoAnswerException extends Exception {
     private static final long serialVersionUID = 1L;
-    private final boolean maybeCarriedOut;
+    private final boolean mayHaveBeenReceived;
 
-    NoAnswerException(String reason, boolean maybeCarriedOut) {
+    NoAnswerException(String reason, boolean mayHaveBeenReceived) {
       super(reason);
-      this.maybeCarriedOut = maybeCarriedOut;
+      this.mayHaveBeenReceived = mayHaveBeenReceived;
     }
 
-    /** Whether a controller may have received the request. */
-    boolean maybeCarriedOut() {
-      return maybeCarriedOut;
+    /** Whether a controller may have received the request and carried it out. */
+    boolean mayHaveBeenReceived() {
+      return mayHaveBeenReceived;
     }
   }
 
   /**
-   * Asks the controllers in turn until one answers.
+   * Sends a read to the controllers in turn until one answers.
    *
-   * @throws NoAnswerException if none does
+   * @throws NoAnswerException if no controller answers
    */
   Reply get(String path) throws NoAnswerException {
     return send("GET", path, null);
   }
 
   /**
-   * Sends a request to the first controller that can be reached. Only a read is repeated at another
-   * one after a failure in which a controller may have received it.
+   * Sends a request to the first controller that can be reached. If a controller may have received
+   * the request but has not answered, the request is retried at the next one only if it is a read.
    *
    * @param body JSON, or null for none
    * @throws NoAnswerException if no controller answers
@@ -75,11 +75,11 @@
   Reply send(String method, String path, byte[] body) throws NoAnswerException {
     StringBuilder failures = new StringBuilder();
     for (String server : servers) {
-      failures.append(failures.isEmpty() ? "" : "; ").append(server).append(" gave no answer: ");
+      failures.append(failures.isEmpty() ? "" : "; ").append(server).append(" did not answer: ");
       try {
         return send(server, method, path, body);
       } catch (ConnectException exception) {
-        failures.append("it cannot be reached");
+        failures.append("connection failed");
       } catch (IOException
           | KubernetesJson.MalformedRequestException
           | IllegalArgumentException exception) {
@@ -98,15 +98,16 @@
 
   private static Reply send(String server, String method, String path, byte[] body)
       throws IOException, InterruptedException, KubernetesJson.MalformedRequestException {
-    BodyPublisher sent = body == null ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(body);
-    var answer =
+    BodyPublisher publisher =
+        body == null ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(body);
+    var response =
         HttpClient.newHttpClient()
             .send(
                 HttpRequest.newBuilder(URI.create("http://" + server + path))
                     .timeout(TIMEOUT)
-                    .method(method, sent)
+                    .method(method, publisher)
                     .build(),
                 BodyHandlers.ofByteArray());
-    return new Reply(answer.statusCode(), KubernetesJson.parse(answer.body()));
+    return new Reply(response.statusCode(), KubernetesJson.parse(response.body()));
   }
 }
--- a/src/main/java/io/violetrail/cli/ControllerCommand.java
+++ b/src/main/java/io/violetrail/cli/ControllerCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command whose subcommands ask a controller; by itself it prints its usage. */
+/** A command whose subcommands call a controller. Without a subcommand it prints its usage. */
 abstract class ControllerCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
@@ -25,7 +25,7 @@
   }
 
   /**
-   * Prints a reason to the standard error.
+   * Prints the reason of a failure to the standard error.
    *
    * @return the given exit status
    */
@@ -34,7 +34,7 @@
     return exitStatus;
   }
 
-  final int failToRead(Path file) {
-    return fail(ExitStatus.BAD_USAGE, "cannot read " + file);
+  final int reportUnreadableFile(Path file) {
+    return fail(ExitStatus.BAD_USAGE, "cannot read file " + file);
   }
 }
--- a/src/main/java/io/violetrail/cli/ControllerStarter.java
+++ b/src/main/java/io/violetrail/cli/ControllerStarter.java
@@ -22,15 +22,16 @@
 import org.xnio.XnioWorker;
 
 /**
- * Gives a controller its thread, its servers and its HTTP client, and starts it. All of a start
- * happens on the I/O thread, which is the event loop's: the main thread has nothing left to do once
- * that thread runs, and two threads never share a start. Parts that are not switched on are not
- * loaded.
+ * Creates the I/O thread, the servers and the HTTP client of a controller and starts it.
+ *
+ * <p>The controller is started on the I/O thread, which is also the event loop's thread. Once that
+ * thread runs, the main thread has nothing left to do, so two threads never share the start of a
+ * controller. Classes of optional parts are loaded only if the part is enabled.
  */
 final class ControllerStarter {
   /**
-   * Callbacks nest deeply on the I/O thread, and native code and signal handlers run on what is
-   * left of its stack. Only what is touched counts as memory.
+   * The stack size of the I/O thread. Callbacks nest deeply on this thread, and native code and
+   * signal handlers run on the rest of its stack. Only touched pages count as used memory.
    */
   private static final long STACK_BYTES = 1024L * 1024;
 
@@ -43,7 +44,7 @@
   private final UndertowEventLoop loop;
   private final UndertowHttpClient http;
 
-  /** The edges of a started controller. */
+  /** The event loop and the HTTP client of a started controller. */
   record StartedController(EventLoop loop, HttpClient http) {}
 
   private ControllerStarter(Settings settings) throws IOException {
@@ -64,7 +65,7 @@
   }
 
   /**
-   * Starts a controller; returns before it serves.
+   * Starts a controller. Returns before the controller accepts requests.
    *
    * @throws IOException if the I/O thread cannot be started
    */
@@ -74,7 +75,7 @@
     return new StartedController(starter.loop, starter.http);
   }
 
-  /** Serves a script at both of the settings' addresses, in the place of a controller. */
+  /** Serves a script at the API and the cluster address of the settings instead of a controller. */
   static void startScript(Settings settings, RequestHandler script) throws IOException {
     ControllerStarter starter = new ControllerStarter(settings);
     starter.loop.execute(
@@ -90,13 +91,13 @@
             ? JobTracer.NO_OP
             : new OpenTelemetryJobTracer(loop, options.maxTraceSpans());
     Controller controller = new Controller(settings, options, loop, http, new Random(), jobTracer);
-    // The first calls are on their way while the servers come up.
+    // The controller's first requests are in progress while the servers are started.
     controller.start();
     serve(settings.apiAddress(), controller.api());
     serve(settings.clusterListenAddress(), controller.peerService());
     startOptionalParts(controller, options);
     LoggerFactory.getLogger(Main.class)
-        .info("{} serves at {}", settings.self(), settings.apiAddress());
+        .info("controller {} serves its API at {}", settings.self(), settings.apiAddress());
   }
 
   private void startOptionalParts(Controller controller, Options options) {
--- a/src/main/java/io/violetrail/cli/ExitStatus.java
+++ b/src/main/java/io/violetrail/cli/ExitStatus.java
@@ -1,21 +1,24 @@
 package io.violetrail.cli;
 
-/** The commands' exit statuses. Constants, so that a start loads no class for them. */
+/**
+ * The exit statuses of the commands. They are compile-time constants, so that the start of a
+ * controller does not load this class.
+ */
 final class ExitStatus {
   static final int DONE = 0;
 
-  /** Refused or not valid; of a comparison: there are differences. */
+  /** The request was refused or the input is invalid; for a comparison: there are differences. */
   static final int REFUSED = 1;
 
   static final int BAD_USAGE = 2;
 
-  /** No controller answers; nothing was changed. */
+  /** No controller answered; nothing was changed. */
   static final int NO_ANSWER = 3;
 
-  /** A change may or may not have been carried out. */
+  /** The change may or may not have been carried out. */
   static final int UNKNOWN_OUTCOME = 4;
 
-  /** Another revision than the expected one is in force; nothing was changed. */
+  /** The revision in force is not the expected one; nothing was changed. */
   static final int CONFLICT = 5;
 
   private ExitStatus() {}
--- a/src/main/java/io/violetrail/cli/KubernetesCommand.java
+++ b/src/main/java/io/violetrail/cli/KubernetesCommand.java
@@ -23,12 +23,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What can be said of manifests without a controller. */
+/** Checks manifests and explains their fields without calling a controller. */
 @Command(
     name = "kubernetes",
     mixinStandardHelpOptions = true,
     subcommands = {KubernetesCommand.Check.class, KubernetesCommand.Explain.class},
-    description = "Says what of the Kubernetes API is taken.",
+    description = "Shows which part of the Kubernetes API is supported.",
     synopsisSubcommandLabel = "COMMAND")
 final class KubernetesCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
@@ -39,21 +39,24 @@
     return ExitStatus.BAD_USAGE;
   }
 
-  /** Reads YAML or JSON, several documents too, and says what would become of each. */
+  /**
+   * Reads one or more YAML or JSON documents and prints for each the native job or the refused
+   * fields.
+   */
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
       description = {
-        "Says for each manifest in FILE (YAML or JSON) the native job that it means, or each field",
-        "that is refused. Exit status: 0 all would be taken, 1 some not, 2 FILE cannot be read."
+        "Prints for each manifest in FILE (YAML or JSON) the equivalent native job or each field",
+        "that is refused. Exit status: 0 all accepted, 1 some refused, 2 FILE cannot be read."
       })
   static final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
-    private Path file;
+    private Path manifestFile;
 
     @Option(
         names = "--namespace",
-        description = "the team to submit for; default: each manifest's own, or 'default'")
+        description = "the team to submit for; default: each manifest's namespace, or 'default'")
     private String namespace;
 
     @Spec private CommandSpec spec;
@@ -64,14 +67,14 @@
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
       PrintWriter err = spec.commandLine().getErr();
-      int documents = 0;
-      int refused = 0;
+      int documentCount = 0;
+      int refusedCount = 0;
       YAMLFactory yaml =
           YAMLFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
-      try (JsonParser parser = yaml.createParser(Files.readAllBytes(file))) {
+      try (JsonParser parser = yaml.createParser(Files.readAllBytes(manifestFile))) {
         while (parser.nextToken() != null) {
           JsonNode document = KubernetesJson.readNext(parser);
-          String location = file + " document " + ++documents;
+          String location = manifestFile + " document " + ++documentCount;
           List<FieldError> errors = checkManifest(document, location, out);
           for (FieldError error : errors) {
             out.println(
@@ -80,32 +83,35 @@
                     + (error.path().isEmpty() ? "" : error.path() + ": ")
                     + error.message());
           }
-          refused += errors.isEmpty() ? 0 : 1;
+          refusedCount += errors.isEmpty() ? 0 : 1;
         }
       } catch (KubernetesJson.MalformedRequestException exception) {
         out.println(
-            file
+            manifestFile
                 + " document "
-                + (documents + 1)
+                + (documentCount + 1)
                 + ": refused: "
                 + (exception.path().isEmpty() ? "" : exception.path() + ": ")
                 + exception.getMessage());
         return ExitStatus.REFUSED;
       } catch (IOException exception) {
         err.println(
-            "violetrail kubernetes check: " + file + " cannot be read: " + exception.getMessage());
+            "violetrail kubernetes check: "
+                + manifestFile
+                + " cannot be read: "
+                + exception.getMessage());
         return ExitStatus.BAD_USAGE;
       }
-      if (documents == 0) {
-        err.println("violetrail kubernetes check: " + file + " holds no manifest");
+      if (documentCount == 0) {
+        err.println("violetrail kubernetes check: " + manifestFile + " contains no manifest");
         return ExitStatus.BAD_USAGE;
       }
-      return refused > 0 ? ExitStatus.REFUSED : ExitStatus.DONE;
+      return refusedCount > 0 ? ExitStatus.REFUSED : ExitStatus.DONE;
     }
 
     private List<FieldError> checkManifest(JsonNode document, String location, PrintWriter out) {
       if (!(document instanceof ObjectNode manifest)) {
-        return List.of(new FieldError("", FieldError.Cause.TYPE, "the document is not an object"));
+        return List.of(new FieldError("", FieldError.Cause.TYPE, "the document must be an object"));
       }
       ObjectKind kind =
           ObjectKind.findForManifest(
@@ -115,7 +121,7 @@
             new FieldError(
                 "kind",
                 FieldError.Cause.NOT_SUPPORTED,
-                "only batch/v1 Job and apps/v1 Deployment are taken"));
+                "only batch/v1 Job and apps/v1 Deployment are supported"));
       }
       String team =
           namespace != null
@@ -126,26 +132,29 @@
         ObjectNode message = translator.toNativeMessage(kind, manifest, team);
         message.remove("name_id");
         out.println(
-            location + ": taken, as " + (kind == ObjectKind.JOB ? "" : "replicas of ") + message);
+            location
+                + ": accepted, as "
+                + (kind == ObjectKind.JOB ? "" : "replicas of ")
+                + message);
       }
       return errors;
     }
   }
 
-  /** The table of fields, the same that requests are checked against. */
+  /** Prints the schema's fields from the same schema that requests are validated against. */
   @Command(
       name = "explain",
       mixinStandardHelpOptions = true,
       description = {
-        "Says what a field means or why it is refused, and all fields below it.",
-        "Exit status: 0 known, 1 no such field."
+        "Prints the meaning of a field and of all fields below it, or why they are refused.",
+        "Exit status: 0 the field is known, 1 there is no such field."
       })
   static final class Explain implements Callable<Integer> {
     @Parameters(
         paramLabel = "FIELD",
         arity = "0..1",
         defaultValue = "",
-        description = "such as spec.template.spec; default: all")
+        description = "for example spec.template.spec; default: all fields")
     private String field;
 
     @Option(names = "--kind", defaultValue = "Job", description = "Job or Deployment")
@@ -157,21 +166,30 @@
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
       ManifestSchema manifestSchema = new ManifestSchema();
-      int found = 0;
+      int matchCount = 0;
       for (ObjectKind candidate : ObjectKind.values()) {
         if (!candidate.publishedName().equals(kind)) {
           continue;
         }
-        for (Field known : manifestSchema.listFields(candidate)) {
-          if (known.path().equals(field) || known.path().startsWith(field)) {
-            found++;
+        for (Field schemaField : manifestSchema.listFields(candidate)) {
+          if (schemaField.path().equals(field) || schemaField.path().startsWith(field)) {
+            matchCount++;
             out.println(
-                known.path() + (known.supported() ? ": " : ": refused: ") + known.meaning());
+                schemaField.path()
+                    + (schemaField.supported() ? ": " : ": refused: ")
+                    + schemaField.meaning());
           }
         }
       }
-      if (found == 0) {
-        spec.commandLine().getErr().println("violetrail kubernetes explain: no such field");
+      if (matchCount == 0) {
+        spec.commandLine()
+            .getErr()
+            .println(
+                "violetrail kubernetes explain: no field of kind '"
+                    + kind
+                    + "' begins with '"
+                    + field
+                    + "'");
         return ExitStatus.REFUSED;
       }
       return ExitStatus.DONE;
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The daemon's command line: reads the flags and the settings' file and starts a controller, or
- * runs one of the other commands. Called on the main thread.
+ * The entry point of the command line. Reads the flags and the settings file and starts a
+ * controller, or runs one of the other commands. Called on the main thread.
  */
 @Command(
     name = "violetrail",
@@ -25,29 +25,30 @@
     description = "Runs one controller of a violetrail cluster.",
     footerHeading = "%nCommands, each with its own --help:%n",
     footer = {
-      "  config      teams and objectives that change while the service runs",
-      "  kubernetes  what the Kubernetes subset makes of manifests and fields",
-      "  schedule    recurring jobs tied to calendars"
+      "  config      show and change teams and objectives while the controllers run",
+      "  kubernetes  check manifests and explain fields of the supported Kubernetes API",
+      "  schedule    show and change schedules of recurring jobs"
     })
 public final class Main implements Callable<Integer> {
-  /** Some 2 KiB each. */
+  /** The largest value of {@code --trace-spans}. A span takes about 2 KiB of memory. */
   private static final int MAX_TRACE_SPANS = 5_000;
 
-  @Option(names = "--config", paramLabel = "FILE", description = "the platform's settings (TOML)")
-  private Path config;
+  @Option(names = "--config", paramLabel = "FILE", description = "the settings file (TOML)")
+  private Path settingsFile;
 
   @Option(
       names = "--lapse-s",
       defaultValue = "${env:VIOLETRAIL_LAPSE_S}",
       description =
-          "a controller's lease in seconds (VIOLETRAIL_LAPSE_S); default: from the workers' lease")
+          "duration of the controller's lease in seconds (VIOLETRAIL_LAPSE_S);"
+              + " default: derived from the workers' lease")
   private Double leaseSeconds;
 
   @Option(
       names = "--idle-s",
       defaultValue = "${env:VIOLETRAIL_IDLE_S:-45}",
       description =
-          "how long a machine may be idle before it is returned (VIOLETRAIL_IDLE_S);"
+          "seconds a machine may be idle before it is returned (VIOLETRAIL_IDLE_S);"
               + " default: ${DEFAULT-VALUE}")
   private double maxIdleSeconds;
 
@@ -55,7 +56,7 @@
       names = "--sample",
       defaultValue = "${env:VIOLETRAIL_SAMPLE:-8}",
       description =
-          "machines compared for each task (VIOLETRAIL_SAMPLE); default: ${DEFAULT-VALUE}")
+          "machines compared when a task is placed (VIOLETRAIL_SAMPLE); default: ${DEFAULT-VALUE}")
   private int placementSampleSize;
 
   @Option(
@@ -63,8 +64,8 @@
       paramLabel = "PORT",
       defaultValue = "${env:VIOLETRAIL_KUBERNETES_PORT}",
       description =
-          "serves a subset of the Kubernetes API there, at the API's address"
-              + " (VIOLETRAIL_KUBERNETES_PORT); default: not at all")
+          "port for a subset of the Kubernetes API, on the host of the API's address"
+              + " (VIOLETRAIL_KUBERNETES_PORT); default: not served")
   private Integer kubernetesPort;
 
   @Option(
@@ -72,7 +73,7 @@
       paramLabel = "N",
       defaultValue = "${env:VIOLETRAIL_TRACE_SPANS}",
       description =
-          "keeps the newest N spans of jobs' ways for GET /traces (VIOLETRAIL_TRACE_SPANS);"
+          "keep the newest N trace spans of jobs for GET /traces (VIOLETRAIL_TRACE_SPANS);"
               + " default: none")
   private Integer traceSpans;
 
@@ -80,24 +81,26 @@
       names = "--calendar",
       defaultValue = "${env:VIOLETRAIL_CALENDAR:-false}",
       description =
-          "serves and fires schedules at the API's address (VIOLETRAIL_CALENDAR); default: not")
-  private boolean calendar;
+          "run schedules and serve them at the API's address (VIOLETRAIL_CALENDAR);"
+              + " default: ${DEFAULT-VALUE}")
+  private boolean calendarEnabled;
 
   @Option(
       names = "--configuration",
       defaultValue = "${env:VIOLETRAIL_CONFIGURATION:-false}",
       description =
-          "follows the configuration in the state service and serves it at the API's address"
-              + " (VIOLETRAIL_CONFIGURATION); on at all controllers or at none; default: not")
-  private boolean configuration;
+          "follow the configuration in the state service and serve it at the API's address;"
+              + " must be the same at all controllers (VIOLETRAIL_CONFIGURATION);"
+              + " default: ${DEFAULT-VALUE}")
+  private boolean configurationEnabled;
 
   @Option(
       names = "--rehearse",
       hidden = true,
-      description = "loads the daemon's classes for the class-data archive, and ends")
+      description = "loads the controller's classes for the class-data archive, then exits")
   private boolean warmUp;
 
-  /** Reads the version from the jar's manifest. */
+  /** Reads the version from the manifest of the jar. */
   static final class JarVersionProvider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -106,14 +109,16 @@
     }
   }
 
-  /** Runs the command that the arguments name and exits with its status if that is not 0. */
+  /** Runs the command that the arguments select and exits with its status unless it is 0. */
   public static void main(String[] args) {
     configureLogging();
-    // Only a command line that names it loads that command's classes: a start is outage time.
+    // The classes of a command are loaded only if the command is selected, because the start-up
+    // time of a controller adds to an outage.
     Object command =
         args.length > 0 ? commands().getOrDefault(args[0], Main::new).get() : new Main();
-    String[] rest = command instanceof Main ? args : Arrays.copyOfRange(args, 1, args.length);
-    int status = new CommandLine(command).execute(rest);
+    String[] commandArguments =
+        command instanceof Main ? args : Arrays.copyOfRange(args, 1, args.length);
+    int status = new CommandLine(command).execute(commandArguments);
     if (status != 0) {
       System.exit(status);
     }
@@ -128,18 +133,19 @@
 
   private static void configureLogging() {
     String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
-    boolean known = Set.of("error", "info", "debug").contains(level);
+    boolean supported = Set.of("error", "info", "debug").contains(level);
     Map.of(
-            "defaultLogLevel", known ? level : "info",
+            "defaultLogLevel", supported ? level : "info",
             "showShortLogName", "true",
             "showThreadName", "false",
             "log.org.xnio", "error",
             "log.io.undertow", "error",
             "log.org.jboss", "error")
-        .forEach((k, v) -> System.setProperty("org.slf4j.simpleLogger." + k, v));
+        .forEach((key, value) -> System.setProperty("org.slf4j.simpleLogger." + key, value));
     System.setProperty("org.jboss.logging.provider", "slf4j");
-    if (!known) {
-      LoggerFactory.getLogger(Main.class).warn("LOG_LEVEL {} is unknown; info is used", level);
+    if (!supported) {
+      LoggerFactory.getLogger(Main.class)
+          .warn("LOG_LEVEL {} is not one of error, info and debug; using info", level);
     }
   }
 
@@ -163,14 +169,14 @@
             placementSampleSize,
             kubernetesPort,
             traceSpans,
-            calendar,
-            configuration));
+            calendarEnabled,
+            configurationEnabled));
     return ExitStatus.DONE;
   }
 
-  /** Reads the settings' file after a check of the flags. */
+  /** Validates the flags and reads the settings file. */
   private Settings readSettings() throws Settings.InvalidSettingsException {
-    if (config == null) {
+    if (settingsFile == null) {
       throw new Settings.InvalidSettingsException("--config FILE is required");
     }
     if (placementSampleSize < 1
@@ -185,6 +191,6 @@
     if (traceSpans != null && (traceSpans < 1 || traceSpans > MAX_TRACE_SPANS)) {
       throw new Settings.InvalidSettingsException("--trace-spans must be 1 to " + MAX_TRACE_SPANS);
     }
-    return Settings.load(config);
+    return Settings.load(settingsFile);
   }
 }
--- a/src/main/java/io/violetrail/cli/ScheduleCommand.java
+++ b/src/main/java/io/violetrail/cli/ScheduleCommand.java
@@ -10,14 +10,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows and changes schedules at a running controller; previews due times without one. */
+/** Shows and changes schedules through a running controller; previews due times without one. */
 @Command(
     name = "schedule",
     mixinStandardHelpOptions = true,
     subcommands = {SchedulePreviewCommand.class},
     description = {
-      "Recurring jobs tied to calendars.",
-      "Exit status: 0 done, 1 refused or torn, 2 bad usage, 3 no answer; nothing is half done."
+      "Shows and changes schedules of recurring jobs.",
+      "Exit status: 0 success, 1 refused or a history block is unreadable, 2 bad usage,",
+      "3 no answer. A change takes effect completely or not at all."
     })
 final class ScheduleCommand extends ControllerCommand {
   private static final String SERVER_DESCRIPTION = "a controller's API address, host:port";
@@ -26,8 +27,8 @@
     try {
       Reply reply = new ControllerClient(List.of(server)).send(method, path, body);
       out().println(reply.body().toPrettyString());
-      boolean torn = !reply.body().path("torn").isEmpty();
-      return reply.isSuccessful() && !torn ? ExitStatus.DONE : ExitStatus.REFUSED;
+      boolean hasTornBlocks = !reply.body().path("torn").isEmpty();
+      return reply.isSuccessful() && !hasTornBlocks ? ExitStatus.DONE : ExitStatus.REFUSED;
     } catch (NoAnswerException exception) {
       return fail(ExitStatus.NO_ANSWER, exception.getMessage());
     }
@@ -37,18 +38,20 @@
     try {
       return sendRequest(server, method, path, Files.readAllBytes(file));
     } catch (IOException exception) {
-      return failToRead(file);
+      return reportUnreadableFile(file);
     }
   }
 
-  @Command(name = "create", description = "Creates the schedule that a JSON file describes.")
+  @Command(name = "create", description = "Creates a schedule from a JSON file.")
   int create(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "FILE") Path file) {
     return sendFile(server, "POST", "/schedules", file);
   }
 
-  @Command(name = "change", description = "Replaces a schedule; the file names its version.")
+  @Command(
+      name = "change",
+      description = "Replaces a schedule; the file must state the version that it replaces.")
   int change(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name,
@@ -59,7 +62,7 @@
   @Command(name = "list", description = "Lists schedules by name.")
   int list(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
-      @Option(names = "--after", defaultValue = "", description = "begin after a name")
+      @Option(names = "--after", defaultValue = "", description = "list names after this one")
           String after) {
     return sendRequest(
         server, "GET", "/schedules" + (after.isEmpty() ? "" : "?after=" + after), null);
@@ -72,28 +75,32 @@
     return sendRequest(server, "GET", "/schedules/" + name, null);
   }
 
-  @Command(name = "pause", description = "Nothing is due until it is resumed, or made up then.")
+  @Command(
+      name = "pause",
+      description = "Pauses a schedule; runs due during a pause are not caught up.")
   int pause(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
     return sendRequest(server, "POST", "/schedules/" + name + "/pause", null);
   }
 
-  @Command(name = "resume", description = "Ends a pause.")
+  @Command(name = "resume", description = "Resumes a paused schedule.")
   int resume(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
     return sendRequest(server, "POST", "/schedules/" + name + "/resume", null);
   }
 
-  @Command(name = "delete", description = "Deletes a schedule; runs under way go on.")
+  @Command(name = "delete", description = "Deletes a schedule; its current runs continue.")
   int delete(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
     return sendRequest(server, "DELETE", "/schedules/" + name, null);
   }
 
-  @Command(name = "history", description = "Ended runs; a torn block is named, status 1.")
+  @Command(
+      name = "history",
+      description = "Shows ended runs; exits with 1 if a history block is unreadable.")
   int history(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name) {
@@ -102,14 +109,14 @@
 
   @Command(
       name = "reports",
-      description = "Deadlines that will be or were missed, at a controller.")
+      description = "Shows a controller's reports of missed and foreseen missed deadlines.")
   int reports(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION)
           String server) {
     return sendRequest(server, "GET", "/reports", null);
   }
 
-  @Command(name = "days", description = "Keeps the local days of a JSON file under a name.")
+  @Command(name = "days", description = "Stores the local days in a JSON file as a named calendar.")
   int days(
       @Option(names = "--server", required = true, description = SERVER_DESCRIPTION) String server,
       @Parameters(paramLabel = "NAME") String name,
--- a/src/main/java/io/violetrail/cli/SchedulePreviewCommand.java
+++ b/src/main/java/io/violetrail/cli/SchedulePreviewCommand.java
@@ -21,13 +21,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints the next due times of an expression, day by day, without a controller. */
+/** Prints the next due times of a calendar expression without calling a controller. */
 @Command(
     name = "preview",
     mixinStandardHelpOptions = true,
-    description = "Says when an expression is due next, and why days are or are not.")
+    description = "Prints the next due times of an expression and why each day matches or not.")
 final class SchedulePreviewCommand implements Callable<Integer> {
-  /** Days are looked at up to this many years ahead. */
+  /** The search for due times ends this many years after the first day. */
   private static final int MAX_YEARS_AHEAD = 8;
 
   @Parameters(paramLabel = "EXPRESSION")
@@ -36,24 +36,31 @@
   @Option(
       names = "--zone",
       required = true,
-      description = "time zone, such as Africa/Dar_es_Salaam")
+      description = "time zone, for example Africa/Dar_es_Salaam")
   private String zone;
 
-  @Option(names = "--holidays", description = "region whose holidays are no workdays")
+  @Option(
+      names = "--holidays",
+      description = "region whose public holidays do not count as workdays, for example de-by")
   private String region;
 
   @Option(names = "--from", description = "first day; default: today")
-  private LocalDate from;
+  private LocalDate firstDay;
 
-  @Option(names = "--count", defaultValue = "10", description = "due times to show")
+  @Option(
+      names = "--count",
+      defaultValue = "10",
+      description = "number of due times to print; default: ${DEFAULT-VALUE}")
   private int count;
 
-  @Option(names = "--why", description = "also say of each day before them why it is passed")
-  private boolean why;
+  @Option(
+      names = "--why",
+      description = "also print the days without a due time and why they are skipped")
+  private boolean explainSkippedDays;
 
   @Option(
       names = "--days",
-      description = "local days, as NAME=DATE,DATE; may be repeated",
+      description = "a named set of local days, NAME=DATE,DATE; may be repeated",
       paramLabel = "NAME=DATES")
   private Map<String, String> datesByName = new HashMap<>();
 
@@ -64,11 +71,12 @@
     try {
       DayCalendar days = DayCalendar.of(new PublicHolidays(), parseNamedDays());
       if (region != null && !days.isKnownRegion(region)) {
-        return fail(ExitStatus.REFUSED, "nobody knows the region " + region);
+        return fail(ExitStatus.REFUSED, "unknown holiday region: " + region);
       }
       int shown = printDueTimes(CalendarExpression.parse(expression), days);
       return shown == 0
-          ? fail(ExitStatus.REFUSED, "it is never due within eight years")
+          ? fail(
+              ExitStatus.REFUSED, "the expression is not due within " + MAX_YEARS_AHEAD + " years")
           : ExitStatus.DONE;
     } catch (MalformedExpressionException | DateTimeException exception) {
       return fail(ExitStatus.BAD_USAGE, exception.getMessage());
@@ -91,11 +99,14 @@
     return namedDays;
   }
 
-  /** Prints the due times and returns how many there are, at least those printed. */
+  /**
+   * Prints at most {@code count} due times. The returned number also includes further due times on
+   * the last of the printed days.
+   */
   private int printDueTimes(CalendarExpression calendarExpression, DayCalendar days) {
     PrintWriter out = spec.commandLine().getOut();
     ZoneId zoneId = ZoneId.of(zone);
-    LocalDate first = from == null ? LocalDate.now(zoneId) : from;
+    LocalDate first = firstDay == null ? LocalDate.now(zoneId) : firstDay;
     LocalDate end = first.plusYears(MAX_YEARS_AHEAD);
     int found = 0;
     for (LocalDate day = first; found < count && day.isBefore(end); day = day.plusDays(1)) {
@@ -106,8 +117,8 @@
               dueTime.atZone(zoneId) + " (" + calendarExpression.explain(day, region, days) + ")");
         }
       }
-      if (why && dueTimes.isEmpty()) {
-        out.println("  " + day + " passed: " + calendarExpression.explain(day, region, days));
+      if (explainSkippedDays && dueTimes.isEmpty()) {
+        out.println("  " + day + " skipped: " + calendarExpression.explain(day, region, days));
       }
     }
     return found;
--- a/src/test/java/io/violetrail/cli/ConfigCommandTest.java
+++ b/src/test/java/io/violetrail/cli/ConfigCommandTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command line against a controller that is served on loopback. */
+/** Runs the config command against a simulated controller that is served on loopback. */
 class ConfigCommandTest {
   @TempDir private Path directory;
   private RealTimeSimulation realTimeSimulation;
@@ -34,7 +34,7 @@
   private String standardOutput;
   private String standardError;
 
-  /** What answers in a controller's place; null: the controller does. */
+  /** Answers instead of the controller; null if the controller itself answers. */
   private volatile RequestHandler substituteService;
 
   @BeforeEach
@@ -57,11 +57,11 @@
     realTimeSimulation = new RealTimeSimulation(simulation);
     realTimeSimulation.serve(
         port,
-        (method, path, body, done) ->
+        (method, path, body, responder) ->
             (substituteService != null
                     ? substituteService
                     : simulation.controllers().get("c0").api())
-                .handle(method, path, body, done));
+                .handle(method, path, body, responder));
     realTimeSimulation.start();
   }
 
@@ -113,7 +113,7 @@
     assertEquals(0, run("show", "--server", server));
     assertTrue(standardOutput.startsWith("# revision 1"), standardOutput);
     String shown = standardOutput;
-    assertEquals(0, run("check", writeFile(shown)), "what is shown can be applied");
+    assertEquals(0, run("check", writeFile(shown)), "the output of show is a valid file");
   }
 
   @Test
@@ -148,8 +148,8 @@
     assertEquals(3, run("show", "--server", "127.0.0.1:1"));
     assertEquals(3, run("apply", "--server", "127.0.0.1:1", "--expect", "0", "--why", "x", file));
     substituteService =
-        (method, path, body, done) ->
-            done.accept(
+        (method, path, body, responder) ->
+            responder.accept(
                 new HttpAnswer(
                     503,
                     KubernetesJson.toBytes(Cbor.newMap().put("error", "no decision in time")),
@@ -164,6 +164,6 @@
     assertEquals(0, run(apply));
     assertEquals(0, run(apply), "a repeat of the same request");
     assertEquals("revision 1", standardOutput.strip());
-    assertEquals(0, run("show", "--server", "127.0.0.1:1," + server), "the next server is asked");
+    assertEquals(0, run("show", "--server", "127.0.0.1:1," + server), "the next server is tried");
   }
 }
