--- a/src/main/java/io/violetrail/kubernetes/ClientWatch.java
+++ b/src/main/java/io/violetrail/kubernetes/ClientWatch.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** One client's watch. Events come in the order of their versions and none twice. */
+/** A watch of one client. Sends events in the order of their resource versions and none twice. */
 final class ClientWatch implements WatchCache.Watcher {
   private static final double BOOKMARK_INTERVAL_SECONDS = 10;
 
@@ -16,7 +16,7 @@
   private final Predicate<KubernetesObject> filter;
   private final EventLoop loop;
   private final WatchCache watchCache;
-  private final boolean bookmarks;
+  private final boolean allowBookmarks;
   private HttpExchange.EventStream stream;
   private long lastRevision;
   private boolean open = true;
@@ -26,15 +26,18 @@
       Predicate<KubernetesObject> filter,
       EventLoop loop,
       WatchCache watchCache,
-      boolean bookmarks) {
+      boolean allowBookmarks) {
     this.kind = kind;
     this.filter = filter;
     this.loop = loop;
     this.watchCache = watchCache;
-    this.bookmarks = bookmarks;
+    this.allowBookmarks = allowBookmarks;
   }
 
-  /** Begins after a version; false if changes since then are not kept any more. */
+  /**
+   * Sends the initial objects, and then the events after a resource version. Returns false if
+   * changes since that version are no longer kept; the client then receives an {@code ERROR} event.
+   */
   boolean start(
       HttpExchange httpExchange,
       List<KubernetesObject> initialObjects,
@@ -43,14 +46,16 @@
     lastRevision = resourceVersion;
     stream = httpExchange.startStream(this::close);
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
-    initialObjects.stream().filter(filter).forEach(o -> appendEvent(lines, "ADDED", o.toJson()));
+    initialObjects.stream()
+        .filter(filter)
+        .forEach(object -> appendEvent(lines, "ADDED", object.toJson()));
     send(lines);
     if (!watchCache.addWatcher(resourceVersion, this)) {
       onEventsLost();
       return false;
     }
     loop.schedule(timeoutSeconds, this::close);
-    if (bookmarks) {
+    if (allowBookmarks) {
       loop.schedule(BOOKMARK_INTERVAL_SECONDS, this::sendBookmark);
     }
     return true;
@@ -58,7 +63,8 @@
 
   @Override
   public void onEvents(List<WatchCache.Event> events, long revision) {
-    // All events of one version leave together: whoever goes on after it has seen them all.
+    // All events of one version are sent together, so that a client that resumes after the version
+    // has seen all of them.
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     for (WatchCache.Event event : events) {
       if (event.revision() > lastRevision
@@ -78,7 +84,13 @@
   public void onEventsLost() {
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     appendEvent(
-        lines, "ERROR", KubernetesStatus.expired("changes since then are no longer kept").toJson());
+        lines,
+        "ERROR",
+        KubernetesStatus.expired(
+                "changes since resource version "
+                    + lastRevision
+                    + " are no longer kept; list the objects again")
+            .toJson());
     send(lines);
     close();
   }
--- a/src/main/java/io/violetrail/kubernetes/Condition.java
+++ b/src/main/java/io/violetrail/kubernetes/Condition.java
@@ -3,19 +3,20 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The condition of a kept object's status, in the published form. An object has one at a time.
+ * The condition in a stored object's status, in the format of the published API. An object has at
+ * most one condition at a time.
  *
  * @param type such as {@code Complete} or {@code Available}
- * @param reason one word for programs
+ * @param reason one word for programs, such as {@code DeadlineExceeded}
  * @param message a sentence for people
- * @param lastTransitionTime since when the condition is as it is
+ * @param lastTransitionTime when the condition took its current status
  */
 record Condition(
     String type, boolean status, String reason, String message, String lastTransitionTime) {
   static final String TRUE = "True";
   static final String FALSE = "False";
 
-  /** Makes this the only condition of a status. */
+  /** Replaces all conditions of a status with this one. */
   void writeTo(ObjectNode objectStatus) {
     objectStatus
         .putArray("conditions")
--- a/src/main/java/io/violetrail/kubernetes/Discovery.java
+++ b/src/main/java/io/violetrail/kubernetes/Discovery.java
@@ -6,14 +6,14 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What is served, for clients that ask first. */
+/** The discovery documents, from which clients learn what is served, and the namespaces. */
 final class Discovery {
-  private static final List<String> WRITABLE =
+  private static final List<String> READ_WRITE_VERBS =
       List.of("create", "delete", "get", "list", "update", "watch");
 
   private Discovery() {}
 
-  /** The answer for a path; null if it is none of these. */
+  /** Returns the discovery document at a path, or null if there is none. */
   static ObjectNode findDocument(String path) {
     return switch (path) {
       case "/version" ->
@@ -47,13 +47,13 @@
       }
       case "/apis/batch/v1" -> {
         ObjectNode document = resourceListDocument("batch/v1");
-        addResource(document, "jobs", "Job", true, WRITABLE);
+        addResource(document, "jobs", "Job", true, READ_WRITE_VERBS);
         addResource(document, "jobs/status", "Job", true, List.of("get"));
         yield document;
       }
       case "/apis/apps/v1" -> {
         ObjectNode document = resourceListDocument("apps/v1");
-        addResource(document, "deployments", "Deployment", true, WRITABLE);
+        addResource(document, "deployments", "Deployment", true, READ_WRITE_VERBS);
         addResource(document, "deployments/status", "Deployment", true, List.of("get"));
         addResource(document, "deployments/scale", "Scale", true, List.of("get", "update"));
         yield document;
@@ -91,7 +91,7 @@
     verbs.forEach(resource.putArray("verbs")::add);
   }
 
-  /** A team, shown as a namespace. */
+  /** Returns the namespace that represents a team. */
   static ObjectNode namespaceDocument(String team) {
     ObjectNode document =
         KubernetesJson.newObject().put("kind", "Namespace").put("apiVersion", "v1");
@@ -105,7 +105,7 @@
         KubernetesJson.newObject().put("kind", "NamespaceList").put("apiVersion", "v1");
     document.putObject("metadata").put("resourceVersion", "");
     var items = document.putArray("items");
-    teams.forEach(t -> items.add(namespaceDocument(t.name())));
+    teams.forEach(team -> items.add(namespaceDocument(team.name())));
     return document;
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/HttpExchange.java
+++ b/src/main/java/io/violetrail/kubernetes/HttpExchange.java
@@ -4,34 +4,44 @@
 import io.violetrail.wire.kubernetes.KubernetesStatus;
 import java.util.Map;
 
-/** A request, and where its answer goes: one document, or a stream of events. */
+/** Takes the answer to one HTTP request: either one document or a stream of events. */
 public interface HttpExchange {
   /**
-   * What was asked. The body is bounded and whole; {@code mediaType} is its media type, or null.
+   * A request.
+   *
+   * @param mediaType the body's content type as the client sent it, or null
+   * @param body the complete body, of bounded size
    */
   record Request(
       String method, String path, Map<String, String> query, String mediaType, byte[] body) {}
 
-  /** Answers once; {@code retryAfterSeconds} above 0: not before then is it worth asking again. */
+  /**
+   * Answers the request; called once.
+   *
+   * @param retryAfterSeconds how long the client is to wait before it retries; 0 to leave it out
+   */
   void answer(int code, ObjectNode body, int retryAfterSeconds);
 
-  /** Begins a stream of events instead. */
+  /** Starts a stream of events as the answer; {@code onClosed} runs if sending on it fails. */
   EventStream startStream(Runnable onClosed);
 
-  /** Events to a client that keeps its connection open. */
+  /** A stream of events to a client that keeps its connection open. */
   interface EventStream {
-    /** Sends lines; false if the client is gone or does not read. */
+    /** Sends lines. Returns false if the client has disconnected or does not read. */
     boolean send(byte[] lines);
 
     void end();
   }
 
-  /** What becomes of an answer on its way. */
+  /** Receives an answer before it is sent, for example to log or to change it. */
   interface AnswerFilter {
     void answer(int code, ObjectNode body, int retryAfterSeconds);
   }
 
-  /** The same exchange, but that its answer takes another step first; streams go straight on. */
+  /**
+   * Returns an exchange that passes its answer to a filter, which has to answer this exchange.
+   * Streams bypass the filter.
+   */
   default HttpExchange withAnswerFilter(AnswerFilter filter) {
     HttpExchange delegate = this;
     return new HttpExchange() {
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -15,14 +15,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Routes the requests of the Kubernetes API to what serves them, and answers all others with a
- * Kubernetes {@code Status}. Called on the event loop's thread.
+ * Routes the requests of the Kubernetes API to their handlers. A request that no handler serves is
+ * answered with a Kubernetes {@code Status} object. Called on the event loop's thread.
  */
 public final class KubernetesApi {
   private static final Logger LOG = LoggerFactory.getLogger(KubernetesApi.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Each takes a connection and some bytes that are not sent yet. */
+  /** Open watches of a controller. Each holds a connection and a buffer of unsent bytes. */
   static final int MAX_WATCHES = 64;
 
   private static final Set<String> JSON_MEDIA_TYPES = Set.of("", "application/json");
@@ -56,8 +56,8 @@
   }
 
   /**
-   * A request's path, taken apart: {@code namespace}, {@code name} and {@code subresource} may be
-   * null.
+   * The components of a request's path. {@code namespace}, {@code name} and {@code subresource} may
+   * be null.
    */
   private record ResourcePath(
       String group, String plural, String namespace, String name, String subresource) {}
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Changes leave a line in the log with what became of them. */
+  /** Wraps the exchange of a request other than GET so that its result is logged. */
   private static HttpExchange withAuditLog(Request request, HttpExchange httpExchange) {
     if (request.method().equals("GET")) {
       return httpExchange;
@@ -98,7 +98,8 @@
   private void route(Request request, HttpExchange httpExchange) throws MalformedRequestException {
     if (request.body().length > MAX_BODY_BYTES) {
       httpExchange.answer(
-          KubernetesStatus.tooLarge("the body is longer than " + MAX_BODY_BYTES + " bytes"));
+          KubernetesStatus.tooLarge(
+              "the body has " + request.body().length + " bytes; the limit is " + MAX_BODY_BYTES));
       return;
     }
     ObjectNode document =
@@ -110,7 +111,7 @@
     } else {
       ResourcePath path = findResourcePath(request.path());
       if (path == null) {
-        httpExchange.answer(KubernetesStatus.notFound("the path"));
+        httpExchange.answer(KubernetesStatus.notFound("path " + request.path()));
       } else if (path.group().isEmpty()) {
         handleCoreGroup(request, path, httpExchange);
       } else {
@@ -154,15 +155,15 @@
         remaining > 2 ? segments[index + 2] : null);
   }
 
-  /** Namespaces and pods: they are shown, not kept. */
+  /** Serves namespaces and pods. They are derived from teams and tasks and not stored. */
   private void handleCoreGroup(Request request, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
-    boolean listed =
+    boolean served =
         Set.of("namespaces", "pods").contains(path.plural()) && path.subresource() == null;
-    if (!listed) {
-      httpExchange.answer(KubernetesStatus.notFound("the path"));
+    if (!served) {
+      httpExchange.answer(KubernetesStatus.notFound("path " + request.path()));
     } else if (!request.method().equals("GET")) {
-      httpExchange.answer(KubernetesStatus.methodNotAllowed(path.plural() + " are shown only"));
+      httpExchange.answer(KubernetesStatus.methodNotAllowed(path.plural() + " are read-only"));
     } else if (path.plural().equals("namespaces")) {
       if (path.name() == null) {
         httpExchange.answer(200, Discovery.namespaceListDocument(configuration.teams()), 0);
@@ -189,13 +190,13 @@
       throws MalformedRequestException {
     ObjectKind kind = ObjectKind.find(path.group(), path.plural());
     if (kind == null) {
-      httpExchange.answer(KubernetesStatus.notFound("the path"));
+      httpExchange.answer(KubernetesStatus.notFound("path " + request.path()));
     } else if (path.namespace() != null && configuration.findTeam(path.namespace()) == null) {
       httpExchange.answer(KubernetesStatus.notFound("namespaces \"" + path.namespace() + "\""));
     } else if (path.name() == null) {
       handleCollection(request, kind, path, httpExchange);
     } else if (path.namespace() == null) {
-      httpExchange.answer(KubernetesStatus.notFound("the path"));
+      httpExchange.answer(KubernetesStatus.notFound("path " + request.path()));
     } else if (path.subresource() == null) {
       handleObject(request, kind, path, httpExchange);
     } else {
@@ -219,7 +220,9 @@
         ListOptions.requireSupported(request.query(), Set.of());
         if (path.namespace() == null) {
           httpExchange.answer(
-              KubernetesStatus.methodNotAllowed("objects are created in a namespace"));
+              KubernetesStatus.methodNotAllowed(
+                  "objects can only be created in a namespace: POST to namespaces/NAMESPACE/"
+                      + path.plural()));
           return;
         }
         ObjectNode manifest = readBody(request, httpExchange);
@@ -230,7 +233,7 @@
       default ->
           httpExchange.answer(
               KubernetesStatus.methodNotAllowed(
-                  request.method() + " of a collection is not served"));
+                  request.method() + " is not supported on a collection; use GET or POST"));
     }
   }
 
@@ -268,25 +271,26 @@
       default ->
           httpExchange.answer(
               KubernetesStatus.methodNotAllowed(
-                  request.method() + " is not served; read the object, change it and PUT it"));
+                  request.method()
+                      + " is not supported on an object; GET it, change it and PUT it"));
     }
   }
 
   private void handleSubresource(
       Request request, ObjectKind kind, ResourcePath path, HttpExchange httpExchange)
       throws MalformedRequestException {
-    boolean scale = kind == ObjectKind.DEPLOYMENT && path.subresource().equals("scale");
-    if (!scale && !path.subresource().equals("status")) {
-      httpExchange.answer(KubernetesStatus.notFound("the path"));
+    boolean isScale = kind == ObjectKind.DEPLOYMENT && path.subresource().equals("scale");
+    if (!isScale && !path.subresource().equals("status")) {
+      httpExchange.answer(KubernetesStatus.notFound("path " + request.path()));
     } else if (request.method().equals("GET")) {
       ListOptions.requireSupported(request.query(), Set.of());
-      if (scale) {
+      if (isScale) {
         objectUpdater.getScale(
             new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       } else {
         objectQueries.get(new ObjectReference(kind, path.namespace(), path.name()), httpExchange);
       }
-    } else if (scale && request.method().equals("PUT")) {
+    } else if (isScale && request.method().equals("PUT")) {
       ListOptions.requireSupported(request.query(), Set.of());
       ObjectNode body = readBody(request, httpExchange);
       if (body != null) {
@@ -295,18 +299,24 @@
       }
     } else {
       httpExchange.answer(
-          KubernetesStatus.methodNotAllowed("a status is written by its object's owner alone"));
+          KubernetesStatus.methodNotAllowed(
+              request.method()
+                  + " is not supported on "
+                  + path.subresource()
+                  + ": a status is written only by the controller that owns the object,"
+                  + " and a scale accepts GET and PUT"));
     }
   }
 
-  /** The body as JSON; null if the answer has been given. */
+  /** Parses the body as JSON; returns null after answering that its media type is unsupported. */
   private static ObjectNode readBody(Request request, HttpExchange httpExchange)
       throws MalformedRequestException {
     String mediaType =
         request.mediaType() == null ? "" : request.mediaType().split(";", 0)[0].strip();
     if (!JSON_MEDIA_TYPES.contains(mediaType)) {
       httpExchange.answer(
-          KubernetesStatus.unsupportedMediaType("only application/json is read, not " + mediaType));
+          KubernetesStatus.unsupportedMediaType(
+              "the media type must be application/json, not " + mediaType));
       return null;
     }
     return KubernetesJson.parse(request.body());
@@ -316,13 +326,13 @@
       ObjectKind kind, String namespace, ListOptions options, HttpExchange httpExchange) {
     if (!watchCache.isReady()) {
       httpExchange.answer(
-          KubernetesStatus.unavailable("this controller has not read the objects yet"));
+          KubernetesStatus.unavailable("this controller has not loaded the stored objects yet"));
       return;
     }
     if (watchCache.watcherCount() >= MAX_WATCHES) {
       httpExchange.answer(
           KubernetesStatus.tooManyRequests(
-              "this controller has " + MAX_WATCHES + " watches already"));
+              "this controller already serves its maximum of " + MAX_WATCHES + " watches"));
       return;
     }
     ClientWatch watch =
@@ -340,10 +350,11 @@
         kind,
         namespace,
         httpExchange,
-        (first, revision) -> watch.start(httpExchange, first, revision, options.timeoutSeconds()));
+        (objects, revision) ->
+            watch.start(httpExchange, objects, revision, options.timeoutSeconds()));
   }
 
-  /** Another controller asks for the pods of an entity that it takes to be owned here. */
+  /** Answers another controller that requests the pods of an entity from its presumed owner. */
   private void handlePeerRequest(Request request, HttpExchange httpExchange)
       throws MalformedRequestException {
     var parameters = new java.util.HashMap<>(request.query());
@@ -366,7 +377,8 @@
     ObjectNode page =
         entity == null ? null : podLister.listForPeer(new ControllerId(entity), namespace, options);
     if (page == null) {
-      httpExchange.answer(KubernetesStatus.unavailable("the entity is not owned here"));
+      httpExchange.answer(
+          KubernetesStatus.unavailable("this controller does not own the requested entity"));
     } else {
       httpExchange.answer(200, page, 0);
     }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesHttpServer.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesHttpServer.java
@@ -20,10 +20,13 @@
 import org.xnio.IoUtils;
 import org.xnio.XnioWorker;
 
-/** Serves the API over HTTP. Bodies, and what waits to be read by a watch's client, are bounded. */
+/**
+ * Serves the Kubernetes API over HTTP. Request bodies and the unsent bytes of each watch are
+ * bounded.
+ */
 public final class KubernetesHttpServer {
 
-  /** A client that lets more than this wait does not read. */
+  /** Unsent bytes of a watch. A client that exceeds them does not read and is disconnected. */
   private static final int MAX_PENDING_BYTES = 1 << 20;
 
   private KubernetesHttpServer() {}
@@ -48,7 +51,10 @@
       serverExchange.setPersistent(false);
       exchange.answer(
           KubernetesStatus.tooLarge(
-              "the body is longer than " + UndertowServer.MAX_BODY_BYTES + " bytes"));
+              "the body has "
+                  + serverExchange.getRequestContentLength()
+                  + " bytes; the limit is "
+                  + UndertowServer.MAX_BODY_BYTES));
       return;
     }
     serverExchange
@@ -60,7 +66,11 @@
                     () -> loop.runLocked(() -> api.handle(toRequest(received, body), exchange))),
             (received, failure) -> {
               received.setPersistent(false);
-              exchange.answer(KubernetesStatus.tooLarge("the body cannot be read"));
+              exchange.answer(
+                  KubernetesStatus.tooLarge(
+                      "the body cannot be read; it may exceed the limit of "
+                          + UndertowServer.MAX_BODY_BYTES
+                          + " bytes"));
             });
   }
 
@@ -96,13 +106,17 @@
     public EventStream startStream(Runnable onClosed) {
       serverExchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
       LineStream lines = new LineStream(serverExchange, loop, onClosed);
-      // An empty line, so that the headers leave: a client waited for them until the first event.
+      // An empty line flushes the headers. Without it a client waited for them until the first
+      // event.
       lines.send(new byte[] {'\n'});
       return lines;
     }
   }
 
-  /** A stream of lines; what a slow client has not read yet is kept up to a bound. */
+  /**
+   * A stream of lines. Lines that a slow client has not read yet are buffered, up to {@link
+   * #MAX_PENDING_BYTES}.
+   */
   private static final class LineStream implements HttpExchange.EventStream, IoCallback {
     private final HttpServerExchange serverExchange;
     private final UndertowEventLoop loop;
@@ -155,7 +169,8 @@
 
     @Override
     public void onComplete(HttpServerExchange exchange, Sender sender) {
-      // Not within the sender's own call, which would nest once for each line that waits.
+      // Sends the next line later: within the sender's own call, calls would nest once for each
+      // pending line.
       loop.execute(
           () -> {
             sending = false;
--- a/src/main/java/io/violetrail/kubernetes/KubernetesSubsystem.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesSubsystem.java
@@ -12,17 +12,17 @@
 import io.violetrail.state.StateStore;
 import java.util.Random;
 
-/** The subset of the Kubernetes API on one controller. Nothing of it is loaded unless it is on. */
+/** The Kubernetes API subset of one controller. None of it is loaded unless the API is enabled. */
 public final class KubernetesSubsystem {
   private final WatchCache watchCache;
   private final ObjectReconciler reconciler;
   private final KubernetesApi api;
 
   /**
-   * Made once for a controller that serves this API.
+   * Creates the components of a controller that serves this API.
    *
-   * @param http asks the other controllers for their pods
-   * @param port where every controller serves this API
+   * @param http client for requesting the pods of the other controllers
+   * @param port the port on which every controller serves this API
    */
   public KubernetesSubsystem(
       EventLoop loop,
@@ -69,13 +69,13 @@
             watchCache);
   }
 
-  /** Begins to follow the kept objects and to reconcile jobs with them. */
+  /** Starts watching the stored objects and reconciling native jobs with them. */
   public void start() {
     watchCache.start();
     reconciler.start();
   }
 
-  /** What is to be served at the port. */
+  /** Returns the handler of the API's requests. */
   public KubernetesApi api() {
     return api;
   }
--- a/src/main/java/io/violetrail/kubernetes/ListOptions.java
+++ b/src/main/java/io/violetrail/kubernetes/ListOptions.java
@@ -8,7 +8,15 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What a listing or watch asks for, read strictly: a parameter nobody knows is refused. */
+/**
+ * The query parameters of a list or watch request. Unknown parameters are refused.
+ *
+ * @param name the name of the only object that is requested; null for all objects
+ * @param continueAfter the last key that an earlier page covered; empty for the first page
+ * @param resourceVersion the version after which a watch starts; empty to start with the present
+ *     objects
+ * @param timeoutSeconds how long a watch stays open
+ */
 record ListOptions(
     LabelSelector labelSelector,
     String name,
@@ -18,13 +26,13 @@
     boolean allowWatchBookmarks,
     String resourceVersion,
     double timeoutSeconds) {
-  /** Rows read for one answer at most. */
+  /** Rows that are read for one answer. */
   static final int MAX_LIMIT = 500;
 
   private static final double DEFAULT_WATCH_SECONDS = 300;
   private static final double MAX_WATCH_SECONDS = 600;
 
-  /** They change how an answer looks or who is said to have asked, and nothing else. */
+  /** Parameters that affect only an answer's format or the recorded author of a request. */
   private static final Set<String> IGNORED_PARAMETERS =
       Set.of("pretty", "fieldManager", "fieldValidation");
 
@@ -43,12 +51,15 @@
     requireSupported(parameters, SUPPORTED_PARAMETERS);
     String fieldSelector = parameters.getOrDefault("fieldSelector", "");
     if (!fieldSelector.isEmpty() && !fieldSelector.matches("metadata\\.name==?[a-z0-9-]{1,63}")) {
-      throw new MalformedRequestException("fieldSelector", "only metadata.name=NAME is supported");
+      throw new MalformedRequestException(
+          "fieldSelector", "only metadata.name=NAME is supported, not '" + fieldSelector + "'");
     }
     int limit = (int) readCount(parameters, "limit", 0);
     String resourceVersion = parameters.getOrDefault("resourceVersion", "");
     if (!resourceVersion.matches("[0-9]{0,18}")) {
-      throw new MalformedRequestException("resourceVersion", "is not a version");
+      throw new MalformedRequestException(
+          "resourceVersion",
+          "must be a number of at most 18 digits, not '" + resourceVersion + "'");
     }
     return new ListOptions(
         LabelSelector.parse(parameters.getOrDefault("labelSelector", "")),
@@ -64,7 +75,7 @@
             MAX_WATCH_SECONDS, readCount(parameters, "timeoutSeconds", DEFAULT_WATCH_SECONDS)));
   }
 
-  /** Refuses parameters that are neither among these nor harmless. */
+  /** Refuses a request with parameters that are neither among {@code names} nor ignored. */
   static void requireSupported(Map<String, String> parameters, Set<String> names)
       throws MalformedRequestException {
     for (String name : parameters.keySet()) {
@@ -78,7 +89,8 @@
       throws MalformedRequestException {
     String text = parameters.getOrDefault(name, "");
     if (!text.matches("[0-9]{0,9}")) {
-      throw new MalformedRequestException(name, "is not a count");
+      throw new MalformedRequestException(
+          name, "must be a number of at most 9 digits, not '" + text + "'");
     }
     return text.isEmpty() || text.equals("0") ? defaultValue : Double.parseDouble(text);
   }
@@ -87,7 +99,7 @@
       throws MalformedRequestException {
     String text = parameters.getOrDefault(name, "false");
     if (!Set.of("true", "false", "1", "0", "").contains(text)) {
-      throw new MalformedRequestException(name, "is neither true nor false");
+      throw new MalformedRequestException(name, "must be true or false, not '" + text + "'");
     }
     return text.equals("true") || text.equals("1");
   }
@@ -96,21 +108,22 @@
     try {
       return new String(Base64.getUrlDecoder().decode(token), StandardCharsets.UTF_8);
     } catch (IllegalArgumentException exception) {
-      throw new MalformedRequestException("continue", "is not a token of ours");
+      throw new MalformedRequestException(
+          "continue", "is not a token that this API returned; list again without it");
     }
   }
 
-  static String encodeToken(String after) {
+  static String encodeToken(String continueAfter) {
     return Base64.getUrlEncoder()
         .withoutPadding()
-        .encodeToString(after.getBytes(StandardCharsets.UTF_8));
+        .encodeToString(continueAfter.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Whether an object is among those asked for. */
+  /** Returns a filter for the requested objects; a null {@code namespace} admits all namespaces. */
   Predicate<KubernetesObject> filterFor(String namespace) {
-    return o ->
-        (namespace == null || o.namespace().equals(namespace))
-            && (name == null || o.name().equals(name))
-            && labelSelector.matches(o.labels());
+    return object ->
+        (namespace == null || object.namespace().equals(namespace))
+            && (name == null || object.name().equals(name))
+            && labelSelector.matches(object.labels());
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/ManifestSchema.java
+++ b/src/main/java/io/violetrail/kubernetes/ManifestSchema.java
@@ -22,14 +22,14 @@
 import java.util.TreeMap;
 
 /**
- * The subset of fields that are taken, as a JSON schema. What is checked, what {@code explain} says
- * and the table in the documents all come from the same files.
+ * The supported subset of manifest fields, as a JSON schema. Validation, the {@code explain}
+ * command and the table in the documentation all use the same files.
  */
 public final class ManifestSchema {
   private static final String REF = "$ref";
   private static final String DEFS = "$defs";
 
-  /** Fields that only Jobs have, and only Deployments, in the published API. */
+  /** Fields that only Jobs have in the published API. */
   private static final Set<String> JOB_ONLY_FIELDS =
       Set.of(
           "spec.manualSelector",
@@ -41,6 +41,7 @@
           "spec.successPolicy",
           "spec.managedBy");
 
+  /** Fields that only Deployments have in the published API. */
   private static final Set<String> DEPLOYMENT_ONLY_FIELDS =
       Set.of(
           "spec.minReadySeconds",
@@ -53,7 +54,7 @@
   private final ObjectNode annotations;
   private final Map<ObjectKind, JsonSchema> schemas = new EnumMap<>(ObjectKind.class);
 
-  /** Loads the published schemas and the lists of refused fields from the class path. */
+  /** Loads the schema, the unsupported fields and the annotations from the class path. */
   public ManifestSchema() {
     definitions = loadResource("schema.json");
     unsupportedFields = loadResource("refused.json");
@@ -71,11 +72,15 @@
     try (InputStream in = ManifestSchema.class.getResourceAsStream(name)) {
       return KubernetesJson.parse(in.readAllBytes());
     } catch (IOException | KubernetesJson.MalformedRequestException exception) {
-      throw new IllegalStateException(name, exception);
+      throw new IllegalStateException("cannot load the resource " + name, exception);
     }
   }
 
-  /** One annotation of ours: {@code text}, {@code flag}, {@code amount} or {@code duration}. */
+  /**
+   * A supported annotation.
+   *
+   * @param valueType {@code text}, {@code flag}, {@code amount} or {@code duration}
+   */
   record Annotation(String valueType, String meaning) {}
 
   Map<String, Annotation> annotations() {
@@ -83,15 +88,16 @@
     annotations
         .properties()
         .forEach(
-            e ->
+            entry ->
                 annotationsByName.put(
-                    e.getKey(),
+                    entry.getKey(),
                     new Annotation(
-                        e.getValue().path("kind").asText(), e.getValue().path("means").asText())));
+                        entry.getValue().path("kind").asText(),
+                        entry.getValue().path("means").asText())));
     return annotationsByName;
   }
 
-  /** All fields of a manifest that are not taken as they stand. */
+  /** Returns an error for each field that is missing, unsupported or has an invalid value. */
   List<FieldError> validate(ObjectKind kind, JsonNode manifest) {
     List<FieldError> errors = new ArrayList<>();
     for (ValidationMessage message : schemas.get(kind).validate(manifest)) {
@@ -114,7 +120,7 @@
     return errors;
   }
 
-  /** The library begins its messages with the location, which stands in the refusal already. */
+  /** Removes the location that starts a message of the library; the error already names it. */
   private static String messageWithoutLocation(ValidationMessage message) {
     String text = message.getMessage();
     String prefix = message.getInstanceLocation() + ": ";
@@ -127,10 +133,14 @@
     return reason == null ? "the field is unknown" : "is not supported: " + reason.asText();
   }
 
-  /** One line of the table of fields. */
+  /**
+   * One row of the table of fields.
+   *
+   * @param meaning what a supported field means for the native job; otherwise why it is unsupported
+   */
   public record Field(String path, boolean supported, String meaning) {}
 
-  /** All fields of a kind that are known, taken ones with their native meaning. */
+  /** Returns all known fields of a kind, supported or not, in the order of their paths. */
   public List<Field> listFields(ObjectKind kind) {
     Map<String, Field> fieldsByPath = new TreeMap<>();
     collectFields("", definitions.path(DEFS).path(kind.publishedName()), fieldsByPath);
@@ -140,13 +150,13 @@
             entry -> {
               String path = entry.getKey();
               String parent = path.substring(0, Math.max(0, path.lastIndexOf('.')));
-              boolean known =
+              boolean parentSupported =
                   parent.isEmpty() || fieldsByPath.containsKey(parent.replace("[0]", ""));
               boolean belongsToOtherKind =
                   kind == ObjectKind.JOB
                       ? DEPLOYMENT_ONLY_FIELDS.contains(path)
                       : JOB_ONLY_FIELDS.contains(path);
-              if (!fieldsByPath.containsKey(path) && known && !belongsToOtherKind) {
+              if (!fieldsByPath.containsKey(path) && parentSupported && !belongsToOtherKind) {
                 fieldsByPath.put(path, new Field(path, false, entry.getValue().asText()));
               }
             });
--- a/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
+++ b/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
@@ -16,9 +16,9 @@
 import java.util.Optional;
 
 /**
- * What an object means as a native job. A Job becomes the very message that a user would have sent,
- * read by the same code, so that both are the same job to everything behind it. Plain decisions;
- * nothing is looked up.
+ * Translates Kubernetes objects into native jobs. A Job becomes the message that a user would have
+ * submitted to the native API and is parsed by the same code, so that all later code handles both
+ * alike. The result depends only on the arguments and the schema; no other state is read.
  */
 public final class NativeJobTranslator {
   private static final String ANNOTATION_PREFIX = "violetrail.io/";
@@ -27,12 +27,12 @@
   private static final String GPU_RESOURCE = "nvidia.com/gpu";
   private static final BigDecimal BYTES_PER_GB = new BigDecimal("1e9");
 
-  /** As published, where the field is not there. */
+  /** The default of the published API if the field is absent. */
   private static final int DEFAULT_BACKOFF_LIMIT = 6;
 
   private static final String DEFAULT_ROLLING_PERCENTAGE = "25%";
 
-  /** Any well-formed id: what a manifest means does not depend on it. */
+  /** Any well-formed id. Apart from the id itself, the translation does not depend on it. */
   private static final String PLACEHOLDER_JOB_ID = "job-0";
 
   private final ManifestSchema manifestSchema;
@@ -41,7 +41,7 @@
     this.manifestSchema = manifestSchema;
   }
 
-  /** Fields of a manifest that are not taken, for a namespace; empty if it can be kept. */
+  /** Returns the errors of a manifest for a namespace; empty if the object can be stored. */
   public List<FieldError> validate(ObjectKind kind, ObjectNode manifest, String namespace) {
     List<FieldError> errors = new ArrayList<>(manifestSchema.validate(kind, manifest));
     if (!errors.isEmpty()) {
@@ -51,7 +51,13 @@
     if (metadata.has("namespace") && !metadata.get("namespace").asText().equals(namespace)) {
       errors.add(
           new FieldError(
-              "metadata.namespace", Cause.INVALID, "is not the namespace of the request's path"));
+              "metadata.namespace",
+              Cause.INVALID,
+              "is '"
+                  + metadata.get("namespace").asText()
+                  + "' but must be the requested namespace '"
+                  + namespace
+                  + "'"));
     }
     if (!metadata.has("name") && !metadata.has("generateName")) {
       errors.add(
@@ -112,7 +118,9 @@
               }
             });
     if (matchLabels.isEmpty()) {
-      errors.add(new FieldError("spec.selector.matchLabels", Cause.REQUIRED, "must name a label"));
+      errors.add(
+          new FieldError(
+              "spec.selector.matchLabels", Cause.REQUIRED, "must contain at least one label"));
     }
     String restartPolicy =
         spec.path("template").path("spec").path("restartPolicy").asText("Always");
@@ -121,14 +129,16 @@
           new FieldError(
               "spec.template.spec.restartPolicy",
               Cause.NOT_SUPPORTED,
-              "must be Always: a replica runs until it is taken away"));
+              "must be Always: a replica runs until it is stopped"));
     }
     JsonNode strategy = spec.path("strategy");
     JsonNode rollingUpdate = strategy.get("rollingUpdate");
     String path = "spec.strategy.rollingUpdate";
     if (strategy.path("type").asText().equals("Recreate")) {
       if (rollingUpdate != null) {
-        errors.add(new FieldError(path, Cause.FORBIDDEN, "has no meaning with Recreate"));
+        errors.add(
+            new FieldError(
+                path, Cause.FORBIDDEN, "must not be set if spec.strategy.type is Recreate"));
       }
       return;
     }
@@ -138,7 +148,9 @@
             new FieldError(
                 FieldPaths.join(path, field),
                 Cause.INVALID,
-                "is neither a count nor a percentage to 100%"));
+                "must be a count or a percentage of at most 100%, not '"
+                    + rollingUpdate.get(field).asText()
+                    + "'"));
       }
     }
     if (resolveCountOrPercentage(rollingUpdate.get("maxSurge"), 100, true) == 0
@@ -151,7 +163,10 @@
     }
   }
 
-  /** A count, or a percentage of {@code total}; negative if it is neither. */
+  /**
+   * Returns a count as it stands, or the part of {@code total} that a percentage stands for. The
+   * result is negative if the value is neither.
+   */
   static int resolveCountOrPercentage(JsonNode value, int total, boolean roundUp) {
     if (value.isIntegralNumber()) {
       return value.canConvertToInt() ? value.asInt() : -1;
@@ -167,7 +182,10 @@
     return roundUp ? (total * percent + 99) / 100 : total * percent / 100;
   }
 
-  /** The spec as it is kept: what was left out has its published default. */
+  /**
+   * Returns a copy of the spec in which absent fields have the defaults of the published API.
+   * Objects are stored in this form.
+   */
   static ObjectNode withDefaults(ObjectKind kind, ObjectNode spec) {
     ObjectNode filled = spec.deepCopy();
     if (kind == ObjectKind.JOB) {
@@ -223,13 +241,13 @@
                         path + "[" + name + "]",
                         Cause.FORBIDDEN,
                         inTemplate
-                            ? "belongs to the Job's own metadata"
-                            : "belongs to the template's metadata"));
+                            ? "must be set in the Job's own metadata instead"
+                            : "must be set in the template's metadata instead"));
               }
             });
   }
 
-  /** The native job of a kept Job, or of one replica of a Deployment. */
+  /** Returns the native job of a stored Job, or of one replica of a stored Deployment. */
   JobSpec toJobSpec(KubernetesObject object, String id) {
     JsonNode annotations =
         object.kind() == ObjectKind.JOB
@@ -245,10 +263,14 @@
     } catch (Cbor.MalformedMessageException exception) {
       errors.add(new FieldError("", Cause.INVALID, exception.getMessage()));
     }
-    throw new IllegalStateException(object.key() + " was kept and means nothing: " + errors);
+    throw new IllegalStateException(
+        "stored object " + object.key() + " cannot be translated to a native job: " + errors);
   }
 
-  /** The native message that a manifest means; for {@code check}, which needs no controller. */
+  /**
+   * Returns the native message of a manifest that {@link #validate} accepts. The {@code check}
+   * command uses it, which needs no controller.
+   */
   public ObjectNode toNativeMessage(ObjectKind kind, ObjectNode manifest, String namespace) {
     ObjectNode spec = withDefaults(kind, (ObjectNode) manifest.get("spec"));
     JsonNode annotations =
@@ -301,7 +323,7 @@
     return message;
   }
 
-  /** Reads a container's resources, and notes what is wrong with them. */
+  /** Reads a container's resources and adds an error for each invalid value. */
   private static final class ResourceReader {
     private static final String RESOURCES_PATH = "spec.template.spec.containers[0].resources";
     private final JsonNode resources;
@@ -318,7 +340,12 @@
       if (requested != null && limit != null && requested.compareTo(limit) != 0) {
         errors.add(
             new FieldError(
-                resourcePath("limits", name), Cause.NOT_SUPPORTED, "must equal what is requested"));
+                resourcePath("limits", name),
+                Cause.NOT_SUPPORTED,
+                "is "
+                    + limit.toPlainString()
+                    + " but must equal the request of "
+                    + requested.toPlainString()));
       }
       BigDecimal amount = requested == null ? limit : requested;
       if (amount == null) {
@@ -330,12 +357,14 @@
       if (required && amount.signum() == 0) {
         errors.add(
             new FieldError(
-                resourcePath("requests", name), Cause.INVALID, "must be more than nothing"));
+                resourcePath("requests", name), Cause.INVALID, "must be greater than 0"));
       }
       if (name.equals(GPU_RESOURCE) && amount.stripTrailingZeros().scale() > 0) {
         errors.add(
             new FieldError(
-                resourcePath("requests", name), Cause.INVALID, "must be a whole number"));
+                resourcePath("requests", name),
+                Cause.INVALID,
+                "must be a whole number, not " + amount.toPlainString()));
       }
       return amount.divide(unit).doubleValue();
     }
@@ -351,7 +380,7 @@
             new FieldError(
                 resourcePath(section, name),
                 Cause.INVALID,
-                "'" + value.asText() + "' is not a quantity"));
+                "'" + value.asText() + "' is not a quantity such as 500m, 2 or 1.5Gi"));
       }
       return amount.orElse(null);
     }
@@ -364,7 +393,7 @@
     }
   }
 
-  /** Reads our annotations, each strictly, and notes those that nobody knows. */
+  /** Reads the supported annotations strictly and adds an error for each invalid or unknown one. */
   private final class AnnotationReader {
     private final boolean isJob;
     private final String path;
@@ -399,7 +428,7 @@
     boolean readFlag(String name) {
       String text = findValue(name);
       if (text != null && !text.equals("true") && !text.equals("false")) {
-        addError(name, "must be \"true\" or \"false\"");
+        addError(name, "must be \"true\" or \"false\", not \"" + text + "\"");
       }
       return "true".equals(text);
     }
@@ -423,7 +452,7 @@
       }
       Optional<BigDecimal> amount = Quantity.parseAmount(text);
       if (amount.isEmpty()) {
-        addError(name, "'" + text + "' is not a quantity");
+        addError(name, "'" + text + "' is not a quantity such as 250M or 1.5Gi");
       }
       return amount.map(a -> a.divide(BYTES_PER_GB).doubleValue()).orElse(0.0);
     }
@@ -446,7 +475,9 @@
                     && annotation.meaning().endsWith("Jobs only")) {
                   errors.add(
                       new FieldError(
-                          path + "[" + name + "]", Cause.NOT_SUPPORTED, "is for Jobs only"));
+                          path + "[" + name + "]",
+                          Cause.NOT_SUPPORTED,
+                          "is supported on Jobs only"));
                 }
               });
     }
--- a/src/main/java/io/violetrail/kubernetes/ObjectErrors.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectErrors.java
@@ -6,18 +6,18 @@
 import io.violetrail.wire.kubernetes.KubernetesStatus;
 import java.util.List;
 
-/** The answers to failures that several requests about kept objects share. */
+/** Error answers that several requests for stored objects share. */
 final class ObjectErrors {
   private ObjectErrors() {}
 
-  /** The answer when the state service could not be asked, or has refused for now. */
+  /** Returns the answer for a failed request to the state service; 429 if it was rate limited. */
   static KubernetesStatus stateUnavailable(Throwable failure) {
     return RequestFailedException.from(failure).isRateLimited()
-        ? KubernetesStatus.tooManyRequests("too many requests at once")
+        ? KubernetesStatus.tooManyRequests("too many requests at once; retry later")
         : KubernetesStatus.unavailable("the state service does not answer");
   }
 
-  /** The answer for an object whose native job no machine can ever run. */
+  /** Returns the answer for an object whose native job can run on no machine. */
   static KubernetesStatus neverRuns(KubernetesObject object, String reason) {
     return KubernetesStatus.invalid(
         object.reference().displayName(),
@@ -26,6 +26,6 @@
   }
 
   static KubernetesStatus rowTooLong() {
-    return KubernetesStatus.tooLarge("the object is too long to be kept");
+    return KubernetesStatus.tooLarge("the object is too large to be stored");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/ObjectKind.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectKind.java
@@ -1,6 +1,6 @@
 package io.violetrail.kubernetes;
 
-/** The kinds of objects that are kept. */
+/** The kinds of objects that this API stores. */
 public enum ObjectKind {
   JOB("Job", "batch", "jobs", "job"),
   DEPLOYMENT("Deployment", "apps", "deployments", "deployment");
@@ -33,7 +33,7 @@
     return plural;
   }
 
-  /** As errors name it: {@code jobs.batch}. */
+  /** Returns the name that errors use, such as {@code jobs.batch}. */
   String qualifiedResource() {
     return plural + "." + group;
   }
@@ -42,7 +42,7 @@
     return keySegment;
   }
 
-  /** The kind with this name in its group, null if there is none. */
+  /** Returns the kind with a plural name in an API group, or null if there is none. */
   static ObjectKind find(String group, String plural) {
     for (ObjectKind candidate : values()) {
       if (candidate.group.equals(group) && candidate.plural.equals(plural)) {
@@ -52,7 +52,7 @@
     return null;
   }
 
-  /** The kind that a manifest names, null if it is none of ours. */
+  /** Returns the kind that a manifest declares, or null if it is not supported. */
   public static ObjectKind findForManifest(String apiVersion, String kind) {
     for (ObjectKind candidate : values()) {
       if (candidate.apiVersion().equals(apiVersion) && candidate.publishedName.equals(kind)) {
--- a/src/main/java/io/violetrail/kubernetes/ObjectReference.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectReference.java
@@ -1,12 +1,12 @@
 package io.violetrail.kubernetes;
 
-/** Which object is meant. */
+/** Identifies a stored object. */
 record ObjectReference(ObjectKind kind, String namespace, String name) {
   String key() {
     return KubernetesObject.keyPrefix(kind, namespace) + name;
   }
 
-  /** As errors name it. */
+  /** Returns the name that errors use, such as {@code jobs.batch "scan"}. */
   String displayName() {
     return kind.qualifiedResource() + " \"" + name + "\"";
   }
--- a/src/main/java/io/violetrail/kubernetes/RolloutPlanner.java
+++ b/src/main/java/io/violetrail/kubernetes/RolloutPlanner.java
@@ -5,30 +5,30 @@
 import java.util.TreeSet;
 
 /**
- * What to change of a Deployment's replicas next. A plain decision on what is seen of them, made
- * anew each time, so it does not matter who made the one before.
+ * Plans which replicas of a Deployment to start and to stop next. Each plan is made anew from the
+ * observed replicas alone, so it does not matter which controller made the previous one.
  */
 final class RolloutPlanner {
   private RolloutPlanner() {}
 
   /**
-   * One replica.
+   * An observed replica.
    *
-   * @param upToDate of the template as it is now
-   * @param ready it runs
-   * @param stopping it is being cancelled, and may still be on a machine
+   * @param upToDate whether it has the current template
+   * @param ready whether it runs
+   * @param stopping whether it is being cancelled; it may still be on a machine
    */
   record Replica(long number, boolean upToDate, boolean ready, boolean stopping) {}
 
-  /** How many to begin, and which to end. */
+  /** How many replicas to start, and the numbers of those to stop. */
   record Plan(int startCount, Set<Long> stopNumbers) {}
 
   /**
-   * Creates the limits within which replicas are replaced.
+   * Returns the next step towards {@code desired} replicas of the current template.
    *
-   * @param maxSurge how many more than wanted there may be, ending ones counted
-   * @param maxUnavailable how many fewer than wanted may be ready
-   * @param recreate all former replicas end before a new one begins
+   * @param maxSurge how many replicas more than desired may exist, including stopping ones
+   * @param maxUnavailable how many replicas fewer than desired may be ready
+   * @param recreate whether all outdated replicas must have ended before a new one starts
    */
   static Plan plan(
       int desired, List<Replica> replicas, int maxSurge, int maxUnavailable, boolean recreate) {
@@ -38,31 +38,32 @@
     int upToDateCount = (int) activeReplicas.stream().filter(Replica::upToDate).count();
     int outdatedCount = activeReplicas.size() - upToDateCount;
 
-    // Too many of the right ones: those that do not run yet go first.
+    // Stops excess up-to-date replicas; those that do not run yet are stopped first.
     int excess = upToDateCount - desired;
-    for (boolean running : new boolean[] {false, true}) {
+    for (boolean ready : new boolean[] {false, true}) {
       for (Replica replica : activeReplicas) {
-        if (excess > 0 && replica.upToDate() && replica.ready() == running) {
+        if (excess > 0 && replica.upToDate() && replica.ready() == ready) {
           stopNumbers.add(replica.number());
           excess--;
           upToDateCount--;
-          readyCount -= running ? 1 : 0;
+          readyCount -= ready ? 1 : 0;
         }
       }
     }
-    // Former ones: those that do not run are no loss; of the others as many as may be missing.
-    for (boolean running : new boolean[] {false, true}) {
+    // Stops outdated replicas: all that do not run, which costs no capacity, and as many running
+    // ones as maxUnavailable allows.
+    for (boolean ready : new boolean[] {false, true}) {
       for (Replica replica : activeReplicas) {
-        boolean mayStop = recreate || !running || readyCount - 1 >= desired - maxUnavailable;
-        if (!replica.upToDate() && replica.ready() == running && mayStop) {
+        boolean mayStop = recreate || !ready || readyCount - 1 >= desired - maxUnavailable;
+        if (!replica.upToDate() && replica.ready() == ready && mayStop) {
           stopNumbers.add(replica.number());
-          readyCount -= running ? 1 : 0;
+          readyCount -= ready ? 1 : 0;
         }
       }
     }
     int startCount = desired - upToDateCount;
     if (recreate) {
-      // Also what is ending must be gone.
+      // Stopping replicas must have ended, too.
       boolean allStopped = outdatedCount == 0 && activeReplicas.size() == replicas.size();
       startCount = allStopped ? startCount : 0;
     } else {
--- a/src/test/java/io/violetrail/kubernetes/QuantityAndSelectorTest.java
+++ b/src/test/java/io/violetrail/kubernetes/QuantityAndSelectorTest.java
@@ -27,7 +27,8 @@
           Quantity.parseDurationSeconds(malformed + "s").isEmpty() || malformed.isEmpty(),
           malformed);
     }
-    assertTrue(Quantity.parseDurationSeconds("90").isEmpty(), "a duration names its unit");
+    assertTrue(
+        Quantity.parseDurationSeconds("90").isEmpty(), "a duration without a unit is refused");
   }
 
   @Test
--- a/src/test/java/io/violetrail/kubernetes/SchemaDocumentationTest.java
+++ b/src/test/java/io/violetrail/kubernetes/SchemaDocumentationTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The documented table of fields is the schema. */
+/** The table of fields in docs/kubernetes.md matches the schema. */
 class SchemaDocumentationTest {
   @Test
   void documentedFieldTableMatchesTheSchema() throws IOException {
@@ -24,6 +24,6 @@
                     field.meaning()));
       }
     }
-    assertTrue(page.contains(table), "the table is to be:\n" + table);
+    assertTrue(page.contains(table), "docs/kubernetes.md must contain this table:\n" + table);
   }
 }
