--- a/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
@@ -16,13 +16,13 @@
 import java.util.Set;
 
 /**
- * Decides the next step of a Deployment at its entity's owner. Each replica is a native service of
- * one task. Its number is in the row before it is submitted and until it is over, so no replica is
- * lost or doubled by a crash. Called on the event loop's thread by the {@link ObjectReconciler};
- * keeps nothing.
+ * Decides the next step for a Deployment at its entity's owner. Each replica is a native service
+ * with one task. The Deployment's row holds the replica's number from before the service is
+ * submitted until it has ended, so a crash neither loses nor duplicates a replica. Called on the
+ * event loop's thread by the {@link ObjectReconciler}. Holds no state.
  */
 final class DeploymentReconciler {
-  /** New replicas that one write announces; a row holds at most 8 KiB. */
+  /** Maximum number of new replicas that one write adds to the row, which holds at most 8 KiB. */
   private static final int MAX_NEW_REPLICAS_PER_WRITE = 20;
 
   private final EventLoop loop;
@@ -41,22 +41,27 @@
     this.translator = translator;
   }
 
-  /** Takes the next step; returns the object's next state, or null if nothing is to be stored. */
+  /**
+   * Takes the next step.
+   *
+   * @return the object's next state, or null if there is nothing to store
+   */
   KubernetesObject reconcile(OwnedEntity entity, KubernetesObject object) {
     if (entity.hasUncertainMachine(loop.monotonicSeconds())) {
-      // After an acquisition heartbeats show the replicas one by one. Those that had not been shown
-      // yet were taken for not running, and a rollout ended all of them at once.
+      // After the entity is acquired, heartbeats report its replicas one by one. If replicas that
+      // have not been reported yet counted as not running, a rollout would stop all of them at
+      // once.
       return null;
     }
-    int desired = object.isDeleting() ? 0 : object.spec().path("replicas").asInt();
+    int desiredCount = object.isDeleting() ? 0 : object.spec().path("replicas").asInt();
     Set<Long> finishedNumbers = new HashSet<>();
     List<Replica> replicas = submitAndObserve(entity, object, finishedNumbers);
-    Plan plan = planRollout(object, desired, replicas);
+    Plan plan = planRollout(object, desiredCount, replicas);
     cancelReplicas(entity, object, plan);
     if (object.isDeleting() && finishedNumbers.size() == object.nativeJobs().size()) {
       return object.withTasksGone();
     }
-    ObjectNode status = buildStatus(object, desired, replicas);
+    ObjectNode status = buildStatus(object, desiredCount, replicas);
     int startCount = Math.min(MAX_NEW_REPLICAS_PER_WRITE, plan.startCount());
     if (finishedNumbers.isEmpty() && startCount == 0 && status.equals(object.status())) {
       return null;
@@ -65,10 +70,11 @@
   }
 
   /**
-   * Observes the replicas that the row names and submits those that are wanted and were not
-   * submitted yet.
+   * Returns the replicas that the row names and that have not ended, and submits those that are
+   * needed and not submitted yet.
    *
-   * @param finishedNumbers gets the numbers of those that are over, which are not among the result
+   * @param finishedNumbers receives the numbers of the replicas that have ended, which the result
+   *     omits
    */
   private List<Replica> submitAndObserve(
       OwnedEntity entity, KubernetesObject object, Set<Long> finishedNumbers) {
@@ -102,7 +108,10 @@
     return new Replica(nativeJob.number(), isUpToDate(object, nativeJob), ready, stopping);
   }
 
-  /** A replica that the row names and that is, as far as is known here, not submitted. */
+  /**
+   * Submits a replica that is not known to be submitted. If the replica is no longer needed,
+   * confirms instead that it was never submitted.
+   */
   private Replica submitReplica(OwnedEntity entity, KubernetesObject object, NativeJob nativeJob) {
     boolean upToDate = isUpToDate(object, nativeJob);
     if (reconciler.hasOperationInFlight(entity, nativeJob.id())) {
@@ -117,22 +126,26 @@
     return new Replica(nativeJob.number(), true, false, false);
   }
 
-  private static Plan planRollout(KubernetesObject object, int desired, List<Replica> replicas) {
+  private static Plan planRollout(
+      KubernetesObject object, int desiredCount, List<Replica> replicas) {
     JsonNode strategy = object.spec().path("strategy");
     boolean recreate = strategy.path("type").asText().equals("Recreate");
-    int maxSurge = recreate ? 0 : resolve(strategy, "maxSurge", desired, true);
-    int maxUnavailable = recreate ? 0 : resolve(strategy, "maxUnavailable", desired, false);
+    int maxSurge = recreate ? 0 : resolveLimit(strategy, "maxSurge", desiredCount, true);
+    int maxUnavailable =
+        recreate ? 0 : resolveLimit(strategy, "maxUnavailable", desiredCount, false);
     if (!recreate && maxSurge == 0 && maxUnavailable == 0) {
-      // Percentages of few replicas round to nothing both ways; as published, one may be missing.
+      // With few replicas, both percentages can round to 0. Following the Kubernetes API, one
+      // replica may then be unavailable.
       maxUnavailable = 1;
     }
     return RolloutPlanner.plan(
-        desired, replicas, maxSurge, maxUnavailable, recreate || object.isDeleting());
+        desiredCount, replicas, maxSurge, maxUnavailable, recreate || object.isDeleting());
   }
 
-  private static int resolve(JsonNode strategy, String field, int desired, boolean roundUp) {
+  private static int resolveLimit(
+      JsonNode strategy, String field, int desiredCount, boolean roundUp) {
     return NativeJobTranslator.resolveCountOrPercentage(
-        strategy.path("rollingUpdate").get(field), desired, roundUp);
+        strategy.path("rollingUpdate").get(field), desiredCount, roundUp);
   }
 
   private void cancelReplicas(OwnedEntity entity, KubernetesObject object, Plan plan) {
@@ -161,22 +174,23 @@
         });
   }
 
-  private ObjectNode buildStatus(KubernetesObject object, int desired, List<Replica> replicas) {
-    int live = 0;
-    int ready = 0;
-    int updated = 0;
+  private ObjectNode buildStatus(
+      KubernetesObject object, int desiredCount, List<Replica> replicas) {
+    int activeCount = 0;
+    int readyCount = 0;
+    int updatedCount = 0;
     for (Replica replica : replicas) {
-      live += replica.stopping() ? 0 : 1;
-      ready += replica.ready() ? 1 : 0;
-      updated += replica.upToDate() && !replica.stopping() ? 1 : 0;
+      activeCount += replica.stopping() ? 0 : 1;
+      readyCount += replica.ready() ? 1 : 0;
+      updatedCount += replica.upToDate() && !replica.stopping() ? 1 : 0;
     }
     ObjectNode status = Cbor.newMap().put("observedGeneration", object.value().path("gen").asInt());
-    status.put("replicas", live).put("updatedReplicas", updated);
-    status.put("readyReplicas", ready).put("availableReplicas", ready);
-    if (ready < desired) {
-      status.put("unavailableReplicas", desired - ready);
+    status.put("replicas", activeCount).put("updatedReplicas", updatedCount);
+    status.put("readyReplicas", readyCount).put("availableReplicas", readyCount);
+    if (readyCount < desiredCount) {
+      status.put("unavailableReplicas", desiredCount - readyCount);
     }
-    boolean available = ready >= desired;
+    boolean available = readyCount >= desiredCount;
     JsonNode previous = object.status().path("conditions").path(0);
     boolean unchanged =
         previous.path("status").asText().equals(available ? Condition.TRUE : Condition.FALSE);
--- a/src/main/java/io/violetrail/kubernetes/JobReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/JobReconciler.java
@@ -11,13 +11,15 @@
 import io.violetrail.wire.Cbor;
 
 /**
- * Decides the next step of a kept Job at its entity's owner: sees to it that its native job is
- * submitted or cancelled, and gives the next status. Called on the event loop's thread by the
- * {@link ObjectReconciler}; keeps nothing. A step that a crash cuts off is decided again from the
- * row.
+ * Decides the next step for a Job at its entity's owner: submits or cancels the native job, and
+ * computes the next status. Called on the event loop's thread by the {@link ObjectReconciler}.
+ * Holds no state; a step that a crash interrupts is decided again from the Job's row.
  */
 final class JobReconciler {
-  /** How often changed counts are written; changes of readiness and of failures are at once. */
+  /**
+   * The minimum interval between writes of a status in which only other counts have changed. A new
+   * failure, or a change from or to no running task, is written immediately.
+   */
   private static final long COUNT_WRITE_INTERVAL_MILLIS = 10_000;
 
   private final EventLoop loop;
@@ -36,7 +38,11 @@
     this.translator = translator;
   }
 
-  /** Takes the next step; returns the object's next state, or null if nothing is to be stored. */
+  /**
+   * Takes the next step.
+   *
+   * @return the object's next state, or null if there is nothing to store
+   */
   KubernetesObject reconcile(OwnedEntity entity, KubernetesObject object) {
     if (isFinished(object)) {
       boolean tasksGone =
@@ -65,21 +71,21 @@
     if (view.status().isTerminal()) {
       return withFinalStatus(object, view);
     }
-    int failed = failuresBeforeOwnership(entity, object) + job.errorCount();
+    int failureCount = failureCountBeforeOwnership(entity, object) + job.errorCount();
     if (object.isDeleting()
-        || failed > object.spec().path("backoffLimit").asInt()
+        || failureCount > object.spec().path("backoffLimit").asInt()
         || isPastDeadline(object)) {
       reconciler.cancelJob(entity, job);
     }
-    return withProgressStatus(entity, object, job, view, failed);
+    return withProgressStatus(entity, object, job, view, failureCount);
   }
 
   /**
-   * Failures counted before this owner acquired the entity. An owner counts its own failures from
-   * its version on; those that it had not written when it crashed are lost, which grants the Job a
-   * few more attempts.
+   * Returns the number of failures counted before this owner acquired the entity. Each owner counts
+   * the failures under its own version of the entity. Failures that an owner had not yet written
+   * when it crashed are lost, which grants the Job a few more attempts.
    */
-  private static int failuresBeforeOwnership(OwnedEntity entity, KubernetesObject object) {
+  private static int failureCountBeforeOwnership(OwnedEntity entity, KubernetesObject object) {
     boolean countedByThisOwner =
         object.value().path("by").asLong(-1) == entity.row().version().value();
     return object.value().path(countedByThisOwner ? "base" : "failed").asInt();
@@ -111,27 +117,27 @@
     return seconds > 0 && loop.wallMillis() > object.startedMillis() + seconds * 1000;
   }
 
-  /** Written once the native job's final state is stored, which does not change any more. */
+  /** Called once the final state of the native job is stored; that state never changes. */
   private KubernetesObject withFinalStatus(KubernetesObject object, JobView view) {
     return object.withChange(
         row -> {
-          ObjectNode status = startedStatus(object);
+          ObjectNode status = newStatusWithStartTime(object);
           status.put("succeeded", view.doneCount());
-          int failed = row.path("failed").asInt();
-          if (failed > 0) {
-            status.put("failed", failed);
+          int failureCount = row.path("failed").asInt();
+          if (failureCount > 0) {
+            status.put("failed", failureCount);
           }
-          setFinalCondition(object, view, failed, status);
+          setFinalCondition(object, view, failureCount, status);
           row.set("status", status);
         });
   }
 
   private void setFinalCondition(
-      KubernetesObject object, JobView view, int failed, ObjectNode status) {
+      KubernetesObject object, JobView view, int failureCount, ObjectNode status) {
     if (view.status() == JobStatus.DONE) {
       status.put("completionTime", KubernetesObject.formatTime(loop.wallMillis()));
       setCondition(status, "Complete", "CompletionsReached", "all tasks are done");
-    } else if (failed > object.spec().path("backoffLimit").asInt()) {
+    } else if (failureCount > object.spec().path("backoffLimit").asInt()) {
       setCondition(
           status, "Failed", "BackoffLimitExceeded", "tasks failed more often than backoffLimit");
     } else if (isPastDeadline(object)) {
@@ -142,27 +148,28 @@
   }
 
   private KubernetesObject withProgressStatus(
-      OwnedEntity entity, KubernetesObject object, Job job, JobView view, int failed) {
+      OwnedEntity entity, KubernetesObject object, Job job, JobView view, int failureCount) {
     if (job.loadedFromStore() && entity.hasUncertainMachine(loop.monotonicSeconds())) {
-      // Tasks that no heartbeat has shown since the acquisition would be counted as not running.
+      // Tasks that no heartbeat has reported since the entity was acquired would be counted as not
+      // running.
       return null;
     }
-    ObjectNode status = startedStatus(object);
+    ObjectNode status = newStatusWithStartTime(object);
     status
         .put("active", job.spec().taskCount() - view.doneCount())
         .put("ready", view.runningCount());
     if (view.doneCount() > 0) {
       status.put("succeeded", view.doneCount());
     }
-    if (failed > 0) {
-      status.put("failed", failed);
+    if (failureCount > 0) {
+      status.put("failed", failureCount);
     }
     if (status.equals(object.status())) {
       return null;
     }
     boolean readinessChanged =
         (view.runningCount() > 0) != (object.status().path("ready").asInt() > 0);
-    boolean failuresChanged = failed != object.status().path("failed").asInt();
+    boolean failuresChanged = failureCount != object.status().path("failed").asInt();
     boolean writeDue =
         loop.wallMillis() - object.value().path("wrote").asLong() > COUNT_WRITE_INTERVAL_MILLIS;
     if (!readinessChanged && !failuresChanged && !writeDue) {
@@ -171,14 +178,14 @@
     return object.withChange(
         row -> {
           row.put("wrote", loop.wallMillis());
-          row.put("failed", failed)
-              .put("base", failuresBeforeOwnership(entity, object))
+          row.put("failed", failureCount)
+              .put("base", failureCountBeforeOwnership(entity, object))
               .put("by", entity.row().version().value());
           row.set("status", status);
         });
   }
 
-  private static ObjectNode startedStatus(KubernetesObject object) {
+  private static ObjectNode newStatusWithStartTime(KubernetesObject object) {
     return Cbor.newMap().put("startTime", KubernetesObject.formatTime(object.startedMillis()));
   }
 
--- a/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
@@ -18,9 +18,10 @@
 import java.util.function.LongPredicate;
 
 /**
- * A kept object as its row holds it. {@code stamp}, the revision of the row's last change, is its
- * {@code resourceVersion}: the state service counts changes for all controllers, so versions are
- * the same whoever is asked. Never changed; {@link #withChange} makes the next one.
+ * A Kubernetes object as it is stored in its row. Its {@code resourceVersion} is the revision of
+ * the row's last change ({@code stamp} in the state service's protocol). The state service assigns
+ * revisions for all controllers, so every controller reports the same versions. An instance is not
+ * changed once it is stored; {@link #withChange} returns the next state.
  */
 public final class KubernetesObject {
   public static final String KEY_PREFIX = "k8s/";
@@ -35,12 +36,17 @@
   private final ObjectNode value;
   private final long resourceVersion;
 
-  /** Computed once: reconciliation asks for them twice a second. */
+  /** Computed lazily and cached, since reconciliation reads them twice a second. */
   private List<NativeJob> nativeJobs;
 
   private String templateHash;
 
-  /** A native job that belongs to the object, and of which template it is. */
+  /**
+   * A native job that belongs to the object.
+   *
+   * @param number its number within the object, from 1
+   * @param templateHash the hash of the template that it was created from; empty for a Job
+   */
   record NativeJob(JobId id, long number, String templateHash) {}
 
   private KubernetesObject(
@@ -72,7 +78,7 @@
     return resourceVersion;
   }
 
-  /** Where a namespace's objects of a kind stand; all namespaces' if it is null. */
+  /** Returns the key prefix of a kind's objects in a namespace; in all namespaces if it is null. */
   static String keyPrefix(ObjectKind kind, String namespace) {
     return KEY_PREFIX + kind.keySegment() + "/" + (namespace == null ? "" : namespace + "/");
   }
@@ -85,7 +91,10 @@
     return keyPrefix(kind, namespace) + name;
   }
 
-  /** The row that stays of a deleted object until its tasks are sure to have been stopped. */
+  /**
+   * Returns the key of the row that remains after the object's deletion, until its tasks are known
+   * to have stopped.
+   */
   String deletedKey() {
     return DELETED_KEY_PREFIX + uid();
   }
@@ -94,7 +103,12 @@
     return key.startsWith(DELETED_KEY_PREFIX);
   }
 
-  /** The object of a row; null if the key is none of ours. */
+  /**
+   * Returns the object of a row; for a row at a {@link #deletedKey}, the deleted object's last
+   * state.
+   *
+   * @return null if the key or the value is not that of a known kind of object
+   */
   static KubernetesObject fromRow(String key, JsonNode value, long resourceVersion) {
     if (isDeletedKey(key)) {
       return fromRow(value.path("key").asText(), value.path("last"), resourceVersion);
@@ -111,7 +125,7 @@
     return null;
   }
 
-  /** A new object of an entity. */
+  /** Creates an object that is not stored yet; its resource version is 0. */
   static KubernetesObject create(
       ObjectKind kind,
       String namespace,
@@ -135,7 +149,7 @@
     return new KubernetesObject(kind, namespace, name, value, 0);
   }
 
-  /** The next state of the object, with a change to a copy of its row. */
+  /** Returns the object's next state: a copy of its row with the change applied. */
   KubernetesObject withChange(Consumer<ObjectNode> change) {
     ObjectNode next = value.deepCopy();
     next.put("seq", value.path("seq").asLong() + 1);
@@ -143,7 +157,7 @@
     return new KubernetesObject(kind, namespace, name, next, resourceVersion);
   }
 
-  /** The last state of an object whose tasks are gone: its row is to be deleted. */
+  /** Returns the last state of an object none of whose tasks is left: its row is to be deleted. */
   KubernetesObject withTasksGone() {
     return withChange(row -> row.put(TASKS_GONE_FIELD, true));
   }
@@ -156,7 +170,7 @@
     return new KubernetesObject(kind, namespace, name, value, revision);
   }
 
-  /** What stands in the row of a deleted object. */
+  /** Returns the value of the row at {@link #deletedKey}. */
   ObjectNode toDeletedRow(long nowMillis) {
     ObjectNode row = Cbor.newMap().put("key", key()).put("gone", nowMillis);
     row.set("last", value);
@@ -195,7 +209,7 @@
     return value.path("at").asLong();
   }
 
-  /** When it began to count as running: it was created, or resumed. */
+  /** Returns when the object was created or, if it was suspended, resumed. */
   long startedMillis() {
     return value.path("began").asLong(createdMillis());
   }
@@ -204,7 +218,9 @@
     return value.has("deleting");
   }
 
-  /** The native jobs that belong to it. Rows hold numbers, from which the ids follow. */
+  /**
+   * Returns the native jobs of the object. Its row holds their numbers, which determine the ids.
+   */
   List<NativeJob> nativeJobs() {
     if (nativeJobs == null) {
       nativeJobs = new ArrayList<>();
@@ -230,23 +246,24 @@
     row.set("parts", kept);
   }
 
-  /** A name for the template as it is now: replicas of another one are replaced. */
+  /** Returns the hash of the current template; replicas with a different hash are replaced. */
   String templateHash() {
     if (templateHash == null) {
-      templateHash = hash(KubernetesJson.toCanonicalText(spec().path("template"))).substring(0, 10);
+      templateHash =
+          sha256Hex(KubernetesJson.toCanonicalText(spec().path("template"))).substring(0, 10);
     }
     return templateHash;
   }
 
   /**
-   * The id of the object's {@code number}-th native job. It follows from the object's own identity,
-   * so whoever repeats a step names the same job.
+   * Returns the id of the native job with this number. The id is derived from the object's uid, so
+   * a controller that repeats a step derives the same id.
    */
   static JobId nativeJobId(String uid, long number) {
     return DerivedJobId.of(NATIVE_JOB_ID_PREFIX, "violetrail native job " + uid + " " + number);
   }
 
-  static String hash(String text) {
+  static String sha256Hex(String text) {
     return Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
   }
 
@@ -254,7 +271,7 @@
     return Instant.ofEpochMilli(millis).truncatedTo(ChronoUnit.SECONDS).toString();
   }
 
-  /** The object as clients see it. */
+  /** Returns the object in the form of the Kubernetes API. */
   ObjectNode toJson() {
     ObjectNode json =
         Cbor.newMap().put("apiVersion", kind.apiVersion()).put("kind", kind.publishedName());
--- a/src/main/java/io/violetrail/kubernetes/ObjectCreator.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectCreator.java
@@ -23,17 +23,21 @@
 import java.util.UUID;
 
 /**
- * Creates kept objects, at any controller, as objects of its home entity. A Job is stored with its
- * native job by one transaction, so that neither exists without the other; what follows from any
- * other object is its entity's owner's work. Called on the event loop's thread; keeps nothing, and
- * what was answered with 201 is stored.
+ * Creates Kubernetes objects, each as an object of the home entity of the controller that receives
+ * the request. A Job is stored with its native job in one transaction, so that neither exists
+ * without the other, unless it is created suspended. For any other object, the entity's owner
+ * submits the native jobs later. An object is stored before its creation is answered with 201.
+ * Called on the event loop's thread. Holds no state.
  */
 final class ObjectCreator {
-  /** Objects of a kind in one namespace. */
+  /** Maximum number of objects of a kind in a namespace. */
   static final int MAX_OBJECTS = 500;
 
-  /** A new object may take half of a row: its status and its native jobs are added to it. */
-  private static final int MAX_FRACTION_OF_ROW = 2;
+  /**
+   * A new object may use half of the maximum row size; its status and its native jobs are added to
+   * the row later.
+   */
+  private static final int NEW_OBJECT_ROW_SIZE_DIVISOR = 2;
 
   private final EventLoop loop;
   private final Random random;
@@ -66,7 +70,7 @@
     this.queries = queries;
   }
 
-  /** Creates the object of a manifest, or answers what is wrong with it. */
+  /** Creates the object that a manifest describes, or answers with the errors in the manifest. */
   void create(ObjectKind kind, String namespace, ObjectNode manifest, HttpExchange httpExchange) {
     List<FieldError> errors = translator.validate(kind, manifest, namespace);
     String givenName = manifest.path("metadata").path("name").asText("");
@@ -85,44 +89,55 @@
     if (!watchCache.isReady() || closedReason != null) {
       httpExchange.answer(
           KubernetesStatus.unavailable(
-              closedReason == null ? "the objects are not read yet" : closedReason));
+              closedReason == null
+                  ? "this controller has not read the objects yet; retry later"
+                  : closedReason));
       return;
     }
-    OwnedEntity ownEntity = membership.findHomeEntity();
-    if (watchCache.adjustCount(kind, namespace) >= MAX_OBJECTS) {
+    OwnedEntity homeEntity = membership.findHomeEntity();
+    if (watchCache.objectCount(kind, namespace) >= MAX_OBJECTS) {
       httpExchange.answer(
           KubernetesStatus.tooManyRequests(
-              "the namespace holds " + MAX_OBJECTS + " " + kind.plural()));
+              "namespace "
+                  + namespace
+                  + " holds the maximum of "
+                  + MAX_OBJECTS
+                  + " "
+                  + kind.plural()
+                  + "; delete some before you create more"));
       return;
     }
-    store(newObject(kind, namespace, givenName, manifest, ownEntity), ownEntity, httpExchange);
+    store(newObject(kind, namespace, givenName, manifest, homeEntity), homeEntity, httpExchange);
   }
 
-  private void store(KubernetesObject object, OwnedEntity ownEntity, HttpExchange httpExchange) {
-    int bytes = Cbor.encode(object.value()).length;
-    if (bytes > settings.stateStoreLimits().maxValueBytes() / MAX_FRACTION_OF_ROW) {
+  private void store(KubernetesObject object, OwnedEntity homeEntity, HttpExchange httpExchange) {
+    int sizeBytes = Cbor.encode(object.value()).length;
+    if (sizeBytes > settings.stateStoreLimits().maxValueBytes() / NEW_OBJECT_ROW_SIZE_DIVISOR) {
       httpExchange.answer(ObjectErrors.rowTooLong());
       return;
     }
     JobId id = KubernetesObject.nativeJobId(object.uid(), 1);
     JobSpec spec = translator.toJobSpec(object, id.value());
-    String reasonNeverRuns = jobAdmission.findImpossibleReason(spec);
-    if (reasonNeverRuns != null) {
-      httpExchange.answer(ObjectErrors.neverRuns(object, reasonNeverRuns));
+    String impossibleReason = jobAdmission.findImpossibleReason(spec);
+    if (impossibleReason != null) {
+      httpExchange.answer(ObjectErrors.neverRuns(object, impossibleReason));
     } else if (object.kind() == ObjectKind.JOB && !object.spec().path("suspend").asBoolean()) {
-      createWithJob(object, spec, bytes, httpExchange);
+      createWithJob(object, spec, sizeBytes, httpExchange);
     } else {
-      createAlone(object, ownEntity, httpExchange);
+      createWithoutJob(object, homeEntity, httpExchange);
     }
   }
 
-  /** A repeated creation that names its request makes the very same object once more. */
+  /**
+   * Returns the object that a manifest describes. With a request id, its uid and name are derived
+   * from the request, so a repeated request describes the same object.
+   */
   private KubernetesObject newObject(
       ObjectKind kind,
       String namespace,
       String givenName,
       ObjectNode manifest,
-      OwnedEntity ownEntity) {
+      OwnedEntity homeEntity) {
     JsonNode metadata = manifest.path("metadata");
     String requestId =
         metadata.path("annotations").path(KubernetesObject.REQUEST_ID_ANNOTATION).asText("");
@@ -135,23 +150,23 @@
                     .getBytes(StandardCharsets.UTF_8));
     String name =
         givenName.isEmpty()
-            ? namePrefix + KubernetesObject.hash(uid.toString()).substring(0, 7)
+            ? namePrefix + KubernetesObject.sha256Hex(uid.toString()).substring(0, 7)
             : givenName;
     KubernetesObject object =
         KubernetesObject.create(
-            kind, namespace, name, manifest, ownEntity.id(), uid.toString(), loop.wallMillis());
+            kind, namespace, name, manifest, homeEntity.id(), uid.toString(), loop.wallMillis());
     if (kind == ObjectKind.JOB) {
       KubernetesObject.addNativeJob(object.value(), 1, "");
     }
     return object;
   }
 
-  /** Stores a Job with its native job by one transaction, through the admission of all jobs. */
+  /** Stores a Job with its native job in one transaction, after the usual job admission. */
   private void createWithJob(
-      KubernetesObject object, JobSpec spec, int bytes, HttpExchange httpExchange) {
+      KubernetesObject object, JobSpec spec, int sizeBytes, HttpExchange httpExchange) {
     Futures.logFailure(
         jobAdmission
-            .admit(spec, new CoWrittenRow(object.key(), 0, object.value(), bytes))
+            .admit(spec, new CoWrittenRow(object.key(), 0, object.value(), sizeBytes))
             .thenAccept(
                 decision -> {
                   if (decision.verdict() == Verdict.ACCEPTED && decision.revision() > 0) {
@@ -166,13 +181,13 @@
                         object, decision.verdict() == Verdict.ACCEPTED ? 201 : 200, httpExchange);
                   }
                 }),
-        "admit a Job with its object");
+        "admit the native job of a new Job");
   }
 
-  private void createAlone(
-      KubernetesObject object, OwnedEntity ownEntity, HttpExchange httpExchange) {
+  private void createWithoutJob(
+      KubernetesObject object, OwnedEntity homeEntity, HttpExchange httpExchange) {
     Futures.logFailure(
-        Tombstones.draftCreation(store, ownEntity::fencedTransaction, object.key(), object.value())
+        Tombstones.draftCreation(store, homeEntity::fencedTransaction, object.key(), object.value())
             .thenCompose(store::commit)
             .whenComplete(
                 (outcome, failure) -> {
@@ -182,15 +197,17 @@
                     httpExchange.answer(
                         201, object.withResourceVersion(outcome.revision()).toJson(), 0);
                   } else if (outcome.failedKeys().contains(object.key())) {
-                    // Another object has the name, or an earlier try of this very write was
+                    // Either another object has this name, or an earlier attempt of this write was
                     // applied.
                     answerExisting(object, 201, httpExchange);
                   } else {
                     httpExchange.answer(
-                        KubernetesStatus.unavailable("the entity or what was deleted has changed"));
+                        KubernetesStatus.unavailable(
+                            "the object was not stored: its entity has changed, or a row was"
+                                + " deleted at the same time; retry"));
                   }
                 }),
-        "store an object");
+        "store a new Kubernetes object");
   }
 
   private void answerExisting(KubernetesObject object, int code, HttpExchange httpExchange) {
--- a/src/main/java/io/violetrail/kubernetes/ObjectDeleter.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectDeleter.java
@@ -15,13 +15,16 @@
 import java.util.function.LongConsumer;
 
 /**
- * Deletes kept objects, at any controller and for all of them. In the background an object is gone
- * at once, and a row of its own says to its entity's owner, the present one or the next, which
- * tasks are to end; in the foreground the object stays until they have. Called on the event loop's
- * thread; keeps nothing.
+ * Deletes Kubernetes objects of any entity, at any controller. A background deletion removes the
+ * object immediately and leaves a row that tells the current or next owner of its entity which
+ * tasks to stop. After a foreground deletion, the object remains until its tasks have stopped.
+ * Called on the event loop's thread. Holds no state.
  */
 final class ObjectDeleter {
-  /** Deletions that name no version are tried this often against changes. */
+  /**
+   * Maximum number of attempts of a deletion that conflicts with updates and names no resource
+   * version.
+   */
   private static final int MAX_ATTEMPTS = 5;
 
   private static final String BACKGROUND = "Background";
@@ -43,7 +46,7 @@
    * Deletes an object.
    *
    * @param options the request's {@code DeleteOptions}, possibly empty
-   * @param policy the propagation policy where the options name none
+   * @param policy the propagation policy if the options name none
    */
   void delete(
       ObjectReference reference, ObjectNode options, String policy, HttpExchange httpExchange) {
@@ -66,7 +69,7 @@
                   new FieldError(
                       "propagationPolicy",
                       Cause.NOT_SUPPORTED,
-                      "must be Background or Foreground: tasks do not outlive their object"))));
+                      "must be Background or Foreground: tasks are stopped with their object"))));
       return;
     }
     tryDelete(
@@ -78,7 +81,7 @@
         MAX_ATTEMPTS);
   }
 
-  /** A deletion and what its client expects of the object. */
+  /** A deletion and its preconditions. */
   private record DeleteRequest(
       ObjectReference reference,
       JsonNode preconditions,
@@ -105,7 +108,8 @@
         httpExchange,
         found -> {
           if (found == null && attemptsLeft < MAX_ATTEMPTS) {
-            // Deleted by an earlier try of this request whose answer was lost, or by another one.
+            // Deleted by an earlier attempt of this request whose reply was lost, or by another
+            // request.
             request.answerDeleted("");
           } else if (found == null) {
             httpExchange.answer(KubernetesStatus.notFound(reference.displayName()));
@@ -132,7 +136,7 @@
     commit(request, attemptsLeft, transaction, revision -> request.answerDeleted(found.uid()));
   }
 
-  /** Says in the row that the object is to be deleted once its tasks have ended. */
+  /** Marks the object for deletion; the entity's owner deletes it once its tasks have stopped. */
   private void markDeleting(DeleteRequest request, int attemptsLeft, KubernetesObject found) {
     long nowMillis = loop.wallMillis();
     KubernetesObject marked = found.withChange(row -> row.put("deleting", nowMillis));
@@ -161,6 +165,6 @@
                     tryDelete(request, attemptsLeft - 1);
                   }
                 }),
-        "delete an object");
+        "delete a Kubernetes object");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/ObjectQueries.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectQueries.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * Answers reads of kept objects, at any controller and for all of them. Keeps nothing; called on
- * the event loop's thread.
+ * Answers reads of Kubernetes objects of any entity, at any controller. Called on the event loop's
+ * thread. Holds no state.
  */
 final class ObjectQueries {
   private final StateStore store;
@@ -23,10 +23,10 @@
   }
 
   /**
-   * Reads an object from the state service, whoever owns it: no answer is older than one given
-   * before. A failure is answered here.
+   * Reads an object of any entity from the state service, so that no answer is older than an
+   * earlier one. If the read fails, this method answers the exchange.
    *
-   * @param onRead gets null if there is no such object
+   * @param onRead receives the object, or null if there is none; not called if the read fails
    */
   void read(
       ObjectReference reference, HttpExchange httpExchange, Consumer<KubernetesObject> onRead) {
@@ -45,7 +45,7 @@
                                 reference.key(), entry.value(), entry.modRevision()));
                   }
                 }),
-        "read an object");
+        "read a Kubernetes object");
   }
 
   void get(ObjectReference reference, HttpExchange httpExchange) {
@@ -61,11 +61,12 @@
         });
   }
 
-  /** Answers with a page of objects; {@code continue} names the last row that was looked at. */
+  /** Answers with a page of objects; {@code continue} encodes the key of the last row read. */
   void list(ObjectKind kind, String namespace, ListOptions options, HttpExchange httpExchange) {
     String prefix = KubernetesObject.keyPrefix(kind, namespace);
     if (!options.continueAfter().isEmpty() && !options.continueAfter().startsWith(prefix)) {
-      httpExchange.answer(KubernetesStatus.badRequest("continue: is not a token of this listing"));
+      httpExchange.answer(
+          KubernetesStatus.badRequest("continue: the token belongs to a different listing"));
       return;
     }
     Futures.logFailure(
@@ -79,7 +80,7 @@
                   }
                   httpExchange.answer(200, toList(kind, namespace, options, page), 0);
                 }),
-        "list objects");
+        "list Kubernetes objects");
   }
 
   private static ObjectNode toList(
@@ -104,7 +105,10 @@
     return KubernetesObject.fromRow(entry.key(), entry.value(), entry.modRevision());
   }
 
-  /** Reads all objects there are now with their revision, for a watch that begins with them. */
+  /**
+   * Reads all current objects and their revision, for a watch that starts with them. If the read
+   * fails or there are too many objects, this method answers the exchange.
+   */
   void listAll(
       ObjectKind kind,
       String namespace,
@@ -121,13 +125,16 @@
                   } else if (page.more()) {
                     httpExchange.answer(
                         KubernetesStatus.tooManyRequests(
-                            "too many objects: list them in pages first"));
+                            "more than "
+                                + 2 * ObjectCreator.MAX_OBJECTS
+                                + " objects: list them in pages, and watch from the listing's"
+                                + " resourceVersion"));
                   } else {
                     onRead.accept(
                         page.entries().stream().map(ObjectQueries::toObject).toList(),
                         page.revision());
                   }
                 }),
-        "list objects for a watch");
+        "list Kubernetes objects for a watch");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/ObjectReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectReconciler.java
@@ -27,11 +27,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the native jobs of kept objects with the objects' rows, and writes their statuses.
- * Only an entity's owner does this for the entity's objects, and every write is fenced by the
- * entity's row and conditional on the object's own, so a write of a former owner changes nothing. A
- * row names a native job before it is submitted; after a crash the entity's next owner submits it
- * under the same id.
+ * Reconciles native jobs with the stored Kubernetes objects that they belong to, and writes the
+ * objects' statuses. Only an entity's owner does this for the entity's objects. Every write is
+ * fenced by the entity's row and conditional on the revision of the object's row, so a write of a
+ * former owner is rejected. An object's row names a native job before the job is submitted; after a
+ * crash, the entity's next owner submits it under the same id.
  *
  * <p>Called on the event loop's thread.
  */
@@ -39,10 +39,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(ObjectReconciler.class);
   private static final double TICK_SECONDS = 0.5;
 
-  /** Objects reconciled in one tick, so that heartbeats are handled in between. */
+  /** Maximum number of objects reconciled in one tick; heartbeats are handled between ticks. */
   private static final int MAX_OBJECTS_PER_TICK = 100;
 
-  /** Rows written for statuses in one tick: native jobs have the write budget first. */
+  /** Maximum number of status writes in one tick: native jobs take priority in the write budget. */
   private static final int MAX_WRITES_PER_TICK = 5;
 
   private final EventLoop loop;
@@ -53,17 +53,17 @@
   private final DeploymentReconciler deploymentReconciler;
   private final Map<OwnedEntity, EntityState> stateByEntity = new HashMap<>();
 
-  /** What is known of one owned entity's objects; gone after a crash, and read again. */
+  /** The objects of one owned entity, in memory only; a restarted controller reads them again. */
   private static final class EntityState {
     final Map<String, KubernetesObject> objects = new LinkedHashMap<>();
     final Map<String, DeletedObject> deletedObjects = new LinkedHashMap<>();
     final Set<String> operationsInFlight = new HashSet<>();
-    final Set<JobId> neverSubmitted = new HashSet<>();
+    final Set<JobId> neverSubmittedJobs = new HashSet<>();
     final ArrayDeque<String> reconcileQueue = new ArrayDeque<>();
     final InitialListing initialListing = new InitialListing();
   }
 
-  /** A deleted object whose tasks may still run. */
+  /** A deleted object whose tasks may still be running. */
   private record DeletedObject(KubernetesObject lastState, long modRevision) {}
 
   ObjectReconciler(
@@ -114,10 +114,10 @@
   }
 
   /**
-   * An entity's objects by namespace and name.
+   * Returns an entity's objects, sorted by namespace and name.
    *
-   * @param namespace null for all
-   * @return null if the entity is not owned here, or not read yet
+   * @param namespace null for all namespaces
+   * @return null if this controller does not own the entity or has not read its objects yet
    */
   List<KubernetesObject> findOwnedObjects(ControllerId entity, String namespace) {
     for (var ownedEntry : stateByEntity.entrySet()) {
@@ -150,7 +150,7 @@
       return;
     }
     for (OwnedEntity entity : membership.ownedEntities()) {
-      EntityState state = stateByEntity.computeIfAbsent(entity, x -> new EntityState());
+      EntityState state = stateByEntity.computeIfAbsent(entity, ignored -> new EntityState());
       if (!state.initialListing.isComplete()) {
         loadObjects(entity, state);
       } else if (entity.isActive()) {
@@ -159,7 +159,7 @@
     }
   }
 
-  /** Reads rows as of after the acquisition; the watch delivers every later change. */
+  /** Reads the rows after the entity was acquired; the watch delivers every later change. */
   private void loadObjects(OwnedEntity entity, EntityState state) {
     state.initialListing.startReading(
         store,
@@ -176,7 +176,7 @@
             putIfNewer(state, object);
           }
         },
-        () -> LOG.info("entity {}: {} objects", entity.id(), state.objects.size()));
+        () -> LOG.info("entity {}: read {} Kubernetes objects", entity.id(), state.objects.size()));
   }
 
   private void reconcileBatch(OwnedEntity entity, EntityState state) {
@@ -191,13 +191,13 @@
       if (object == null || state.operationsInFlight.contains(object.key())) {
         continue;
       }
-      KubernetesObject next =
+      KubernetesObject nextState =
           object.kind() == ObjectKind.JOB
               ? jobReconciler.reconcile(entity, object)
               : deploymentReconciler.reconcile(entity, object);
-      if (next != null) {
+      if (nextState != null) {
         writesLeft--;
-        writeObject(entity, state, object, next);
+        writeObject(entity, state, object, nextState);
       }
     }
     for (var entry : Map.copyOf(state.deletedObjects).entrySet()) {
@@ -205,18 +205,21 @@
     }
   }
 
-  /** Stores the next state of an object, unless it has been changed meanwhile. */
+  /** Stores the next state of an object unless its row has changed in the meantime. */
   private void writeObject(
-      OwnedEntity entity, EntityState state, KubernetesObject before, KubernetesObject next) {
-    String key = before.key();
+      OwnedEntity entity, EntityState state, KubernetesObject current, KubernetesObject nextState) {
+    String key = current.key();
     state.operationsInFlight.add(key);
-    var transaction = entity.fencedTransaction().ifRevision(key, before.resourceVersion());
-    if (next.areTasksGone()) {
-      // Its tasks are gone, and so is what was kept of them in this process.
-      transaction.delete(key).put(next.deletedKey(), next.toDeletedRow(loop.wallMillis()));
+    var transaction = entity.fencedTransaction().ifRevision(key, current.resourceVersion());
+    if (nextState.areTasksGone()) {
+      // No task is left, and the entity's open jobs no longer contain the native jobs. The row at
+      // the deleted key makes watches report the deletion; cleanUpDeleted removes it.
+      transaction
+          .delete(key)
+          .put(nextState.deletedKey(), nextState.toDeletedRow(loop.wallMillis()));
       Tombstones.markDeletion(transaction, key, loop.wallMillis());
     } else {
-      transaction.put(key, next.value());
+      transaction.put(key, nextState.value());
     }
     Futures.logFailure(
         store
@@ -224,15 +227,18 @@
             .whenComplete(
                 (outcome, failure) -> {
                   state.operationsInFlight.remove(key);
-                  if (failure == null && outcome.applied() && !next.areTasksGone()) {
-                    putIfNewer(state, next.withResourceVersion(outcome.revision()));
+                  if (failure == null && outcome.applied() && !nextState.areTasksGone()) {
+                    putIfNewer(state, nextState.withResourceVersion(outcome.revision()));
                   }
-                  // Otherwise the watch delivers what is stored now.
+                  // Otherwise the watch delivers the stored row.
                 }),
-        "write an object's status");
+        "write the status of a Kubernetes object");
   }
 
-  /** Cancels what a deleted object has left; its last row is deleted when nothing is left. */
+  /**
+   * Cancels the remaining native jobs of a deleted object, and removes the row at its deleted key
+   * once none is left.
+   */
   private void cleanUpDeleted(
       OwnedEntity entity, EntityState state, String key, DeletedObject deleted) {
     boolean tasksRemain = false;
@@ -257,58 +263,70 @@
                     state.deletedObjects.remove(key);
                   }
                 }),
-        "remove a deleted object's row");
+        "remove the row of a deleted Kubernetes object");
   }
 
-  /** Cancels a native job for good; repeated until that is stored. */
+  /**
+   * Cancels a native job permanently if it is open. {@link JobLifecycle} retries the write until
+   * the cancellation is stored.
+   */
   void cancelJob(OwnedEntity entity, Job job) {
     if (job.phase() == Job.Phase.OPEN) {
-      LOG.info("job {} of entity {} is cancelled for its object", job.spec().id(), entity.id());
-      Futures.logFailure(jobLifecycle.cancel(entity, job), "cancel an object's job");
+      LOG.info(
+          "job {} of entity {}: cancelling for its Kubernetes object",
+          job.spec().id(),
+          entity.id());
+      Futures.logFailure(
+          jobLifecycle.cancel(entity, job), "cancel the native job of a Kubernetes object");
     }
   }
 
-  /** Whether a native job is being looked up or stored. */
+  /** Returns whether a native job is being looked up or stored. */
   boolean hasOperationInFlight(OwnedEntity entity, JobId id) {
     EntityState state = stateByEntity.get(entity);
     return state != null && state.operationsInFlight.contains(id.value());
   }
 
   /**
-   * Sees to it that a native job which a row names exists. It is stored once however often this is
-   * repeated, since its id can be claimed once. Nothing is stored for an object that has been
-   * changed since: it may not want the job any more, and nobody would end it.
+   * Submits a native job that an object's row names, unless the job exists. This is idempotent,
+   * since a job id can be claimed only once. If the object has changed since it was read, nothing
+   * is stored: the object may no longer need the job, and no controller would ever cancel it.
    */
   void ensureSubmitted(OwnedEntity entity, KubernetesObject object, JobSpec spec) {
     lookUpJob(
         entity,
         spec.id(),
-        (state, done) -> {
+        (state, finishOperation) -> {
           KubernetesObject current = state.objects.get(object.key());
           if (current == null || current.resourceVersion() != object.resourceVersion()) {
-            done.run();
+            finishOperation.run();
             return;
           }
           Futures.logFailure(
-              jobLifecycle.store(entity, spec, null).whenComplete((stored, f) -> done.run()),
-              "store an object's job");
+              jobLifecycle
+                  .store(entity, spec, null)
+                  .whenComplete((stored, failure) -> finishOperation.run()),
+              "store the native job of a Kubernetes object");
         });
   }
 
-  /** Whether a native job was never submitted, for sure, and will not be. */
+  /**
+   * Returns whether {@link #confirmNeverSubmitted} has established that a native job was never
+   * submitted and will not be.
+   */
   boolean isNeverSubmitted(OwnedEntity entity, JobId id) {
     EntityState state = stateByEntity.get(entity);
-    return state != null && state.neverSubmitted.contains(id);
+    return state != null && state.neverSubmittedJobs.contains(id);
   }
 
-  /** Learns for sure whether a native job that is not wanted any more was ever submitted. */
+  /** Looks up whether a native job that is no longer needed was ever submitted. */
   void confirmNeverSubmitted(OwnedEntity entity, JobId id) {
     lookUpJob(
         entity,
         id,
-        (state, done) -> {
-          state.neverSubmitted.add(id);
-          done.run();
+        (state, finishOperation) -> {
+          state.neverSubmittedJobs.add(id);
+          finishOperation.run();
         });
   }
 
@@ -317,20 +335,20 @@
     if (state == null || !state.operationsInFlight.add(id.value())) {
       return;
     }
-    Runnable done = () -> state.operationsInFlight.remove(id.value());
+    Runnable finishOperation = () -> state.operationsInFlight.remove(id.value());
     Futures.logFailure(
         jobLifecycle
             .lookUp(id)
             .whenComplete(
                 (found, failure) -> {
-                  boolean certain =
+                  boolean resultReliable =
                       failure == null && entity.isActive() && membership.isLeaseValid();
-                  if (certain && found.isAbsent()) {
-                    onAbsent.accept(state, done);
+                  if (resultReliable && found.isAbsent()) {
+                    onAbsent.accept(state, finishOperation);
                   } else {
-                    done.run();
+                    finishOperation.run();
                   }
                 }),
-        "look an object's job up");
+        "look up the native job of a Kubernetes object");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/ObjectUpdater.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectUpdater.java
@@ -16,13 +16,16 @@
 import java.util.List;
 
 /**
- * Changes kept objects, at any controller and for all of them, by compare-and-swap of their rows; a
- * change that loses against another one is made again from the new row, a few times. What follows
- * from a change is the work of the entity's owner. Called on the event loop's thread; keeps
- * nothing.
+ * Updates Kubernetes objects of any entity, at any controller, by compare-and-swap of their rows.
+ * An update that conflicts with another one is applied again to the new row, a limited number of
+ * times. The entity's owner carries out the changes that follow from the update. Called on the
+ * event loop's thread. Holds no state.
  */
 final class ObjectUpdater {
-  /** Changes that name no version are tried this often against others. */
+  /**
+   * Maximum number of attempts of an update that conflicts with others and names no resource
+   * version.
+   */
   private static final int MAX_ATTEMPTS = 5;
 
   private final EventLoop loop;
@@ -50,14 +53,17 @@
     this.queries = queries;
   }
 
-  /** Replaces what may change of an object. */
+  /** Replaces the mutable fields of an object with those of the manifest. */
   void replace(ObjectReference reference, ObjectNode manifest, HttpExchange httpExchange) {
     List<FieldError> errors =
         translator.validate(reference.kind(), manifest, reference.namespace());
     if (errors.isEmpty()
         && !manifest.path("metadata").path("name").asText().equals(reference.name())) {
       errors.add(
-          new FieldError("metadata.name", Cause.INVALID, "is not the name in the request's path"));
+          new FieldError(
+              "metadata.name",
+              Cause.INVALID,
+              "must be the name in the request's path, \"" + reference.name() + "\""));
     }
     if (!errors.isEmpty()) {
       httpExchange.answer(KubernetesStatus.invalid(reference.displayName(), errors));
@@ -74,7 +80,7 @@
         found -> UpdateStrategy.replace(found, metadata, spec, loop.wallMillis()));
   }
 
-  /** Changes the number of replicas; answers with the object's scale. */
+  /** Changes the number of replicas, and answers with the object's {@code Scale}. */
   void scale(ObjectReference reference, ObjectNode scale, HttpExchange httpExchange) {
     JsonNode replicas = scale.path("spec").path("replicas");
     JsonNode metadata = scale.path("metadata");
@@ -92,7 +98,7 @@
         found -> UpdateStrategy.scale(found, replicas.asInt()));
   }
 
-  /** Gives answers about an object the form of its scale. */
+  /** Converts the answer about an object to that about its {@code Scale}. */
   private static HttpExchange asScale(HttpExchange httpExchange) {
     return httpExchange.withAnswerFilter(
         (code, body, retryAfterSeconds) ->
@@ -104,14 +110,19 @@
     queries.get(reference, asScale(httpExchange));
   }
 
-  /** A change to an object and what its client expects of the object that is changed. */
+  /**
+   * An update and its preconditions.
+   *
+   * @param uid the uid that the object must have; empty for any
+   * @param resourceVersion the version that the object must have; empty for any
+   */
   private record UpdateRequest(
       ObjectReference reference,
       String uid,
       String resourceVersion,
-      UpdateStrategy.Update change,
+      UpdateStrategy.Update update,
       HttpExchange httpExchange) {
-    /** Whether the client means the object as it was found; empty expectations match any. */
+    /** Returns whether the object that was read meets the preconditions. */
     boolean matches(KubernetesObject found) {
       boolean sameObject = uid.isEmpty() || uid.equals(found.uid());
       boolean currentVersion =
@@ -134,11 +145,11 @@
   }
 
   /**
-   * Makes a change from the row as it is now.
+   * Reads the current row and applies the update to it.
    *
-   * @param sent the state that an earlier try has sent; null at the first
+   * @param attemptedState the state that the previous attempt wrote; null at the first attempt
    */
-  private void tryUpdate(UpdateRequest request, int attemptsLeft, KubernetesObject sent) {
+  private void tryUpdate(UpdateRequest request, int attemptsLeft, KubernetesObject attemptedState) {
     HttpExchange httpExchange = request.httpExchange();
     ObjectReference reference = request.reference();
     queries.read(
@@ -147,8 +158,8 @@
         found -> {
           if (found == null) {
             httpExchange.answer(KubernetesStatus.notFound(reference.displayName()));
-          } else if (sent != null && found.value().equals(sent.value())) {
-            // An earlier try of the same write was applied, though its answer was lost.
+          } else if (attemptedState != null && found.value().equals(attemptedState.value())) {
+            // An earlier attempt of the same write was applied, but its reply was lost.
             httpExchange.answer(200, found.toJson(), 0);
           } else if (!request.matches(found) || attemptsLeft == 0) {
             httpExchange.answer(KubernetesStatus.conflict(reference.displayName()));
@@ -160,7 +171,7 @@
 
   private void applyChange(UpdateRequest request, int attemptsLeft, KubernetesObject found) {
     HttpExchange httpExchange = request.httpExchange();
-    UpdateStrategy.Result result = request.change().apply(found);
+    UpdateStrategy.Result result = request.update().apply(found);
     KubernetesObject next = result.next();
     if (!result.errors().isEmpty()) {
       httpExchange.answer(
@@ -177,18 +188,18 @@
     }
   }
 
-  /** Why an object's next state is not stored; null if nothing speaks against it. */
+  /** Returns why an object's next state cannot be stored, or null if it can be. */
   private KubernetesStatus findRefusal(KubernetesObject next) {
     if (Cbor.encode(next.value()).length > settings.stateStoreLimits().maxValueBytes() * 3 / 4) {
       return ObjectErrors.rowTooLong();
     }
     if (machineTypes.isEmpty()) {
-      return KubernetesStatus.unavailable("the machine types are not known yet");
+      return KubernetesStatus.unavailable("the machine types are not known yet; retry later");
     }
-    String reasonNeverRuns =
+    String impossibleReason =
         jobAdmission.findImpossibleReason(
             translator.toJobSpec(next, KubernetesObject.nativeJobId(next.uid(), 1).value()));
-    return reasonNeverRuns == null ? null : ObjectErrors.neverRuns(next, reasonNeverRuns);
+    return impossibleReason == null ? null : ObjectErrors.neverRuns(next, impossibleReason);
   }
 
   private void commit(
@@ -211,6 +222,6 @@
                     tryUpdate(request, attemptsLeft - 1, next);
                   }
                 }),
-        "replace an object");
+        "update a Kubernetes object");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/PodLister.java
+++ b/src/main/java/io/violetrail/kubernetes/PodLister.java
@@ -27,9 +27,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Tasks of kept objects, shown as pods. They are not kept: their owner tells of them as it sees
- * them, and a listing asks every owner. If one does not answer there is no listing rather than a
- * part of one.
+ * Lists the tasks of Kubernetes objects as pods. Pods are not stored: the owner of an entity
+ * derives them from the current state of its tasks, and a listing queries every owner. If an owner
+ * does not answer, the listing fails rather than return a part of the pods.
  */
 final class PodLister {
   private static final double PEER_TIMEOUT_SECONDS = 1.5;
@@ -38,7 +38,7 @@
   private final ClusterView clusterView;
   private final Membership membership;
   private final ObjectReconciler reconciler;
-  private final HttpClient http;
+  private final HttpClient httpClient;
   private final int port;
 
   PodLister(
@@ -46,13 +46,13 @@
       ClusterView clusterView,
       Membership membership,
       ObjectReconciler reconciler,
-      HttpClient http,
+      HttpClient httpClient,
       int port) {
     this.settings = settings;
     this.clusterView = clusterView;
     this.membership = membership;
     this.reconciler = reconciler;
-    this.http = http;
+    this.httpClient = httpClient;
     this.port = port;
   }
 
@@ -66,7 +66,7 @@
         + pod.path("metadata").path("name").asText();
   }
 
-  /** All pods that are asked for, of all entities. */
+  /** Answers with a page of the pods of all entities that match the options. */
   void list(String namespace, ListOptions options, HttpExchange httpExchange) {
     List<CompletableFuture<List<ObjectNode>>> podsByEntity = new ArrayList<>();
     for (ControllerId entity : settings.controllers()) {
@@ -75,10 +75,11 @@
     Futures.logFailure(
         CompletableFuture.allOf(podsByEntity.toArray(CompletableFuture[]::new))
             .whenComplete(
-                (nothing, failure) -> {
+                (ignored, failure) -> {
                   if (failure != null) {
                     httpExchange.answer(
-                        KubernetesStatus.unavailable("an owner of tasks does not answer"));
+                        KubernetesStatus.unavailable(
+                            "a controller that owns tasks does not answer; retry later"));
                     return;
                   }
                   List<ObjectNode> pods = new ArrayList<>();
@@ -86,7 +87,7 @@
                   pods.sort(byNamespaceAndName());
                   httpExchange.answer(200, toPage(pods, options), 0);
                 }),
-        "collect tasks from their owners");
+        "collect pods from the owners of their entities");
   }
 
   private static ObjectNode toPage(List<ObjectNode> pods, ListOptions options) {
@@ -122,9 +123,9 @@
 
   private CompletableFuture<List<ObjectNode>> fetchPods(
       ControllerId entity, String namespace, ListOptions options) {
-    List<ObjectNode> own = findOwnedPods(entity, namespace, options);
-    if (own != null) {
-      return CompletableFuture.completedFuture(own);
+    List<ObjectNode> ownedPods = findOwnedPods(entity, namespace, options);
+    if (ownedPods != null) {
+      return CompletableFuture.completedFuture(ownedPods);
     }
     ControllerId owner = clusterView.findLatestOwner(entity);
     var peer = owner == null ? null : settings.peers().get(owner);
@@ -140,7 +141,8 @@
             + options.limit()
             + "&continue="
             + ListOptions.encodeToken(options.continueAfter());
-    return http.call(new HostPort(peer.host(), port), "GET", path, null, PEER_TIMEOUT_SECONDS)
+    return httpClient
+        .call(new HostPort(peer.host(), port), "GET", path, null, PEER_TIMEOUT_SECONDS)
         .thenApply(
             reply -> {
               try {
@@ -160,13 +162,21 @@
             });
   }
 
-  /** Pods of one entity for a peer; null if this controller does not own it now. */
+  /**
+   * Returns a page of an entity's pods for a peer; null if this controller cannot list them now.
+   */
   ObjectNode listForPeer(ControllerId entity, String namespace, ListOptions options) {
     List<ObjectNode> pods = findOwnedPods(entity, namespace, options);
     return pods == null ? null : toPage(pods, options);
   }
 
-  /** One more than asked for, so that the end of a page shows; null if the entity is not owned. */
+  /**
+   * Returns an entity's pods that match the options: one more than the limit at most, which shows
+   * whether another page follows.
+   *
+   * @return null if this controller does not own the entity, its lease has expired or it has not
+   *     read the entity's objects yet
+   */
   private List<ObjectNode> findOwnedPods(
       ControllerId entity, String namespace, ListOptions options) {
     OwnedEntity ownedEntity = membership.isLeaseValid() ? membership.findOwnedEntity(entity) : null;
@@ -194,28 +204,28 @@
     Job job = entity.jobs().get(nativeJob.id());
     boolean complete =
         object.status().path("conditions").path(0).path("type").asText().equals("Complete");
-    final int tasks =
+    final int taskCount =
         job != null
             ? job.spec().taskCount()
             : complete ? object.status().path("succeeded").asInt() : 0;
     ObjectNode labels = Cbor.newMap();
-    JsonNode own = object.spec().path("template").path("metadata").path("labels");
-    own.properties().forEach(e -> labels.set(e.getKey(), e.getValue()));
+    JsonNode templateLabels = object.spec().path("template").path("metadata").path("labels");
+    templateLabels.properties().forEach(e -> labels.set(e.getKey(), e.getValue()));
     if (object.kind() == ObjectKind.JOB) {
       labels.put("job-name", object.name()).put("batch.kubernetes.io/job-name", object.name());
     }
     if (!options.labelSelector().matches(labels)) {
       return;
     }
-    for (int i = 0; i < tasks; i++) {
+    for (int i = 0; i < taskCount; i++) {
       String name =
           object.kind() == ObjectKind.JOB
               ? object.name() + "-" + i
               : object.name() + "-" + nativeJob.templateHash() + "-" + nativeJob.number();
-      boolean wanted =
+      boolean selected =
           (options.name() == null || options.name().equals(name))
               && (object.namespace() + "/" + name).compareTo(options.continueAfter()) > 0;
-      if (wanted) {
+      if (selected) {
         pods.add(toPod(object, nativeJob, job, i, name, labels));
       }
     }
@@ -229,7 +239,7 @@
       String name,
       ObjectNode labels) {
     TaskPlacement placement = job == null ? null : job.findPlacement(index);
-    final boolean done = job == null || job.isDone(index);
+    final boolean succeeded = job == null || job.isDone(index);
     final boolean running = placement != null && placement.runningSinceSeconds() > 0;
     ObjectNode pod = Cbor.newMap().put("apiVersion", "v1").put("kind", "Pod");
     ObjectNode metadata = pod.putObject("metadata");
@@ -254,7 +264,7 @@
       spec.put("nodeName", placement.machine().id().value());
     }
     pod.set("spec", spec);
-    pod.putObject("status").put("phase", done ? "Succeeded" : running ? "Running" : "Pending");
+    pod.putObject("status").put("phase", succeeded ? "Succeeded" : running ? "Running" : "Pending");
     return pod;
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/UpdateStrategy.java
+++ b/src/main/java/io/violetrail/kubernetes/UpdateStrategy.java
@@ -8,20 +8,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an update makes of an object. Plain decisions. */
+/**
+ * Computes an object's next state from an update, or why the update is refused. Pure functions:
+ * they read and write no rows.
+ */
 final class UpdateStrategy {
   private static final int MAX_REPLICAS = 200;
 
   private UpdateStrategy() {}
 
-  /** The next state, the same object if nothing changes, or why not. */
+  /**
+   * The outcome of an update.
+   *
+   * @param next the object's next state; the same instance if nothing changes, null if refused
+   * @param errors why the update is refused; empty if it is not
+   */
   record Result(KubernetesObject next, List<FieldError> errors) {
     static Result refuse(String path, String reason) {
       return new Result(null, List.of(new FieldError(path, Cause.FORBIDDEN, reason)));
     }
   }
 
-  /** An update as a step from whatever stands there. */
+  /** An update that can be applied to any stored state of the object. */
   interface Update {
     Result apply(KubernetesObject found);
   }
@@ -31,31 +39,33 @@
     if (found.isDeleting()) {
       return Result.refuse("metadata.deletionTimestamp", "the object is being deleted");
     }
-    if (!equalOrBothAbsent(found.labels(), metadata.get("labels"))) {
-      return Result.refuse("metadata.labels", "labels never change");
+    if (!equalWithAbsentAsEmpty(found.labels(), metadata.get("labels"))) {
+      return Result.refuse("metadata.labels", "labels are immutable");
     }
     return found.kind() == ObjectKind.JOB
         ? replaceJob(found, metadata, spec, nowMillis)
         : replaceDeployment(found, metadata, spec);
   }
 
-  private static boolean equalOrBothAbsent(JsonNode left, JsonNode right) {
-    JsonNode none = Cbor.newMap();
-    return (left == null ? none : left).equals(right == null ? none : right);
+  private static boolean equalWithAbsentAsEmpty(JsonNode left, JsonNode right) {
+    JsonNode emptyMap = Cbor.newMap();
+    return (left == null ? emptyMap : left).equals(right == null ? emptyMap : right);
   }
 
-  /** Of a Job only its suspension ends; what would change its tasks is another job. */
+  /** Only allows a suspended Job to be resumed; a change of its tasks requires a new Job. */
   private static Result replaceJob(
       KubernetesObject found, JsonNode metadata, ObjectNode spec, long nowMillis) {
-    if (!equalOrBothAbsent(found.metadata().get("annotations"), metadata.get("annotations"))) {
-      return Result.refuse("metadata.annotations", "a Job's annotations never change");
+    if (!equalWithAbsentAsEmpty(found.metadata().get("annotations"), metadata.get("annotations"))) {
+      return Result.refuse("metadata.annotations", "the annotations of a Job are immutable");
     }
     if (spec.equals(found.spec())) {
       return new Result(found, List.of());
     }
-    ObjectNode resumed = found.spec().deepCopy().put("suspend", false);
-    if (!found.spec().path("suspend").asBoolean() || !spec.equals(resumed)) {
-      return Result.refuse("spec", "a Job never changes, except that suspend may become false");
+    ObjectNode resumedSpec = found.spec().deepCopy().put("suspend", false);
+    if (!found.spec().path("suspend").asBoolean() || !spec.equals(resumedSpec)) {
+      return Result.refuse(
+          "spec",
+          "the spec of a Job is immutable, except that suspend may change from true to false");
     }
     return new Result(
         found.withChange(
@@ -70,10 +80,10 @@
   private static Result replaceDeployment(
       KubernetesObject found, JsonNode metadata, ObjectNode spec) {
     if (!spec.path("selector").equals(found.spec().path("selector"))) {
-      return Result.refuse("spec.selector", "the selector never changes");
+      return Result.refuse("spec.selector", "the selector is immutable");
     }
     boolean sameAnnotations =
-        equalOrBothAbsent(found.metadata().get("annotations"), metadata.get("annotations"));
+        equalWithAbsentAsEmpty(found.metadata().get("annotations"), metadata.get("annotations"));
     boolean sameSpec = spec.equals(found.spec());
     if (sameAnnotations && sameSpec) {
       return new Result(found, List.of());
@@ -120,25 +130,38 @@
     refuseUnknownFields(scale.path("spec"), "spec", List.of("replicas"), errors);
     if (!scale.path("kind").asText("Scale").equals("Scale")
         || !scale.path("apiVersion").asText("autoscaling/v1").equals("autoscaling/v1")) {
-      errors.add(new FieldError("kind", Cause.NOT_SUPPORTED, "must be Scale of autoscaling/v1"));
+      errors.add(
+          new FieldError(
+              "kind", Cause.NOT_SUPPORTED, "must be Scale in API version autoscaling/v1"));
     }
     JsonNode metadata = scale.path("metadata");
     if (!metadata.path("name").asText(name).equals(name)) {
       errors.add(
-          new FieldError("metadata.name", Cause.INVALID, "is not the name in the request's path"));
+          new FieldError(
+              "metadata.name",
+              Cause.INVALID,
+              "must be the name in the request's path, \"" + name + "\""));
     }
     if (!metadata.path("namespace").asText(namespace).equals(namespace)) {
       errors.add(
           new FieldError(
-              "metadata.namespace", Cause.INVALID, "is not the namespace in the request's path"));
+              "metadata.namespace",
+              Cause.INVALID,
+              "must be the namespace in the request's path, \"" + namespace + "\""));
     }
     JsonNode replicas = scale.path("spec").path("replicas");
     if (!replicas.isIntegralNumber()) {
-      errors.add(new FieldError("spec.replicas", Cause.TYPE, "must be a count"));
+      errors.add(
+          new FieldError(
+              "spec.replicas", Cause.TYPE, "must be an integer from 0 to " + MAX_REPLICAS));
     } else if (!replicas.canConvertToInt()
         || replicas.asInt() < 0
         || replicas.asInt() > MAX_REPLICAS) {
-      errors.add(new FieldError("spec.replicas", Cause.INVALID, "must be 0 to " + MAX_REPLICAS));
+      errors.add(
+          new FieldError(
+              "spec.replicas",
+              Cause.INVALID,
+              "must be from 0 to " + MAX_REPLICAS + ", but is " + replicas.asText()));
     }
     return errors;
   }
@@ -153,12 +176,12 @@
                     new FieldError(
                         path.isEmpty() ? field : path + "." + field,
                         Cause.NOT_SUPPORTED,
-                        "the field is unknown"));
+                        "unknown field"));
               }
             });
   }
 
-  /** An object's answer as its scale. */
+  /** Converts an object's JSON to that of its {@code Scale} subresource. */
   static ObjectNode toScale(ObjectNode object) {
     ObjectNode scale = Cbor.newMap().put("kind", "Scale").put("apiVersion", "autoscaling/v1");
     ObjectNode metadata = scale.putObject("metadata");
--- a/src/main/java/io/violetrail/kubernetes/WatchCache.java
+++ b/src/main/java/io/violetrail/kubernetes/WatchCache.java
@@ -14,28 +14,32 @@
 import java.util.Map;
 
 /**
- * All changes of kept objects, in the state service's own order. One watch a controller serves its
- * clients' watches and its own bookkeeping, whoever made the change and whoever owns the object, so
- * a move of an entity is no event at all.
+ * Receives all changes of Kubernetes objects in the state service's order, and keeps the latest
+ * ones for watches. Each controller has one watch on the state service, which serves its clients'
+ * watches and its own {@link ObjectListener}. The watch delivers changes by any controller to
+ * objects of any entity, so a handover or failover of an entity produces no event.
  */
 final class WatchCache implements PrefixWatcher.RowListener {
-  /** Events kept for watches that begin in the past; some hundred changed objects of 4 KiB. */
+  /**
+   * Maximum number of events kept for watches that start at an earlier revision: a few hundred
+   * changed objects of 4 KiB.
+   */
   private static final int MAX_KEPT_EVENTS = 400;
 
-  private final PrefixWatcher rowFeed;
+  private final PrefixWatcher rowWatcher;
   private final ObjectListener objectListener;
 
-  /** Objects of each kind and namespace, for the bound on them. */
+  /** Number of objects by kind and namespace, which {@link ObjectCreator} limits. */
   private final Map<String, Integer> objectCountByPrefix = new HashMap<>();
 
   private final Map<String, Long> modRevisionByKey = new HashMap<>();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
   private final List<Watcher> watchers = new ArrayList<>();
 
-  /** Events after this revision are all among those kept. */
+  /** All events after this revision are still kept. */
   private long compactedRevision;
 
-  /** What happened to an object, under which revision. */
+  /** A change of an object, and the revision at which it was stored. */
   record Event(EventType type, KubernetesObject object, long revision) {}
 
   enum EventType {
@@ -44,15 +48,15 @@
     DELETED
   }
 
-  /** Whoever follows the feed. Events of one revision come together. */
+  /** Receives events; all events of a revision are delivered together. */
   interface Watcher {
     void onEvents(List<Event> events, long revision);
 
-    /** Events have been missed; the follower is dropped. */
+    /** Called when events have been missed; the watcher has been removed. */
     void onEventsLost();
   }
 
-  /** What keeps the objects of owned entities. */
+  /** Receives every change of a row, also those of entities that this controller does not own. */
   interface ObjectListener {
     void onObjectChanged(KubernetesObject object);
 
@@ -62,12 +66,12 @@
   }
 
   WatchCache(StateStore store, EventLoop loop, ObjectListener objectListener) {
-    this.rowFeed = new PrefixWatcher(store, loop, KubernetesObject.KEY_PREFIX, this);
+    this.rowWatcher = new PrefixWatcher(store, loop, KubernetesObject.KEY_PREFIX, this);
     this.objectListener = objectListener;
   }
 
   void start() {
-    rowFeed.start();
+    rowWatcher.start();
   }
 
   @Override
@@ -84,28 +88,34 @@
     droppedWatchers.forEach(Watcher::onEventsLost);
   }
 
-  /** Whether objects can be counted and watched. */
+  /** Returns whether objects can be counted and watched. */
   boolean isReady() {
-    return rowFeed.isReady();
+    return rowWatcher.isReady();
   }
 
   long revision() {
-    return rowFeed.revision();
+    return rowWatcher.revision();
   }
 
-  /** Objects of a kind in a namespace, deleted ones not counted. */
-  int adjustCount(ObjectKind kind, String namespace) {
+  /** Returns the number of objects of a kind in a namespace, without deleted ones. */
+  int objectCount(ObjectKind kind, String namespace) {
     return objectCountByPrefix.getOrDefault(KubernetesObject.keyPrefix(kind, namespace), 0);
   }
 
-  /** Follows all events after a revision; false if some of them are not kept any more. */
+  /**
+   * Adds a watcher of all events after a revision. It receives the events that are already known
+   * before this method returns.
+   *
+   * @return false, without adding the watcher, if some of these events are no longer kept or the
+   *     rows have not been read yet
+   */
   boolean addWatcher(long afterRevision, Watcher watcher) {
     if (!isReady() || afterRevision < compactedRevision) {
       return false;
     }
-    List<Event> missed = events.stream().filter(e -> e.revision() > afterRevision).toList();
-    if (!missed.isEmpty()) {
-      watcher.onEvents(missed, revision());
+    List<Event> missedEvents = events.stream().filter(e -> e.revision() > afterRevision).toList();
+    if (!missedEvents.isEmpty()) {
+      watcher.onEvents(missedEvents, revision());
     }
     watchers.add(watcher);
     return true;
@@ -131,7 +141,8 @@
     for (Event event : newEvents) {
       events.addLast(event);
       while (events.size() > MAX_KEPT_EVENTS) {
-        // A revision is kept whole or not at all.
+        // No watch can start before this revision any more, so the remaining events of the same
+        // revision are not replayed either.
         compactedRevision = events.removeFirst().revision();
       }
     }
