--- a/src/main/java/io/violetrail/wire/Cbor.java
+++ b/src/main/java/io/violetrail/wire/Cbor.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** CBOR bodies as Jackson trees, with the checks that every message needs. */
+/** Encodes and decodes CBOR bodies as Jackson trees and reads their fields with type checks. */
 public final class Cbor {
   private static final int MAX_NESTING_DEPTH = 32;
   private static final double MAX_AMOUNT = 1e12;
@@ -24,22 +24,20 @@
 
   private Cbor() {}
 
-  /** A message that breaks the protocol. */
+  /** Thrown if a message is not valid CBOR or has a missing or invalid field. */
   public static final class MalformedMessageException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
-    /** A message with the reason for which it is refused, as it is told to its sender. */
+    /** Creates an exception whose reason is returned to the sender of the message. */
     public MalformedMessageException(String reason) {
       super(reason);
     }
   }
 
-  /** An empty map. */
   public static ObjectNode newMap() {
     return MAPPER.createObjectNode();
   }
 
-  /** An empty list. */
   public static ArrayNode newList() {
     return MAPPER.createArrayNode();
   }
@@ -53,19 +51,26 @@
     }
   }
 
-  /** Reads one map that fills the whole body. */
+  /**
+   * Decodes a body that consists of exactly one CBOR map.
+   *
+   * @throws MalformedMessageException if the body is not CBOR, is nested more than 32 levels deep,
+   *     is not a map or has further content after the map
+   */
   public static ObjectNode parse(byte[] body) throws MalformedMessageException {
     try (var parser = MAPPER.getFactory().createParser(body)) {
       JsonNode node = MAPPER.readTree(parser);
       if (!(node instanceof ObjectNode map) || parser.nextToken() != null) {
-        throw new MalformedMessageException("the body is not one CBOR map");
+        throw new MalformedMessageException("body must be exactly one CBOR map");
       }
       return map;
     } catch (IOException | RuntimeException exception) {
-      throw new MalformedMessageException("the body is not CBOR");
+      throw new MalformedMessageException(
+          "body is not valid CBOR, or is nested more than " + MAX_NESTING_DEPTH + " levels deep");
     }
   }
 
+  /** Returns the field's value, or null if the field is absent or holds a CBOR null. */
   static JsonNode findPresent(JsonNode map, String field) {
     JsonNode node = map.get(field);
     return node == null || node.isNull() ? null : node;
@@ -74,7 +79,10 @@
   static String readText(JsonNode map, String field) throws MalformedMessageException {
     JsonNode node = findPresent(map, field);
     if (node == null || !node.isTextual() || node.asText().isEmpty()) {
-      throw new MalformedMessageException(field + " must be text");
+      throw new MalformedMessageException(
+          field
+              + " must be non-empty text, received "
+              + (node == null ? "nothing" : node.isTextual() ? "empty text" : node.getNodeType()));
     }
     return node.asText();
   }
@@ -87,11 +95,13 @@
   static double readAmount(JsonNode map, String field) throws MalformedMessageException {
     JsonNode node = findPresent(map, field);
     if (node == null || !node.isNumber()) {
-      throw new MalformedMessageException(field + " must be a number");
+      throw new MalformedMessageException(
+          field + " must be a number, received " + (node == null ? "nothing" : node.getNodeType()));
     }
     double value = node.asDouble();
     if (!Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
-      throw new MalformedMessageException(field + " is out of range");
+      throw new MalformedMessageException(
+          field + " must be from 0 to " + MAX_AMOUNT + ", received " + value);
     }
     return value;
   }
@@ -99,7 +109,10 @@
   static long readCount(JsonNode map, String field) throws MalformedMessageException {
     JsonNode node = findPresent(map, field);
     if (node == null || !node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < 0) {
-      throw new MalformedMessageException(field + " must be a count");
+      throw new MalformedMessageException(
+          field
+              + " must be a 64-bit integer of at least 0, received "
+              + (node == null ? "nothing" : node.isNumber() ? node : node.getNodeType()));
     }
     return node.asLong();
   }
@@ -107,23 +120,29 @@
   static boolean readFlag(JsonNode map, String field) throws MalformedMessageException {
     JsonNode node = findPresent(map, field);
     if (node == null || !node.isBoolean()) {
-      throw new MalformedMessageException(field + " must be true or false");
+      throw new MalformedMessageException(
+          field
+              + " must be true or false, received "
+              + (node == null ? "nothing" : node.getNodeType()));
     }
     return node.asBoolean();
   }
 
+  /** Returns the texts of a list, which may be empty, or null if the field is absent. */
   static List<String> readTexts(JsonNode map, String field) throws MalformedMessageException {
     JsonNode node = findPresent(map, field);
     if (node == null) {
       return null;
     }
     if (!node.isArray()) {
-      throw new MalformedMessageException(field + " must be a list");
+      throw new MalformedMessageException(
+          field + " must be a list of texts, received " + node.getNodeType());
     }
     List<String> texts = new ArrayList<>();
     for (JsonNode item : node) {
       if (!item.isTextual()) {
-        throw new MalformedMessageException(field + " must hold text");
+        throw new MalformedMessageException(
+            field + " must be a list of texts, received an item of type " + item.getNodeType());
       }
       texts.add(item.asText());
     }
--- a/src/main/java/io/violetrail/wire/CloudMessages.java
+++ b/src/main/java/io/violetrail/wire/CloudMessages.java
@@ -10,24 +10,24 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The cloud's messages. */
+/** Encodes and decodes the messages exchanged with the cloud provider. */
 public final class CloudMessages {
-  /** Where the machine types are asked for. */
+  /** The path that lists the machine types. */
   public static final String MACHINE_TYPES_PATH = "/flavors";
 
-  /** Where machines are rented and listed. */
+  /** The path that rents machines (POST) and lists the rented ones (GET). */
   public static final String MACHINES_PATH = "/hosts";
 
-  /** Where machines are returned. */
+  /** The path that returns rented machines. */
   public static final String RETURN_PATH = "/hosts/return";
 
-  /** The most machines that one rental request may ask for. */
+  /** The maximum number of machines in one rental request. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
 
-  /** The most machines that one request may return. */
+  /** The maximum number of machines in one return request. */
   public static final int MAX_MACHINES_PER_RETURN = 100;
 
-  /** The most machines on one page of the listing. */
+  /** The maximum number of machines on one page of the listing. */
   public static final int MAX_MACHINES_PER_LIST = 500;
 
   private CloudMessages() {}
@@ -42,7 +42,8 @@
     List<MachineType> machineTypes = new ArrayList<>();
     JsonNode list = Cbor.findPresent(message, "hosttypes");
     if (list == null) {
-      throw new MalformedMessageException("hosttypes is missing");
+      throw new MalformedMessageException(
+          "hosttypes must be a list of machine types, received nothing");
     }
     for (JsonNode machineType : list) {
       machineTypes.add(
@@ -85,7 +86,7 @@
     return message;
   }
 
-  /** Encodes a request for machines; {@code name} makes a repeated request idempotent. */
+  /** Encodes a rental request. A request that is repeated with the same name is idempotent. */
   public static ObjectNode rentalRequest(
       String name, String type, String zone, boolean spot, int count) {
     return Cbor.newMap()
@@ -105,7 +106,8 @@
   }
 
   /**
-   * Decodes the ids in a listing of rented machines.
+   * Decodes the machine ids on one page of the listing of rented machines. A page without the list
+   * is decoded as an empty page.
    *
    * @throws MalformedMessageException if an entry has no id
    */
@@ -118,13 +120,13 @@
     return machineIds;
   }
 
-  /** Whether a listing goes on after this page. */
+  /** Returns whether further pages of the listing follow this one. */
   public static boolean isTruncated(JsonNode message) {
     return message.path("truncated").asBoolean(false);
   }
 
   /**
-   * Decodes the ids of machines that a request has rented.
+   * Decodes the ids of the machines that a rental request has rented.
    *
    * @throws MalformedMessageException if the list is missing
    */
@@ -132,7 +134,7 @@
       throws MalformedMessageException {
     List<String> names = Cbor.readTexts(message, "hosts");
     if (names == null) {
-      throw new MalformedMessageException("hosts is missing");
+      throw new MalformedMessageException("hosts must be a list of machine ids, received nothing");
     }
     return names.stream().map(MachineId::new).toList();
   }
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -11,21 +11,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 
-/** The workers' messages. */
+/** Encodes and decodes the messages exchanged with the workers. */
 public final class HeartbeatMessages {
-  /** Where a controller takes heartbeats. */
+  /** The path on which a controller receives heartbeats. */
   public static final String HEARTBEAT_PATH = "/agent/beat";
 
-  /** Where a worker takes direct commands. */
+  /** The path on which a worker receives direct commands. */
   public static final String COMMANDS_PATH = "/orders";
 
-  /** Where a worker tells its status. */
+  /** The path on which a worker returns its status. */
   public static final String STATUS_PATH = "/status";
 
   private HeartbeatMessages() {}
 
-  /** A worker's report. {@code spotNoticeSeconds} is null without a spot notice. */
+  /**
+   * A worker's heartbeat.
+   *
+   * @param endpoint may be empty
+   * @param session number of the worker's session; the first one is 1
+   * @param sequence number of this report within the session
+   * @param fencingToken the highest token that the worker has seen; {@link Version#NONE} if it has
+   *     seen none
+   * @param spotNoticeSeconds null without a spot notice
+   */
   public record WorkerReport(
       MachineId machineId,
       String endpoint,
@@ -37,64 +47,68 @@
       Version fencingToken,
       Double spotNoticeSeconds,
       List<TaskReport> tasks) {
-    /** Whether any task of the report may still be on the machine. */
+    /** Returns whether any task of this report has not exited, so may still be on the machine. */
     public boolean holdsTasks() {
-      return tasks.stream().anyMatch(p -> p.state() != TaskState.EXITED);
+      return tasks.stream().anyMatch(task -> task.state() != TaskState.EXITED);
     }
 
-    /** Whether the worker sent this report after the one with the given numbers. */
+    /** Returns whether the worker sent this report after the one with the given numbers. */
     public boolean isNewerThan(long otherSession, long otherSequence) {
       return session > otherSession || (session == otherSession && sequence > otherSequence);
     }
   }
 
-  /** One task as a worker sees it. {@code exitCause} is null unless it has ended. */
+  /** The state of one task on a worker. {@code exitCause} is null unless the task has exited. */
   public record TaskReport(
       TaskId taskId, long attempt, TaskState state, ExitCause exitCause, boolean checkpointSaved) {}
 
   /** A task's state on its machine. */
   public enum TaskState {
-    /** Waits for its image. */
+    /** Waits for its image to be fetched. */
     FETCHING,
     /** Waits for the other tasks of its gang's attempt. */
     WAITING_FOR_GANG,
-    /** Runs, or is being stopped with its gang. */
+    /** Runs, or is being stopped together with its gang. */
     RUNNING,
-    /** Was told to stop and saves its progress. */
+    /** Saves a checkpoint after a command to stop. */
     CHECKPOINTING,
-    /** Has ended; see its exit cause. */
+    /** Has exited, for the reason given by its {@link ExitCause}. */
     EXITED
   }
 
-  /** Why a task ended. */
+  /** Why a task exited. */
   public enum ExitCause {
-    /** Completed. */
+    /** The task completed. */
     DONE,
-    /** Stopped by command. */
+    /** The task was stopped by a command. */
     STOPPED,
-    /** Another task of its gang is gone. */
+    /** Another task of its gang was lost. */
     GANG_MEMBER_LOST,
-    /** Its gang was not complete in time. */
+    /** Its gang was not complete within the gang start timeout. */
     GANG_INCOMPLETE,
-    /** Failed; mostly the machine is faulty. */
+    /** The task failed; in most cases the cause is a faulty machine. */
     ERROR,
-    /** The machine refused the start: not enough is free. */
+    /** The worker refused the launch because the machine lacks free resources. */
     INSUFFICIENT_RESOURCES,
-    /** The machine refused the start: another attempt of the task is there. */
+    /** The worker refused the launch because it has another attempt of the same task. */
     BUSY,
-    /** The machine refused the start: the job is not known to it. */
+    /** The worker refused the launch because it does not know the job. */
     UNKNOWN
   }
 
-  /** A command. */
+  /**
+   * A command to a worker.
+   *
+   * @param graceSeconds time to save a checkpoint; sent with {@link CommandType#STOP} only
+   */
   public record WorkerCommand(CommandType type, TaskId taskId, long attempt, double graceSeconds) {
-    /** What a worker can be told. */
+    /** The kinds of commands. */
     public enum CommandType {
-      /** Start an attempt of a task; without effect if the worker has it already. */
+      /** Launches an attempt of a task; has no effect if the worker already has the attempt. */
       LAUNCH,
-      /** Stop an attempt, with time to save a checkpoint. */
+      /** Stops an attempt, after a grace period to save a checkpoint. */
       STOP,
-      /** Remove an exited attempt from the reports. */
+      /** Removes an exited attempt from the reports. */
       FORGET
     }
   }
@@ -131,9 +145,9 @@
           ExitCause.UNKNOWN);
 
   /**
-   * Sessions, reports, terms and attempts are far below this on any machine. A report with a
-   * greater one is broken; believed, it would make all later reports of its machine look old, or
-   * take terms to the end of their numbers.
+   * The limit for session, sequence, fencing token and attempt numbers. Real values are far below
+   * it. A report with a greater value is corrupt: if it were accepted, every later report of the
+   * machine would be considered stale, or the fencing tokens would run out of numbers.
    */
   private static final long MAX_COUNTER = 1L << 53;
 
@@ -144,16 +158,21 @@
    */
   public static WorkerReport parseReport(JsonNode message) throws MalformedMessageException {
     List<TaskReport> tasks = new ArrayList<>();
-    Set<String> seen = new HashSet<>();
+    Set<String> seenAttempts = new HashSet<>();
     JsonNode list = Cbor.findPresent(message, "pieces");
     if (list != null && !list.isArray()) {
-      throw new MalformedMessageException("pieces must be a list");
+      throw new MalformedMessageException("pieces must be a list, received " + list.getNodeType());
     }
     if (list != null) {
       for (JsonNode taskMessage : list) {
         TaskReport taskReport = parseTaskReport(taskMessage);
-        if (!seen.add(taskReport.taskId() + " " + taskReport.attempt())) {
-          throw new MalformedMessageException("an attempt stands twice in the report");
+        if (!seenAttempts.add(taskReport.taskId() + " " + taskReport.attempt())) {
+          throw new MalformedMessageException(
+              "pieces lists attempt "
+                  + taskReport.attempt()
+                  + " of task "
+                  + taskReport.taskId()
+                  + " more than once");
         }
         tasks.add(taskReport);
       }
@@ -177,11 +196,11 @@
         tasks);
   }
 
-  /** Sessions start at 1: 0 stands for "not heard of yet" wherever a session is kept. */
+  /** Session numbers start at 1, since stored session 0 means that no report has been received. */
   private static long parseSession(JsonNode message) throws MalformedMessageException {
     long session = parseCounter(message, "tenure");
     if (session == 0) {
-      throw new MalformedMessageException("tenure starts at 1");
+      throw new MalformedMessageException("tenure must be at least 1, received 0");
     }
     return session;
   }
@@ -190,7 +209,8 @@
       throws MalformedMessageException {
     long value = Cbor.readCount(message, field);
     if (value > MAX_COUNTER) {
-      throw new MalformedMessageException(field + " is out of range");
+      throw new MalformedMessageException(
+          field + " must be at most " + MAX_COUNTER + ", received " + value);
     }
     return value;
   }
@@ -199,19 +219,34 @@
     TaskId taskId = TaskId.parse(Cbor.readText(message, "piece"));
     TaskState state = STATES.get(Cbor.readText(message, "status"));
     if (taskId == null || state == null) {
-      throw new MalformedMessageException("a task of the report is unclear");
+      throw new MalformedMessageException(
+          "a task in pieces has an invalid piece or status, received piece "
+              + message.get("piece")
+              + " and status "
+              + message.get("status")
+              + "; status must be one of "
+              + new TreeSet<>(STATES.keySet()));
     }
     ExitCause exitCause =
         state == TaskState.EXITED
             ? EXIT_CAUSES.getOrDefault(
                 Cbor.readTextOrDefault(message, "cause", "error"), ExitCause.ERROR)
             : null;
-    JsonNode kept = Cbor.findPresent(message, "kept");
+    JsonNode checkpointSaved = Cbor.findPresent(message, "kept");
     return new TaskReport(
-        taskId, parseCounter(message, "try"), state, exitCause, kept != null && kept.asBoolean());
+        taskId,
+        parseCounter(message, "try"),
+        state,
+        exitCause,
+        checkpointSaved != null && checkpointSaved.asBoolean());
   }
 
-  /** Commands under a token; in an answer to a report this renews the worker's lease. */
+  /**
+   * Encodes commands that carry a fencing token. As the reply to a heartbeat, the message renews
+   * the worker's lease.
+   *
+   * @throws IllegalArgumentException if the version is not a valid fencing token
+   */
   public static ObjectNode commandReply(Version fencingToken, List<WorkerCommand> commands) {
     ObjectNode message = Cbor.newMap().put("baton", fencingToken.requireToken().value());
     var list = message.putArray("orders");
@@ -233,8 +268,8 @@
   }
 
   /**
-   * Commands sent straight to a worker. They renew no lease, and are carried out in that session of
-   * the worker only.
+   * Encodes commands that are sent directly to a worker. They do not renew its lease, and the
+   * worker executes them only in the given session.
    */
   public static ObjectNode directCommands(
       Version fencingToken, long session, List<WorkerCommand> commands) {
@@ -242,10 +277,12 @@
   }
 
   /**
-   * An answer that renews nothing: its token is lower than any that a worker has been given. Left
-   * out, the token was read as 0 by some workers, and 0 had been given out.
+   * Returns a reply that does not renew the worker's lease: its token {@link Version#NONE} is lower
+   * than every issued token. The token is sent explicitly because some workers read a reply without
+   * a token as token 0, which earlier releases had issued.
    *
-   * <p>A worker that has seen no token at all takes it, so it is not for one that has tasks.
+   * <p>A worker that has seen no token accepts this reply, so it must not be sent to such a worker
+   * if it has tasks.
    */
   public static ObjectNode nonRenewingReply() {
     ObjectNode message = Cbor.newMap().put("baton", Version.NONE.value());
@@ -253,7 +290,10 @@
     return message;
   }
 
-  /** Tells a worker to report elsewhere; {@code owner} may be null. */
+  /**
+   * Encodes a reply that redirects a worker's heartbeats to another controller. Without an owner
+   * (null), the reply names no controller.
+   */
   public static ObjectNode redirectReply(String owner) {
     ObjectNode message = Cbor.newMap();
     return owner == null ? message : message.put("master", owner);
--- a/src/main/java/io/violetrail/wire/JobMessages.java
+++ b/src/main/java/io/violetrail/wire/JobMessages.java
@@ -13,16 +13,17 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.TreeSet;
 
-/** The users' messages. */
+/** Encodes and decodes the messages exchanged with users: job submissions and job views. */
 public final class JobMessages {
-  /** The path of a submission; a job's own path is below it. */
+  /** The path of submissions; the path of a single job is below it. */
   public static final String JOBS_PATH = "/work";
 
-  /** Ends the path of a cancellation. */
+  /** The suffix that turns a job's path into the path of its cancellation. */
   public static final String CANCEL_PATH_SUFFIX = "/abort";
 
-  /** The most tasks that a job may have. */
+  /** The maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
 
   private static final Map<String, JobShape> SHAPES =
@@ -38,7 +39,10 @@
           "low",
           Priority.LOW);
 
-  /** What is stored of a job beside its id, in this order: names would take most of the room. */
+  /**
+   * The fields stored for a job in addition to its id, in stored order. Only the values are stored,
+   * because the field names would take most of the space.
+   */
   private static final List<String> STORED_FIELDS =
       List.of(
           "jobclass",
@@ -63,25 +67,33 @@
 
   private JobMessages() {}
 
-  /** A user's submission. What other interfaces describe may do without an image. */
+  /**
+   * Decodes a user's submission, which must name an image. Jobs described through other interfaces
+   * need no image; see {@link #parseJobSpec}.
+   *
+   * @throws MalformedMessageException if a required field is missing or a value is out of range
+   */
   public static JobSpec parseSubmission(JsonNode message) throws MalformedMessageException {
     Cbor.readText(message, "bundle");
     return parseJobSpec(message);
   }
 
   /**
-   * Decodes a submitted job.
+   * Decodes the description of a job. The image may be absent.
    *
    * @throws MalformedMessageException if a required field is missing or a value is out of range
    */
   public static JobSpec parseJobSpec(JsonNode message) throws MalformedMessageException {
     String id = Cbor.readText(message, "name_id");
     if (!JobId.isWellFormed(id)) {
-      throw new MalformedMessageException("name_id has the wrong form");
+      throw new MalformedMessageException(
+          "name_id must be job- followed by digits, at most 64 characters, received "
+              + message.get("name_id"));
     }
     long tasks = Cbor.readCount(message, "pieces");
     if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new MalformedMessageException("pieces is out of range");
+      throw new MalformedMessageException(
+          "pieces must be from 1 to " + MAX_TASKS + ", received " + tasks);
     }
     Double deadlineSeconds =
         Cbor.findPresent(message, "due_s") == null
@@ -111,7 +123,9 @@
         deadlineSeconds);
   }
 
-  /** Encodes a job in the form in which it is submitted; fields at their default are left out. */
+  /**
+   * Encodes a job in the form of a submission. An empty image and null machine types are omitted.
+   */
   public static ObjectNode submissionMessage(JobSpec spec) {
     ObjectNode message = Cbor.newMap();
     message
@@ -147,13 +161,17 @@
     return message;
   }
 
-  /** Adds a job's description without its id to a list of values. */
+  /** Appends the values of a job's description, without its id, to a list in stored order. */
   public static void appendSpec(JobSpec spec, ArrayNode values) {
     ObjectNode message = submissionMessage(spec);
     STORED_FIELDS.forEach(field -> values.add(message.get(field)));
   }
 
-  /** The description that stands in a list of values from an index on. */
+  /**
+   * Decodes a job's description from the values of a list that start at the given index.
+   *
+   * @throws MalformedMessageException if a required value is missing or a value is out of range
+   */
   public static JobSpec parsePackedSpec(JobId id, JsonNode values, int fromIndex)
       throws MalformedMessageException {
     ObjectNode message = Cbor.newMap().put("name_id", id.value());
@@ -163,7 +181,7 @@
     return parseJobSpec(message);
   }
 
-  /** Encodes a job's status and its counts of finished and running tasks. */
+  /** Encodes a job's id, its status and its counts of completed and running tasks. */
   public static ObjectNode viewMessage(JobView view) {
     ObjectNode message =
         Cbor.newMap()
@@ -176,14 +194,19 @@
       throws MalformedMessageException {
     T value = valuesByWireName.get(Cbor.readText(message, field));
     if (value == null) {
-      throw new MalformedMessageException(field + " is unknown");
+      throw new MalformedMessageException(
+          field
+              + " must be one of "
+              + new TreeSet<>(valuesByWireName.keySet())
+              + ", received "
+              + message.get(field));
     }
     return value;
   }
 
   private static <T> String wireNameOf(Map<String, T> valuesByWireName, T value) {
     return valuesByWireName.entrySet().stream()
-        .filter(e -> e.getValue() == value)
+        .filter(entry -> entry.getValue() == value)
         .findFirst()
         .orElseThrow()
         .getKey();
--- a/src/main/java/io/violetrail/wire/ScriptedMessages.java
+++ b/src/main/java/io/violetrail/wire/ScriptedMessages.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * Messages of workers, the provider and the state service, as the class archive's warm-up plays
- * them. A serving controller receives such messages and never sends them.
+ * Encodes the messages of workers, the cloud provider and the state service that the warm-up for
+ * the class data archive replays. A serving controller receives such messages but never sends them.
  */
 public final class ScriptedMessages {
   private ScriptedMessages() {}
 
-  /** A heartbeat of an on-demand machine without tasks, in its first session. */
+  /** Encodes a heartbeat of an on-demand machine without tasks, in its first session. */
   public static ObjectNode idleHeartbeat(
       MachineId machineId, String machineType, String zone, long sequence, long fencingToken) {
     ObjectNode message =
@@ -26,7 +26,10 @@
     return message;
   }
 
-  /** An answer that serves every request to the state service: a lease, and nothing stored. */
+  /**
+   * Encodes a state service reply that is valid for every request: it grants a lease and contains
+   * no entries and no changes.
+   */
   public static ObjectNode emptyStateReply(long revision, long leaseId) {
     ObjectNode message = Cbor.newMap().put("epoch", revision).put("hold", leaseId);
     message.putArray("entries");
@@ -34,12 +37,12 @@
     return message;
   }
 
-  /** The provider's only machine type. */
+  /** Encodes the provider's list of machine types with a single type. */
   public static ObjectNode machineTypeReply(MachineType machineType) {
     return CloudMessages.machineTypesMessage(List.of(machineType));
   }
 
-  /** The provider's answer to a scale-out request for one machine. */
+  /** Encodes the provider's reply to a rental request for one machine. */
   public static JsonNode rentalReply(MachineId machineId) {
     return CloudMessages.returnRequest(List.of(machineId));
   }
--- a/src/main/java/io/violetrail/wire/StateStoreMessages.java
+++ b/src/main/java/io/violetrail/wire/StateStoreMessages.java
@@ -12,22 +12,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The state service's messages. */
+/** Encodes and decodes the messages exchanged with the state service. */
 public final class StateStoreMessages {
   private StateStoreMessages() {}
 
   /**
-   * A key with its value and the revision of its last change; absent: null value and revision 0.
+   * A key with its value and the revision of its last change. An absent key has a null value and
+   * revision 0.
    */
   public record Entry(String key, JsonNode value, long modRevision) {}
 
-  /** One change seen by a watch; a dropped key has a null value. */
+  /** One change reported by a watch. A deleted key has a null value. */
   public record RowChange(String key, JsonNode value, long modRevision) {}
 
-  /** What a transaction came to. */
+  /**
+   * The result of a transaction.
+   *
+   * @param revision revision of the whole store that the reply is as of
+   * @param failedKeys the keys whose conditions failed
+   */
   public record TransactionOutcome(boolean applied, long revision, Set<String> failedKeys) {}
 
-  /** A transaction under construction. */
+  /** A transaction that is being built: revision conditions with the writes that depend on them. */
   public static final class Transaction {
     private final ObjectNode body = Cbor.newMap();
     private final ArrayNode conditions = body.putArray("if");
@@ -46,14 +52,14 @@
       return this;
     }
 
-    /** Adds a write of a key. */
+    /** Adds a write that sets a key. */
     public Transaction put(String key, JsonNode value) {
       writtenKeys.add(key);
       writes.addObject().put("set", key).set("v", value);
       return this;
     }
 
-    /** Adds a write of a key that is deleted when the lease expires. */
+    /** Adds a write that sets a key, which the store deletes when the lease expires. */
     public Transaction putWithLease(String key, JsonNode value, long leaseId) {
       writtenKeys.add(key);
       ObjectNode write = writes.addObject().put("set", key);
@@ -69,7 +75,7 @@
       return this;
     }
 
-    /** Takes over all conditions and writes of another one. */
+    /** Adds all conditions and writes of another transaction to this one. */
     public Transaction merge(Transaction other) {
       other.expectedRevisions.forEach(this::ifRevision);
       writtenKeys.addAll(other.writtenKeys);
@@ -77,44 +83,56 @@
       return this;
     }
 
-    /** The revisions that keys must have; 0: absent. */
+    /** Returns the required revision of each key with a condition; 0 requires that it is absent. */
     public Map<String, Long> expectedRevisions() {
       return Collections.unmodifiableMap(expectedRevisions);
     }
 
-    /** The keys that it puts or deletes. */
+    /** Returns the keys that this transaction sets or deletes. */
     public Set<String> writtenKeys() {
       return Collections.unmodifiableSet(writtenKeys);
     }
 
-    /** How many puts and deletions it holds. */
+    /** Returns the number of writes, including deletions. */
     public int writeCount() {
       return writes.size();
     }
 
-    /** The body of the request. */
+    /** Encodes the body of the request. */
     public byte[] encode() {
       return Cbor.encode(body);
     }
   }
 
-  /** Decodes a key with its value. */
+  /** Decodes a key with its value and revision. */
   public static Entry parseEntry(JsonNode message) {
     return new Entry(
         message.path("key").asText(), message.get("v"), message.path("stamp").asLong());
   }
 
-  /** A page of a listing: keys with the revision that the page is as of. */
+  /**
+   * One page of a listing.
+   *
+   * @param revision revision of the whole store that the page is as of
+   * @param more whether further pages follow
+   */
   public record ListPage(List<Entry> entries, long revision, boolean more) {}
 
-  /** A page says all of its parts: one without entries is not the same as an empty one. */
+  /**
+   * Decodes a page of a listing.
+   *
+   * @throws MalformedMessageException if a field is missing; a page without the list of entries is
+   *     malformed and not treated as an empty page
+   */
   public static ListPage parsePage(JsonNode message) throws MalformedMessageException {
     JsonNode entries = Cbor.findPresent(message, "entries");
     if (entries == null || !entries.isArray()) {
-      throw new MalformedMessageException("entries must be a list");
+      throw new MalformedMessageException(
+          "entries must be a list, received "
+              + (entries == null ? "nothing" : entries.getNodeType()));
     }
     List<Entry> parsedEntries = new ArrayList<>();
-    entries.forEach(e -> parsedEntries.add(parseEntry(e)));
+    entries.forEach(entry -> parsedEntries.add(parseEntry(entry)));
     return new ListPage(
         parsedEntries, Cbor.readCount(message, "epoch"), Cbor.readFlag(message, "truncated"));
   }
@@ -124,14 +142,14 @@
     return message.path("epoch").asLong();
   }
 
-  /** Decodes a transaction's result, with the keys whose conditions failed. */
+  /** Decodes the result of a transaction, with the keys whose conditions failed. */
   public static TransactionOutcome parseOutcome(boolean applied, JsonNode message) {
     Set<String> failedKeys = new HashSet<>();
-    message.path("failed").forEach(k -> failedKeys.add(k.asText()));
+    message.path("failed").forEach(key -> failedKeys.add(key.asText()));
     return new TransactionOutcome(applied, parseRevision(message), failedKeys);
   }
 
-  /** Decodes the changes of a watch response in order; a deletion has a null value. */
+  /** Decodes the changes of a watch response in order. */
   public static List<RowChange> parseChanges(JsonNode message) {
     List<RowChange> changes = new ArrayList<>();
     for (JsonNode change : message.path("log")) {
@@ -144,12 +162,16 @@
     return changes;
   }
 
-  /** Asks for a lease that ends that long after its last renewal. */
+  /** Encodes a request for a lease that expires the given time after its last renewal. */
   public static ObjectNode leaseRequest(long ttlMillis) {
     return Cbor.newMap().put("life_ms", ttlMillis);
   }
 
-  /** Decodes the id of a lease that was granted; any number may be one. */
+  /**
+   * Decodes the id of a granted lease. Every integer from 0 is a valid id.
+   *
+   * @throws MalformedMessageException if the id is missing or not an integer of at least 0
+   */
   public static long parseLeaseId(JsonNode message) throws MalformedMessageException {
     return Cbor.readCount(message, "hold");
   }
--- a/src/main/java/io/violetrail/wire/kubernetes/FieldError.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/FieldError.java
@@ -1,8 +1,8 @@
 package io.violetrail.wire.kubernetes;
 
-/** One field that is not taken: its path, the published kind of cause, and why. */
+/** One rejected field: its path, the cause as Kubernetes publishes it, and a readable reason. */
 public record FieldError(String path, Cause cause, String message) {
-  /** Causes by their published names. */
+  /** The causes for rejecting a field, with their Kubernetes names and HTTP status codes. */
   public enum Cause {
     REQUIRED("FieldValueRequired", 422),
     NOT_SUPPORTED("FieldValueNotSupported", 422),
--- a/src/main/java/io/violetrail/wire/kubernetes/FieldPaths.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/FieldPaths.java
@@ -1,29 +1,32 @@
 package io.violetrail.wire.kubernetes;
 
-/** Paths of fields as the Kubernetes API writes them: {@code spec.containers[0].name}. */
+/** Builds field paths in the Kubernetes form, such as {@code spec.containers[0].name}. */
 public final class FieldPaths {
   private FieldPaths() {}
 
-  /** Turns a JSON pointer into such a path. */
+  /**
+   * Converts a JSON pointer into a field path. Indexes and segments that contain a dot or a slash
+   * are put in brackets.
+   */
   public static String fromJsonPointer(String pointer) {
     StringBuilder path = new StringBuilder();
-    for (String raw : pointer.split("/", 0)) {
-      String step = raw.replace("~1", "/").replace("~0", "~");
-      if (step.isEmpty()) {
+    for (String escapedSegment : pointer.split("/", 0)) {
+      String segment = escapedSegment.replace("~1", "/").replace("~0", "~");
+      if (segment.isEmpty()) {
         continue;
       }
-      if (step.chars().allMatch(c -> c >= '0' && c <= '9')) {
-        path.append('[').append(step).append(']');
-      } else if (step.indexOf('.') >= 0 || step.indexOf('/') >= 0) {
-        path.append('[').append(step).append(']');
+      if (segment.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        path.append('[').append(segment).append(']');
+      } else if (segment.indexOf('.') >= 0 || segment.indexOf('/') >= 0) {
+        path.append('[').append(segment).append(']');
       } else {
-        path.append(path.isEmpty() ? "" : ".").append(step);
+        path.append(path.isEmpty() ? "" : ".").append(segment);
       }
     }
     return path.toString();
   }
 
-  /** The path of a field inside another. */
+  /** Returns the path of a field inside the object at the given path, which may be empty. */
   public static String join(String path, String field) {
     return path.isEmpty() ? field : path + "." + field;
   }
--- a/src/main/java/io/violetrail/wire/kubernetes/KubernetesJson.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/KubernetesJson.java
@@ -13,7 +13,10 @@
 import io.violetrail.errors.MalformedDataException;
 import java.io.IOException;
 
-/** JSON as the Kubernetes API reads it strictly: one object, no key twice, bounded depth. */
+/**
+ * Strict JSON in the manner of the Kubernetes API: a body is a single object without duplicate keys
+ * and with a bounded nesting depth.
+ */
 public final class KubernetesJson {
   private static final int MAX_DEPTH = 32;
 
@@ -31,7 +34,10 @@
 
   private KubernetesJson() {}
 
-  /** One text for equal values: a store may give fields back in another order. */
+  /**
+   * Encodes a value with sorted keys, so that equal values give equal texts. A store may return the
+   * fields of an object in a different order.
+   */
   public static String toCanonicalText(JsonNode node) {
     try {
       return SORTING_MAPPER.writeValueAsString(node);
@@ -40,11 +46,11 @@
     }
   }
 
-  /** A text that is not one strict JSON object. */
+  /** Thrown if a request is not a single strict JSON object or a part of it is invalid. */
   public static final class MalformedRequestException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
-    /** The path of what is wrong, empty if it is the whole. */
+    /** The path of the invalid field; empty if the error concerns the whole request. */
     private final String path;
 
     private final FieldError.Cause errorCause;
@@ -90,24 +96,29 @@
     try (JsonParser parser = MAPPER.getFactory().createParser(body)) {
       return parse(parser);
     } catch (IOException exception) {
-      throw new MalformedRequestException("", "the body cannot be read");
+      throw new MalformedRequestException("", "body cannot be read as JSON");
     }
   }
 
-  /** Reads the one object that fills the rest of a parser's input. */
+  /** Reads a single object that must be all of the parser's remaining input. */
   private static ObjectNode parse(JsonParser parser) throws MalformedRequestException {
     JsonNode node = readNext(parser);
     try {
       if (!(node instanceof ObjectNode map) || parser.nextToken() != null) {
-        throw new MalformedRequestException("", "the body is not one object");
+        throw new MalformedRequestException("", "body must be exactly one JSON object");
       }
       return map;
     } catch (IOException exception) {
-      throw new MalformedRequestException("", "something follows the object");
+      throw new MalformedRequestException("", "body must end after its JSON object");
     }
   }
 
-  /** The parser's next value; null at the end of its input. */
+  /**
+   * Reads the parser's next value; returns null at the end of the input.
+   *
+   * @throws MalformedRequestException if the input is not JSON, has a duplicate key or is nested
+   *     more than 32 levels deep
+   */
   public static JsonNode readNext(JsonParser parser) throws MalformedRequestException {
     try {
       return MAPPER.readTree(parser);
@@ -116,14 +127,16 @@
       if (text != null && text.startsWith("Duplicate field")) {
         String path =
             FieldPaths.fromJsonPointer(parser.getParsingContext().pathAsPointer().toString());
-        throw new MalformedRequestException(
-            path, FieldError.Cause.DUPLICATE, "the key is there twice");
+        throw new MalformedRequestException(path, FieldError.Cause.DUPLICATE, "duplicate key");
       }
       throw new MalformedRequestException(
-          "", "not JSON at line " + exception.getLocation().getLineNr());
+          "", "invalid JSON at line " + exception.getLocation().getLineNr());
     } catch (IOException | RuntimeException exception) {
       throw new MalformedRequestException(
-          "", "the body cannot be read: it is not text, or nested too deeply");
+          "",
+          "body cannot be read as JSON: it is not text, or is nested more than "
+              + MAX_DEPTH
+              + " levels deep");
     }
   }
 }
--- a/src/main/java/io/violetrail/wire/kubernetes/KubernetesStatus.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/KubernetesStatus.java
@@ -4,10 +4,15 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An answer that is an error, in the published form: code, reason, message and causes. */
+/**
+ * An error response in the form of a Kubernetes {@code Status} object.
+ *
+ * @param causes the rejected fields, if any
+ * @param retryAfterSeconds 0 if the client is not asked to retry
+ */
 public record KubernetesStatus(
     int code, String reason, String message, List<FieldError> causes, int retryAfterSeconds) {
-  /** How soon to ask again what could not be taken now. */
+  /** The delay after which a client may retry a request that is temporarily rejected. */
   private static final int RETRY_AFTER_SECONDS = 1;
 
   private static KubernetesStatus of(int code, String reason, String message) {
@@ -42,7 +47,7 @@
     return of(415, "UnsupportedMediaType", reason);
   }
 
-  /** What the client knows is too old to go on from. */
+  /** Returns status 410: the state from which the client wants to continue is no longer kept. */
   public static KubernetesStatus expired(String reason) {
     return of(410, "Expired", reason);
   }
@@ -55,20 +60,27 @@
     return new KubernetesStatus(429, "TooManyRequests", reason, List.of(), RETRY_AFTER_SECONDS);
   }
 
-  /** Fields that are not taken: 400 where one has a wrong type or is there twice, otherwise 422. */
+  /**
+   * Returns the status for rejected fields: 400 if any field has the wrong type or is duplicated,
+   * otherwise 422.
+   */
   public static KubernetesStatus invalid(String subject, List<FieldError> errors) {
-    boolean malformed = errors.stream().anyMatch(r -> r.cause().httpStatus() == 400);
+    boolean malformed = errors.stream().anyMatch(error -> error.cause().httpStatus() == 400);
     String message =
         subject
             + (malformed ? " is malformed: " : " is invalid: ")
             + errors.stream()
-                .map(r -> r.path().isEmpty() ? r.message() : r.path() + ": " + r.message())
+                .map(
+                    error ->
+                        error.path().isEmpty()
+                            ? error.message()
+                            : error.path() + ": " + error.message())
                 .collect(Collectors.joining("; "));
     return new KubernetesStatus(
         malformed ? 400 : 422, malformed ? "BadRequest" : "Invalid", message, errors, 0);
   }
 
-  /** Encodes the failure as a Kubernetes {@code JobStatus} object. */
+  /** Encodes the failure as a Kubernetes {@code Status} object. */
   public ObjectNode toJson() {
     ObjectNode json = KubernetesJson.newObject();
     json.put("kind", "Status").put("apiVersion", "v1").putObject("metadata");
@@ -81,17 +93,17 @@
       if (!causes.isEmpty()) {
         var list = details.putArray("causes");
         causes.forEach(
-            c ->
+            error ->
                 list.addObject()
-                    .put("reason", c.cause().publishedName())
-                    .put("message", c.message())
-                    .put("field", c.path()));
+                    .put("reason", error.cause().publishedName())
+                    .put("message", error.message())
+                    .put("field", error.path()));
       }
     }
     return json.put("code", code);
   }
 
-  /** The answer to a deletion that is carried out. */
+  /** Encodes the {@code Status} object that answers a successful deletion. */
   public static ObjectNode success(String kind, String name, String uid) {
     ObjectNode json = KubernetesJson.newObject();
     json.put("kind", "Status").put("apiVersion", "v1").putObject("metadata");
--- a/src/main/java/io/violetrail/wire/kubernetes/LabelSelector.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/LabelSelector.java
@@ -8,7 +8,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A label selector: all of its requirements must hold. */
+/** A Kubernetes label selector. It matches labels that meet all of its requirements. */
 public final class LabelSelector {
   public static final LabelSelector EVERYTHING = new LabelSelector(List.of());
 
@@ -25,7 +25,7 @@
   private final List<Requirement> requirements;
 
   private record Requirement(String key, boolean negated, Set<String> values) {
-    /** Without values: the key's presence is what counts. */
+    /** Without values (null), the requirement concerns the presence of the key only. */
     boolean isMetBy(JsonNode labels) {
       JsonNode value = labels == null ? null : labels.get(key);
       boolean found = value != null && (values == null || values.contains(value.asText()));
@@ -37,7 +37,12 @@
     this.requirements = requirements;
   }
 
-  /** Reads a selector's text; the malformed requirement is named. */
+  /**
+   * Parses the text of a selector.
+   *
+   * @throws KubernetesJson.MalformedRequestException if a requirement is malformed; the message
+   *     quotes it
+   */
   public static LabelSelector parse(String text) throws KubernetesJson.MalformedRequestException {
     List<Requirement> requirements = new ArrayList<>();
     for (String part : splitRequirements(text)) {
@@ -46,7 +51,7 @@
     return new LabelSelector(List.copyOf(requirements));
   }
 
-  /** At commas outside of brackets. */
+  /** Splits a selector at the commas outside of parentheses. */
   private static List<String> splitRequirements(String text) {
     List<String> parts = new ArrayList<>();
     int depth = 0;
@@ -92,10 +97,10 @@
 
   private static KubernetesJson.MalformedRequestException malformed(String part) {
     return new KubernetesJson.MalformedRequestException(
-        "labelSelector", "'" + part + "' is not a requirement");
+        "labelSelector", "'" + part + "' is not a valid requirement");
   }
 
   public boolean matches(JsonNode labels) {
-    return requirements.stream().allMatch(r -> r.isMetBy(labels));
+    return requirements.stream().allMatch(requirement -> requirement.isMetBy(labels));
   }
 }
--- a/src/main/java/io/violetrail/wire/kubernetes/Quantity.java
+++ b/src/main/java/io/violetrail/wire/kubernetes/Quantity.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Amounts and durations as texts, read strictly: empty where the text is not one. */
+/** Parses amounts and durations strictly; a text of any other form gives an empty result. */
 public final class Quantity {
   private static final Pattern AMOUNT_PATTERN =
       Pattern.compile("([0-9]{1,18}(?:\\.[0-9]{1,9})?)(|m|k|M|G|T|Ki|Mi|Gi|Ti|[eE][0-9]{1,2})");
@@ -30,7 +30,7 @@
 
   private Quantity() {}
 
-  /** A quantity such as {@code 500m}, {@code 2} or {@code 1.5Gi}, in units. */
+  /** Parses a quantity such as {@code 500m}, {@code 2} or {@code 1.5Gi} into base units. */
   public static Optional<BigDecimal> parseAmount(String text) {
     Matcher matcher = AMOUNT_PATTERN.matcher(text);
     if (!matcher.matches()) {
@@ -44,7 +44,7 @@
     return Optional.of(number.multiply(FACTOR_BY_SUFFIX.get(suffix)));
   }
 
-  /** A duration such as {@code 90s}, {@code 1.5m} or {@code 2h}, in seconds. */
+  /** Parses a duration such as {@code 90s}, {@code 1.5m} or {@code 2h} into seconds. */
   public static Optional<Double> parseDurationSeconds(String text) {
     Matcher matcher = DURATION_PATTERN.matcher(text);
     return matcher.matches()
--- a/src/test/java/io/violetrail/wire/HeartbeatMessagesTest.java
+++ b/src/test/java/io/violetrail/wire/HeartbeatMessagesTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is absent, empty or 0 in the workers' messages is never taken for something else. */
+/** Absent, empty and zero fields of worker messages are not mistaken for valid values. */
 class HeartbeatMessagesTest {
-  private static ObjectNode report() {
+  private static ObjectNode reportMessage() {
     ObjectNode message =
         Cbor.newMap().put("host", "vm-1").put("hosttype", "plain").put("yard", "a");
     return message.put("loaners", false).put("tenure", 1).put("tick", 1).put("baton", 10);
@@ -22,17 +22,17 @@
 
   @Test
   void reportWithoutTokenReadsAsNoToken() throws MalformedMessageException {
-    assertEquals(10, HeartbeatMessages.parseReport(report()).fencingToken().value());
-    ObjectNode without = report();
-    without.remove("baton");
-    assertEquals(Version.NONE, HeartbeatMessages.parseReport(without).fencingToken());
+    assertEquals(10, HeartbeatMessages.parseReport(reportMessage()).fencingToken().value());
+    ObjectNode reportWithoutToken = reportMessage();
+    reportWithoutToken.remove("baton");
+    assertEquals(Version.NONE, HeartbeatMessages.parseReport(reportWithoutToken).fencingToken());
   }
 
   @Test
   void sessionZeroIsRejected() {
     assertThrows(
         MalformedMessageException.class,
-        () -> HeartbeatMessages.parseReport(report().put("tenure", 0)),
+        () -> HeartbeatMessages.parseReport(reportMessage().put("tenure", 0)),
         "tenure");
   }
 
@@ -41,11 +41,11 @@
   void emptyNamesAreRejected(String field) {
     assertThrows(
         MalformedMessageException.class,
-        () -> HeartbeatMessages.parseReport(report().put(field, "")));
+        () -> HeartbeatMessages.parseReport(reportMessage().put(field, "")));
   }
 
   @Test
-  void stayReplyCarriesTokenBelowEveryIssuedOne() {
+  void nonRenewingReplyCarriesTokenBelowEveryIssuedOne() {
     long token = HeartbeatMessages.nonRenewingReply().get("baton").asLong(-1);
     assertEquals(Version.NONE.value(), token);
     assertTrue(token < Version.firstOwnedBy(0).value());
