--- a/src/main/java/io/violetrail/config/Options.java
+++ b/src/main/java/io/violetrail/config/Options.java
@@ -1,6 +1,13 @@
 package io.violetrail.config;
 
-/** Operators' own settings; null or the default unless set by a flag or variable. */
+/**
+ * Settings that an operator sets by flags or environment variables. Those that are not set have the
+ * values of {@link #DEFAULTS}.
+ *
+ * @param leaseTtlSeconds null if not set
+ * @param kubernetesPort null if the Kubernetes API is not served
+ * @param maxTraceSpans null if tracing is disabled
+ */
 public record Options(
     Double leaseTtlSeconds,
     double maxIdleSeconds,
--- a/src/main/java/io/violetrail/config/Settings.java
+++ b/src/main/java/io/violetrail/config/Settings.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The platform's settings file, checked. Unknown fields are ignored. */
+/** The validated contents of the platform's settings file. Unknown fields are ignored. */
 public record Settings(
     ControllerId self,
     String zone,
@@ -31,9 +31,9 @@
     CloudLimits cloudLimits,
     ProcessLimits processLimits) {
 
-  /** An address by number. */
+  /** An address that consists of a host and a port number. */
   public record HostPort(String host, int port) {
-    /** The address in a text like 10.0.0.1:8080; null if it is none. */
+    /** Parses an address such as 10.0.0.1:8080; returns null if the text is not an address. */
     public static HostPort parse(String text) {
       int colon = text == null ? -1 : text.lastIndexOf(':');
       Integer port = colon > 0 ? Ints.tryParse(text.substring(colon + 1)) : null;
@@ -43,28 +43,32 @@
     }
   }
 
-  /** Guarantee and limit of a team; infinite where the file says 0. */
+  /**
+   * The guaranteed and maximum resources of a team. A maximum of 0 or none in the file is read as
+   * infinite.
+   */
   public record Team(
       String name, double guaranteedCpus, double guaranteedGpus, double maxCpus, double maxGpus) {}
 
   /**
-   * A service-level objective that the users state.
+   * A service-level objective that users state for the jobs of a class.
    *
-   * @param kind as in the settings; one that is no {@link Kind} is kept and has no effect
-   * @param jobClass may be null: then it applies to no job class
-   * @param withinSeconds for {@link Kind#WAIT} and {@link Kind#FINISHED}
-   * @param share of the jobs that are to meet it, from 0 to 1
-   * @param deadlineFactor for {@link Kind#DEADLINE}
+   * @param kind as in the settings file; an objective whose text matches no {@link Kind} is kept
+   *     but has no effect
+   * @param jobClass class to which the objective applies; if null, it applies to none
+   * @param withinSeconds time limit of {@link Kind#WAIT} and {@link Kind#FINISHED}
+   * @param share fraction of the jobs that are to meet the objective, from 0 to 1
+   * @param deadlineFactor factor of {@link Kind#DEADLINE} by which a job's deadline is multiplied
    */
   public record Objective(
       String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {
-    /** What is expected of a job. */
+    /** The kinds of objectives. */
     public enum Kind {
-      /** To start within some seconds of its arrival. */
+      /** A job starts within a time limit after its arrival. */
       WAIT("wait"),
-      /** To be complete within some seconds of its arrival. */
+      /** A job completes within a time limit after its arrival. */
       FINISHED("finished"),
-      /** To be complete within its own deadline, times a factor. */
+      /** A job completes within its own deadline multiplied by a factor. */
       DEADLINE("deadline");
 
       private final String settingsText;
@@ -74,13 +78,13 @@
       }
     }
 
-    /** Whether it is of that kind and states something of the job class. */
+    /** Returns whether this objective is of the given kind and applies to the given job class. */
     public boolean applies(Kind expectedKind, String expectedJobClass) {
       return expectedKind.settingsText.equals(kind) && expectedJobClass.equals(jobClass);
     }
   }
 
-  /** The intervals and timeouts that the workers go by, in seconds. */
+  /** The intervals and timeouts of the workers, in seconds. */
   public record WorkerTiming(
       double heartbeatIntervalSeconds,
       double leaseSeconds,
@@ -88,37 +92,40 @@
       double gangPeerTimeoutSeconds,
       double cancelTimeoutSeconds) {}
 
-  /** What the state service allows all controllers together. */
+  /** The limits of the state service, which all controllers share. */
   public record StateStoreLimits(
       double requestsPerSecond,
       double writesPerSecond,
       int maxValueBytes,
       int maxTransactionOperations) {}
 
-  /** What the cloud allows all controllers together. */
+  /** The limits of the cloud provider, which all controllers share. */
   public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
-  /** What this process may use. */
+  /** The resource limits of this process. */
   public record ProcessLimits(double cpuShare, double memoryMb, int maxSockets) {}
 
-  /** A settings file that cannot be used; the message is one clear line. */
+  /** Thrown if the settings cannot be used. The message is a single line. */
   public static final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** A refusal with its reason, on one line. */
+    /** Creates an exception with a reason, which must be a single line. */
     public InvalidSettingsException(String reason) {
       super(reason);
     }
   }
 
-  /** All controllers in the order that gives each its index. */
+  /** Returns all controllers, including this one, in the order that defines their indexes. */
   public List<ControllerId> controllers() {
-    var all = new TreeSet<>(peers.keySet());
-    all.add(self);
-    return List.copyOf(all);
+    var controllers = new TreeSet<>(peers.keySet());
+    controllers.add(self);
+    return List.copyOf(controllers);
   }
 
-  /** The index of a controller, which versions name; -1 if it is not known. */
+  /**
+   * Returns the index of a controller, which an entity's version contains, or -1 for an unknown
+   * controller.
+   */
   public int indexOf(ControllerId id) {
     return controllers().indexOf(id);
   }
@@ -173,15 +180,16 @@
             parseCloudLimits(requireSection(cluster, "cloud")),
             parseProcessLimits(requireSection(cluster, "limits")));
     if (peers.containsKey(settings.self)) {
-      throw new InvalidSettingsException("known names this controller itself, " + settings.self);
+      throw new InvalidSettingsException(
+          "known must list other controllers only, but it lists this controller, " + settings.self);
     }
     if (peers.size() >= Version.INCREMENT) {
       throw new InvalidSettingsException(
-          "known names "
+          "known lists "
               + peers.size()
-              + " controllers, and versions have room for "
+              + " other controllers: a cluster has at most "
               + Version.INCREMENT
-              + " in all");
+              + " controllers, including this one");
     }
     return settings;
   }
@@ -202,9 +210,9 @@
   }
 
   private static List<Objective> parseObjectives(JsonNode cluster) throws InvalidSettingsException {
-    List<Objective> all = new ArrayList<>();
+    List<Objective> objectives = new ArrayList<>();
     for (JsonNode objective : cluster.path("objectives")) {
-      all.add(
+      objectives.add(
           new Objective(
               requireText(objective, "kind"),
               objective.hasNonNull("class") ? requireText(objective, "class") : null,
@@ -212,21 +220,25 @@
               readNumber(objective, "share", 0),
               readNumber(objective, "times", 1)));
     }
-    return List.copyOf(all);
+    return List.copyOf(objectives);
   }
 
   private static WorkerTiming parseWorkerTiming(JsonNode section) throws InvalidSettingsException {
-    WorkerTiming workers =
+    WorkerTiming timing =
         new WorkerTiming(
             requirePositive(section, "report_s"),
             requirePositive(section, "lease_s"),
             requirePositive(section, "gang_wait_s"),
             requirePositive(section, "gang_peer_s"),
             requirePositive(section, "cancel_s"));
-    if (workers.cancelTimeoutSeconds <= workers.leaseSeconds) {
-      throw new InvalidSettingsException("workers.cancel_s must be more than workers.lease_s");
+    if (timing.cancelTimeoutSeconds <= timing.leaseSeconds) {
+      throw new InvalidSettingsException(
+          "workers.cancel_s must be more than workers.lease_s, received cancel_s "
+              + timing.cancelTimeoutSeconds
+              + " and lease_s "
+              + timing.leaseSeconds);
     }
-    return workers;
+    return timing;
   }
 
   private static StateStoreLimits parseStateStoreLimits(JsonNode section)
@@ -253,14 +265,17 @@
   private static JsonNode requireSection(JsonNode parent, String name)
       throws InvalidSettingsException {
     if (!parent.path(name).isObject()) {
-      throw new InvalidSettingsException("section " + name + " is missing");
+      throw new InvalidSettingsException("section " + name + " is missing or not a table");
     }
     return parent.get(name);
   }
 
   private static String requireText(JsonNode section, String name) throws InvalidSettingsException {
     if (!section.path(name).isTextual() || section.get(name).asText().isBlank()) {
-      throw new InvalidSettingsException(name + " must be text");
+      throw new InvalidSettingsException(
+          name
+              + " must be text that is not blank, received "
+              + (section.hasNonNull(name) ? section.get(name) : "nothing"));
     }
     return section.get(name).asText();
   }
@@ -272,7 +287,8 @@
       return defaultValue;
     }
     if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
-      throw new InvalidSettingsException(name + " must be a number of at least 0");
+      throw new InvalidSettingsException(
+          name + " must be a number of at least 0, received " + value);
     }
     return value.asDouble();
   }
@@ -281,7 +297,8 @@
       throws InvalidSettingsException {
     double value = readNumber(section, name, 0);
     if (value <= 0) {
-      throw new InvalidSettingsException(name + " must be a number above 0");
+      throw new InvalidSettingsException(
+          name + " must be a number above 0, received " + (section.has(name) ? value : "nothing"));
     }
     return value;
   }
@@ -299,6 +316,6 @@
       return address;
     }
     throw new InvalidSettingsException(
-        name + " must be an address like 10.0.0.1:8080, not " + text);
+        name + " must be an address such as 10.0.0.1:8080, received " + text);
   }
 }
--- a/src/test/java/io/violetrail/config/SettingsTest.java
+++ b/src/test/java/io/violetrail/config/SettingsTest.java
@@ -10,14 +10,14 @@
 class SettingsTest {
   @Test
   void invalidSettingsAreReportedInOneLine() throws Exception {
-    var missing =
+    var missingFile =
         assertThrows(
             Settings.InvalidSettingsException.class,
             () -> Settings.load(Path.of("no-such-file.toml")));
-    assertTrue(missing.getMessage().contains("no-such-file.toml"));
-    var empty = new TomlMapper().readTree("label = \"a\"");
-    var invalid =
-        assertThrows(Settings.InvalidSettingsException.class, () -> Settings.parse(empty));
-    assertTrue(invalid.getMessage().lines().count() == 1);
+    assertTrue(missingFile.getMessage().contains("no-such-file.toml"));
+    var incomplete = new TomlMapper().readTree("label = \"a\"");
+    var missingSection =
+        assertThrows(Settings.InvalidSettingsException.class, () -> Settings.parse(incomplete));
+    assertTrue(missingSection.getMessage().lines().count() == 1);
   }
 }
