--- a/src/main/java/io/violetrail/net/CoalescingTimer.java
+++ b/src/main/java/io/violetrail/net/CoalescingTimer.java
@@ -1,6 +1,6 @@
 package io.violetrail.net;
 
-/** Runs a step a moment after it was asked for: once, however often it is asked for until then. */
+/** Runs a task once after a delay, however often it is requested during that delay. */
 public final class CoalescingTimer {
   private final EventLoop loop;
   private final Runnable task;
@@ -11,7 +11,10 @@
     this.task = task;
   }
 
-  /** Asks for the step; the first who asks decides when. */
+  /**
+   * Schedules a run of the task after a delay. Has no effect while a run is scheduled: the first
+   * call determines the time.
+   */
   public void schedule(double seconds) {
     if (!scheduled) {
       scheduled = true;
--- a/src/main/java/io/violetrail/net/EventLoop.java
+++ b/src/main/java/io/violetrail/net/EventLoop.java
@@ -1,35 +1,36 @@
 package io.violetrail.net;
 
 /**
- * Time and turns. Every callback of a controller, be it a timer, an answer or a request, runs while
- * the controller's one short lock is held; none of them waits for I/O.
+ * The clocks and the callback executor of a controller. Every callback (timer, response or request)
+ * runs while the controller's single lock is held, so callbacks are short and never wait for I/O.
  */
 public interface EventLoop {
-  /** The steady clock. */
+  /** Returns the reading of the monotonic clock. */
   long monotonicNanos();
 
-  /** The time of day, which may wander within the settings' bound. */
+  /** Returns the wall clock time, whose error is within the bound in the settings. */
   long wallMillis();
 
-  /** Runs the task soon, under the lock. */
+  /** Runs the task as soon as possible, while the lock is held. */
   void execute(Runnable task);
 
-  /** Runs the task after a while, under the lock. */
+  /** Runs the task after a delay, while the lock is held. */
   Cancellable schedule(double seconds, Runnable task);
 
-  /** A timer that can be called off. */
+  /** A scheduled task that can be cancelled. */
   interface Cancellable {
-    /** Keeps the task from running, unless it has begun. */
+    /** Cancels the task. Has no effect if the task has started. */
     void cancel();
   }
 
-  /** The steady clock, in seconds. */
+  /** Returns the reading of the monotonic clock, in seconds. */
   default double monotonicSeconds() {
     return monotonicNanos() / 1e9;
   }
 
   /**
-   * Runs the task again and again, {@code seconds} after each run's end; a failure does not end it.
+   * Runs the task repeatedly, each time {@code seconds} after the end of the previous run. A run
+   * that throws does not stop the repetition.
    */
   default void scheduleWithFixedDelay(double seconds, Runnable task) {
     schedule(
--- a/src/main/java/io/violetrail/net/HttpClient.java
+++ b/src/main/java/io/violetrail/net/HttpClient.java
@@ -3,24 +3,27 @@
 import io.violetrail.config.Settings.HostPort;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls to other services. */
+/** Sends HTTP requests to other services. */
 public interface HttpClient {
   /**
-   * Sends one request. The future fails if no answer came in time: the request may then have been
-   * carried out, or may be later.
+   * Sends one request. The future fails if no response arrives within the timeout. In that case the
+   * request may have been executed, or may still be executed later.
    */
   CompletableFuture<ClientReply> call(
       HostPort address, String method, String path, byte[] body, double timeoutSeconds);
 
-  /** The same to a place that is rarely called: no connection to it is kept. */
+  /**
+   * Sends one request as {@link #call} does, but keeps no connection open. For addresses that are
+   * called rarely.
+   */
   default CompletableFuture<ClientReply> callOnce(
       HostPort address, String method, String path, byte[] body, double timeoutSeconds) {
     return call(address, method, path, body, timeoutSeconds);
   }
 
-  /** An answer. */
+  /** The response to a request. */
   record ClientReply(int status, byte[] body) {
-    /** Whether the status is 200. */
+    /** Returns whether the status is 200. */
     public boolean isOk() {
       return status == 200;
     }
--- a/src/main/java/io/violetrail/net/JsonAnswers.java
+++ b/src/main/java/io/violetrail/net/JsonAnswers.java
@@ -6,14 +6,14 @@
 import io.violetrail.wire.kubernetes.KubernetesJson;
 import io.violetrail.wire.kubernetes.KubernetesJson.MalformedRequestException;
 
-/** HTTP answers in JSON, as operators' APIs give them. */
+/** Creates the JSON responses of the APIs for operators. */
 public final class JsonAnswers {
   private static final int UNAVAILABLE = 503;
   private static final int RETRY_AFTER_SECONDS = 1;
 
   private JsonAnswers() {}
 
-  /** An answer with a JSON body; one of status 503 says to come back after a second. */
+  /** Returns a response with a JSON body. With status 503 it asks to retry after one second. */
   public static HttpAnswer of(int status, JsonNode body) {
     return new HttpAnswer(
         status,
@@ -22,12 +22,12 @@
         "application/json");
   }
 
-  /** An answer whose field {@code error} says what is wrong. */
+  /** Returns a response whose field {@code error} contains the reason. */
   public static HttpAnswer error(int status, String reason) {
     return of(status, Cbor.newMap().put("error", reason));
   }
 
-  /** Status 400 with the path and the reason of what cannot be read. */
+  /** Returns status 400 with the path of the invalid field, if known, and the reason. */
   public static HttpAnswer malformed(MalformedRequestException exception) {
     String location = exception.path().isEmpty() ? "" : exception.path() + ": ";
     return error(400, location + exception.getMessage());
--- a/src/main/java/io/violetrail/net/RateLimiter.java
+++ b/src/main/java/io/violetrail/net/RateLimiter.java
@@ -1,6 +1,6 @@
 package io.violetrail.net;
 
-/** A token bucket over the steady clock. */
+/** A token bucket. Callers pass the current reading of the monotonic clock, in seconds. */
 public final class RateLimiter {
   private double permitsPerSecond;
   private double burst;
@@ -10,9 +10,9 @@
   /**
    * Creates a full token bucket.
    *
-   * @param permitsPerSecond tokens added per second
+   * @param permitsPerSecond permits added per second
    * @param burst capacity, at least 1
-   * @param nowSeconds steady clock reading, in seconds
+   * @param nowSeconds monotonic clock reading, in seconds
    */
   public RateLimiter(double permitsPerSecond, double burst, double nowSeconds) {
     this.permitsPerSecond = permitsPerSecond;
@@ -22,8 +22,9 @@
   }
 
   /**
-   * Takes {@code requested} if they are there. More than a burst goes through when the bucket is
-   * full.
+   * Takes the requested permits if they are available and returns whether it did. A request for
+   * more than the burst succeeds when the bucket is full, which leaves a negative number of
+   * permits.
    */
   public boolean tryAcquire(double requested, double nowSeconds) {
     if (!canAcquire(requested, nowSeconds)) {
@@ -33,57 +34,61 @@
     return true;
   }
 
-  /** Takes {@code requested} whatever is there, for what cannot wait; later takers pay for it. */
+  /**
+   * Takes the requested permits even if they are not available, for requests that cannot wait. The
+   * number of permits may become negative, which delays later requests.
+   */
   public void acquireUnconditionally(double requested, double nowSeconds) {
     refill(nowSeconds);
     permits -= requested;
   }
 
-  /** Whether {@code requested} are there, or the bucket is full. */
+  /** Returns whether the requested permits are available or the bucket is full. */
   public boolean canAcquire(double requested, double nowSeconds) {
     refill(nowSeconds);
     return permits >= Math.min(requested, burst);
   }
 
-  /** What is there beyond {@code reserved}. */
+  /** Returns the number of available permits above {@code reserved}, at least 0. */
   public double surplusAbove(double reserved, double nowSeconds) {
     refill(nowSeconds);
     return Math.max(0, permits - reserved);
   }
 
-  /** How much of {@code requested} is missing. */
+  /** Returns how many of the requested permits are not available, at least 0. */
   public double shortfall(double requested, double nowSeconds) {
     refill(nowSeconds);
     return Math.max(0, requested - permits);
   }
 
-  /** Adds what another bucket has given up, above the burst if need be. */
-  public void addPermits(double requested, double nowSeconds) {
+  /** Adds permits that were taken from another bucket. The total may exceed the burst. */
+  public void addPermits(double added, double nowSeconds) {
     refill(nowSeconds);
-    permits += requested;
+    permits += added;
   }
 
-  /** What the bucket holds when it is full. */
+  /** Returns the capacity of the bucket. */
   public double burst() {
     return burst;
   }
 
-  /** Changes the rate and the burst from now on. */
+  /** Sets the rate, and the burst to the permits of one second, at least 1. */
   public void setRateAndBurst(double newPermitsPerSecond, double nowSeconds) {
     setRate(newPermitsPerSecond, nowSeconds);
     burst = Math.max(1, newPermitsPerSecond);
-    // A smaller part begins with no more than its own: what was above it is the others' now.
+    // When this controller's share shrinks, the permits above its new burst belong to the other
+    // controllers.
     permits = Math.min(permits, burst);
   }
 
-  /** Changes the rate from now on. */
+  /** Sets the rate from the given time on. The burst stays unchanged. */
   public void setRate(double newPermitsPerSecond, double nowSeconds) {
     refill(nowSeconds);
     permitsPerSecond = newPermitsPerSecond;
   }
 
   private void refill(double nowSeconds) {
-    // What was added above the burst stays, and grows no further.
+    // Permits above the burst, which addPermits may have added, are kept but are not increased.
     permits =
         Math.max(
             permits,
--- a/src/main/java/io/violetrail/net/RequestCoalescer.java
+++ b/src/main/java/io/violetrail/net/RequestCoalescer.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 
 /**
- * Shares a question among those who ask it at about the same time: one is under way, and all who
- * come meanwhile get the answer to the next one. Nobody gets the answer to a question that was
- * asked before they came, which may be older than what they know.
+ * Coalesces concurrent requests for the same key. At most one request per key is in flight; all
+ * calls made meanwhile share the next one. A call never receives the response to a request that was
+ * sent before the call, because that response may be older than what the caller already knows.
  */
 public final class RequestCoalescer<K, V> {
   private final Function<K, CompletableFuture<V>> sendRequest;
@@ -23,12 +23,12 @@
   }
 
   /**
-   * Returns the answer to the question from a request sent after this call; questions that arrive
-   * while one is in flight share the next request.
+   * Returns the response to a request for the key that is sent during or after this call. Calls
+   * made while a request for the key is in flight share the next request.
    */
   public CompletableFuture<V> request(K key) {
     if (inFlight.contains(key)) {
-      return queuedAnswers.computeIfAbsent(key, q -> new CompletableFuture<>());
+      return queuedAnswers.computeIfAbsent(key, k -> new CompletableFuture<>());
     }
     CompletableFuture<V> answer = new CompletableFuture<>();
     send(key, answer);
@@ -53,6 +53,6 @@
                     answer.completeExceptionally(failure);
                   }
                 }),
-        "ask a shared question");
+        "send a coalesced request");
   }
 }
--- a/src/main/java/io/violetrail/net/UndertowEventLoop.java
+++ b/src/main/java/io/violetrail/net/UndertowEventLoop.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The loop over XNIO's I/O threads. */
+/** An event loop that runs its callbacks on an XNIO I/O thread. */
 public final class UndertowEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(UndertowEventLoop.class);
   private final XnioIoThread thread;
@@ -17,13 +17,16 @@
     this.thread = thread;
   }
 
-  /** Runs a callback under the lock. A failure is logged; it ends that callback only. */
+  /**
+   * Runs a callback on the calling thread while the lock is held. An exception is logged and ends
+   * only this callback.
+   */
   public void runLocked(Runnable task) {
     lock.lock();
     try {
       task.run();
     } catch (RuntimeException exception) {
-      LOG.error("a callback failed", exception);
+      LOG.error("event loop callback failed", exception);
     } finally {
       lock.unlock();
     }
--- a/src/main/java/io/violetrail/net/UndertowHttpClient.java
+++ b/src/main/java/io/violetrail/net/UndertowHttpClient.java
@@ -25,7 +25,10 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Undertow's client with a bounded pool of connections to each place, one request on each. */
+/**
+ * An HTTP client on Undertow with a bounded connection pool for each address. A connection carries
+ * one request at a time.
+ */
 public final class UndertowHttpClient implements HttpClient {
   private static final int MAX_CONNECTIONS_PER_ADDRESS = 8;
   private static final int MAX_QUEUED_CALLS = 128;
@@ -64,7 +67,18 @@
       ConnectionPool pool, String method, String path, byte[] body, double timeoutSeconds) {
     PendingCall call = new PendingCall(pool, method, path, body);
     call.timer =
-        loop.schedule(timeoutSeconds, () -> call.fail(new IOException("no answer in time")));
+        loop.schedule(
+            timeoutSeconds,
+            () ->
+                call.fail(
+                    new IOException(
+                        "no response from "
+                            + pool.address.host()
+                            + ":"
+                            + pool.address.port()
+                            + " within "
+                            + timeoutSeconds
+                            + " s")));
     pool.startOrQueue(call);
     return call.future;
   }
@@ -98,7 +112,13 @@
       } else if (queuedCalls.size() < MAX_QUEUED_CALLS) {
         queuedCalls.add(call);
       } else {
-        call.fail(new IOException("too many requests wait for " + address.host()));
+        call.fail(
+            new IOException(
+                MAX_QUEUED_CALLS
+                    + " requests are already queued for "
+                    + address.host()
+                    + ":"
+                    + address.port()));
       }
     }
 
@@ -206,8 +226,8 @@
               exchange.setResponseListener(
                   new ExchangeCallback() {
                     @Override
-                    void onExchange(ClientExchange answered) {
-                      readResponse(answered, answered.getResponseChannel());
+                    void onExchange(ClientExchange answeredExchange) {
+                      readResponse(answeredExchange, answeredExchange.getResponseChannel());
                     }
                   });
               writeRequest(exchange.getRequestChannel());
@@ -288,7 +308,7 @@
           responseBody.write(buffer.array(), 0, bytesRead);
           buffer.clear();
           if (responseBody.size() > MAX_RESPONSE_BYTES) {
-            throw new IOException("the answer is too long");
+            throw new IOException("response body exceeds " + MAX_RESPONSE_BYTES + " bytes");
           }
         }
       } catch (IOException exception) {
@@ -305,8 +325,8 @@
           !"close"
               .equalsIgnoreCase(
                   exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
-      // The connection is free only once Undertow has finished the exchange, which is after this
-      // turn.
+      // Undertow finishes the exchange after this callback returns, so the connection can be reused
+      // only in a later callback.
       loop.execute(() -> pool.releaseConnection(connection, reusable));
       future.complete(
           new ClientReply(exchange.getResponse().getResponseCode(), responseBody.toByteArray()));
--- a/src/main/java/io/violetrail/net/UndertowServer.java
+++ b/src/main/java/io/violetrail/net/UndertowServer.java
@@ -11,8 +11,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Serves a {@link RequestHandler} over HTTP. Bodies are bounded and read whole before the service
- * sees them.
+ * Serves a {@link RequestHandler} over HTTP. Request bodies are limited in size and are read
+ * completely before the handler is called.
  */
 public final class UndertowServer {
   public static final int MAX_BODY_BYTES = 64 * 1024;
@@ -20,28 +20,28 @@
 
   private UndertowServer() {}
 
-  /** Opens an HTTP listener for the service and returns once it accepts connections. */
+  /** Opens an HTTP listener for the handler and returns once it accepts connections. */
   public static void start(
       HostPort address,
-      RequestHandler service,
+      RequestHandler handler,
       UndertowEventLoop loop,
       XnioWorker worker,
       ByteBufferPool buffers) {
     boundedListener(address, worker, buffers)
-        .setHandler(exchange -> receiveBody(exchange, service, loop))
+        .setHandler(exchange -> receiveBody(exchange, handler, loop))
         .build()
         .start();
   }
 
-  /** A listener whose requests, headers and waits are bounded. */
+  /** Returns a builder for a listener with limits on body size, header size and idle time. */
   public static Undertow.Builder boundedListener(
       HostPort address, XnioWorker worker, ByteBufferPool buffers) {
     return Undertow.builder()
         .addHttpListener(address.port(), address.host())
         .setWorker(worker)
         .setByteBufferPool(buffers)
-        // One byte more than the limit is let through, so that the service itself can tell the
-        // user.
+        // One byte more than the limit is accepted, so that the handler can reject the request with
+        // an error text for the user.
         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_BODY_BYTES + 1)
         .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 8192)
         .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
@@ -50,7 +50,7 @@
   }
 
   private static void receiveBody(
-      HttpServerExchange exchange, RequestHandler service, UndertowEventLoop loop) {
+      HttpServerExchange exchange, RequestHandler handler, UndertowEventLoop loop) {
     if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
       sendAnswer(exchange, RequestHandler.HttpAnswer.empty(400));
@@ -62,7 +62,7 @@
             (ex, body) ->
                 ex.dispatch(
                     SameThreadExecutor.INSTANCE,
-                    () -> loop.runLocked(() -> handleRequest(ex, body, service))),
+                    () -> loop.runLocked(() -> handleRequest(ex, body, handler))),
             (ex, failure) -> {
               ex.setPersistent(false);
               sendAnswer(ex, RequestHandler.HttpAnswer.empty(400));
@@ -70,12 +70,12 @@
   }
 
   private static void handleRequest(
-      HttpServerExchange exchange, byte[] body, RequestHandler service) {
+      HttpServerExchange exchange, byte[] body, RequestHandler handler) {
     String method = exchange.getRequestMethod().toString();
     String query = exchange.getQueryString();
     String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
     try {
-      service.handle(method, path, body, answer -> sendAnswer(exchange, answer));
+      handler.handle(method, path, body, answer -> sendAnswer(exchange, answer));
     } catch (RuntimeException exception) {
       sendAnswer(exchange, RequestHandler.HttpAnswer.empty(500));
       throw exception;
--- a/src/test/java/io/violetrail/net/RateLimiterTest.java
+++ b/src/test/java/io/violetrail/net/RateLimiterTest.java
@@ -8,7 +8,7 @@
 
 class RateLimiterTest {
   @Test
-  void addedTokensAboveTheBurstStayAndDoNotGrow() {
+  void permitsAddedAboveBurstAreKeptWithoutRefill() {
     RateLimiter limiter = new RateLimiter(4, 4, 0);
     limiter.addPermits(3, 0);
     assertEquals(7, limiter.surplusAbove(0, 100), 1e-9);
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void lentTokensAreMissingUntilRefilled() {
+  void permitsTakenForLendingAreMissingUntilRefilled() {
     RateLimiter limiter = new RateLimiter(4, 4, 0);
     limiter.acquireUnconditionally(limiter.surplusAbove(2, 0), 0);
     assertEquals(0, limiter.surplusAbove(2, 0), 1e-9);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void shrunkLimiterStartsWithNoMoreThanItsNewBurst() {
+  void reducedBurstCapsAvailablePermits() {
     RateLimiter limiter = new RateLimiter(9, 9, 0);
     limiter.setRateAndBurst(4, 0);
     assertEquals(4, limiter.surplusAbove(0, 0), 1e-9);
