--- a/src/test/java/io/violetrail/compatibility/PeerMessagesCompatibilityTest.java
+++ b/src/test/java/io/violetrail/compatibility/PeerMessagesCompatibilityTest.java
@@ -28,12 +28,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Controllers' messages to each other, as bytes that an earlier program wrote: during a rolling
- * restart both versions must mean the same by them. Each example has distinct values in all
- * components of a type, and one with each flag set alone, so that no two can be swapped unseen. The
- * names of the examples are text of their own: constants may be renamed, but not moved.
+ * Messages between controllers, as bytes that an earlier release wrote: during a rolling restart
+ * both releases must understand them alike. The examples of a type have distinct values in all its
+ * components, and for each flag one example sets it alone, so that swapped components are noticed.
+ * The names of the examples are independent of the code: enum constants may be renamed, but not
+ * reordered.
  *
- * <p>The bytes in {@code peer-messages.txt} are never written anew to make this test pass.
+ * <p>Never rewrite the bytes in {@code peer-messages.txt} to make this test pass.
  */
 class PeerMessagesCompatibilityTest {
   private static final Map<String, String> RECORDED = Recording.lines("peer-messages.txt");
@@ -42,51 +43,63 @@
   private final PeerCodec codec = new PeerCodec();
 
   static Map<String, Record> examples() {
-    Map<String, Record> all = new LinkedHashMap<>();
-    all.put("question-VIEW", question(PeerRequestKind.VIEW, 1001));
-    all.put("question-CANCEL", question(PeerRequestKind.CANCEL, 1002));
-    all.put("question-HAND_BACK", question(PeerRequestKind.HAND_BACK, 1003));
-    all.put("question-MOVED", question(PeerRequestKind.MOVED, 1004));
-    all.put("question-RESOURCES", question(PeerRequestKind.RESOURCES, 1005));
-    all.put("question-SOLD_OUT", question(PeerRequestKind.SOLD_OUT, 1006));
-    all.put("question-HEARS", question(PeerRequestKind.HEARS, 1007));
-    all.put("question-CONFIGURATION", question(PeerRequestKind.CONFIGURATION, 1008));
-    all.put("question-BUDGET", question(PeerRequestKind.BUDGET, 1009));
-    all.put("question-machines", resources(machines(false, false, false)));
-    all.put("question-machines-spot", resources(machines(true, false, false)));
-    all.put("question-machines-starving", resources(machines(false, true, false)));
-    all.put("question-machines-may-evict", resources(machines(false, false, true)));
-    all.put("question-slice", resources(slice()));
-    all.put("question-machines-and-slice", resources(machines(true, true, true), slice()));
-    all.put("question-of-a-job-PRODUCTION", resources(ofJob(Priority.PRODUCTION)));
-    all.put("question-of-a-job-HIGH", resources(ofJob(Priority.HIGH)));
-    all.put("question-of-a-job-NORMAL", resources(ofJob(Priority.NORMAL)));
-    all.put("question-of-a-job-LOW", resources(ofJob(Priority.LOW)));
-    all.put("question-slice-of-a-job", resources(sliceOfJob()));
-    all.put("reply-unknown", new PeerResponse(false, list(), list(), 0));
-    all.put("reply-known", new PeerResponse(true, list(), list(), 0));
-    all.put("reply-number", new PeerResponse(true, list(), list(), 2_750));
-    all.put("reply-view-QUEUED", reply(JobView.JobStatus.QUEUED));
-    all.put("reply-view-RUNNING", reply(JobView.JobStatus.RUNNING));
-    all.put("reply-view-DONE", reply(JobView.JobStatus.DONE));
-    all.put("reply-view-CANCELLED", reply(JobView.JobStatus.CANCELLED));
-    all.put(
+    Map<String, Record> examples = new LinkedHashMap<>();
+    examples.put("question-VIEW", request(PeerRequestKind.VIEW, 1001));
+    examples.put("question-CANCEL", request(PeerRequestKind.CANCEL, 1002));
+    examples.put("question-HAND_BACK", request(PeerRequestKind.HAND_BACK, 1003));
+    examples.put("question-MOVED", request(PeerRequestKind.MOVED, 1004));
+    examples.put("question-RESOURCES", request(PeerRequestKind.RESOURCES, 1005));
+    examples.put("question-SOLD_OUT", request(PeerRequestKind.SOLD_OUT, 1006));
+    examples.put("question-HEARS", request(PeerRequestKind.HEARS, 1007));
+    examples.put("question-CONFIGURATION", request(PeerRequestKind.CONFIGURATION, 1008));
+    examples.put("question-BUDGET", request(PeerRequestKind.BUDGET, 1009));
+    examples.put("question-machines", resourcesRequest(machineRequest(false, false, false)));
+    examples.put("question-machines-spot", resourcesRequest(machineRequest(true, false, false)));
+    examples.put(
+        "question-machines-starving", resourcesRequest(machineRequest(false, true, false)));
+    examples.put(
+        "question-machines-may-evict", resourcesRequest(machineRequest(false, false, true)));
+    examples.put("question-slice", resourcesRequest(quotaShareRequest()));
+    examples.put(
+        "question-machines-and-slice",
+        resourcesRequest(machineRequest(true, true, true), quotaShareRequest()));
+    examples.put(
+        "question-of-a-job-PRODUCTION", resourcesRequest(machineRequestOfJob(Priority.PRODUCTION)));
+    examples.put("question-of-a-job-HIGH", resourcesRequest(machineRequestOfJob(Priority.HIGH)));
+    examples.put(
+        "question-of-a-job-NORMAL", resourcesRequest(machineRequestOfJob(Priority.NORMAL)));
+    examples.put("question-of-a-job-LOW", resourcesRequest(machineRequestOfJob(Priority.LOW)));
+    examples.put("question-slice-of-a-job", resourcesRequest(quotaShareRequestOfJob()));
+    examples.put("reply-unknown", new PeerResponse(false, list(), list(), 0));
+    examples.put("reply-known", new PeerResponse(true, list(), list(), 0));
+    examples.put("reply-number", new PeerResponse(true, list(), list(), 2_750));
+    examples.put("reply-view-QUEUED", jobViewReply(JobView.JobStatus.QUEUED));
+    examples.put("reply-view-RUNNING", jobViewReply(JobView.JobStatus.RUNNING));
+    examples.put("reply-view-DONE", jobViewReply(JobView.JobStatus.DONE));
+    examples.put("reply-view-CANCELLED", jobViewReply(JobView.JobStatus.CANCELLED));
+    examples.put(
         "reply-views",
         new PeerResponse(
             true,
-            list(view("job-1", JobView.JobStatus.QUEUED), view("job-2", JobView.JobStatus.DONE)),
+            list(
+                jobView("job-1", JobView.JobStatus.QUEUED),
+                jobView("job-2", JobView.JobStatus.DONE)),
             list(),
             0));
-    all.put("reply-configuration-fresh", new PeerResponse(true, list(), list(state(true)), 0));
-    all.put("reply-configuration-not-fresh", new PeerResponse(true, list(), list(state(false)), 0));
-    all.put(
+    examples.put(
+        "reply-configuration-fresh",
+        new PeerResponse(true, list(), list(configurationState(true)), 0));
+    examples.put(
+        "reply-configuration-not-fresh",
+        new PeerResponse(true, list(), list(configurationState(false)), 0));
+    examples.put(
         "reply-with-all",
         new PeerResponse(
             false,
-            list(view("job-1", JobView.JobStatus.RUNNING)),
-            list(state(true), state(false)),
+            list(jobView("job-1", JobView.JobStatus.RUNNING)),
+            list(configurationState(true), configurationState(false)),
             7));
-    return all;
+    return examples;
   }
 
   @SafeVarargs
@@ -98,19 +111,19 @@
     return all;
   }
 
-  private static PeerRequest question(PeerRequestKind kind, long number) {
+  private static PeerRequest request(PeerRequestKind kind, long number) {
     return new PeerRequest(kind, "c1", "subject", number, list());
   }
 
-  private static PeerResponse reply(JobView.JobStatus status) {
-    return new PeerResponse(true, list(view("job-1", status)), list(), 0);
+  private static PeerResponse jobViewReply(JobView.JobStatus status) {
+    return new PeerResponse(true, list(jobView("job-1", status)), list(), 0);
   }
 
-  private static PeerRequest resources(ResourceRequest... requests) {
+  private static PeerRequest resourcesRequest(ResourceRequest... requests) {
     return new PeerRequest(PeerRequestKind.RESOURCES, "c1", "c2", 0, list(requests));
   }
 
-  private static ResourceRequest machines(boolean spot, boolean starving, boolean mayEvict) {
+  private static ResourceRequest machineRequest(boolean spot, boolean starving, boolean mayEvict) {
     return new ResourceRequest(
         false,
         "job-7",
@@ -130,7 +143,7 @@
         "c0");
   }
 
-  private static ResourceRequest slice() {
+  private static ResourceRequest quotaShareRequest() {
     return new ResourceRequest(
         true,
         "job-8",
@@ -150,7 +163,7 @@
         "");
   }
 
-  private static JobSpec job(Priority priority) {
+  private static JobSpec jobSpec(Priority priority) {
     return new JobSpec(
         new JobId("job-9"),
         "plain",
@@ -172,30 +185,30 @@
         900.0);
   }
 
-  private static ResourceRequest ofJob(Priority priority) {
-    return ResourceRequest.forMachines(job(priority), 4, 1_700_000_000_789L, 1.75, true, false);
+  private static ResourceRequest machineRequestOfJob(Priority priority) {
+    return ResourceRequest.forMachines(jobSpec(priority), 4, 1_700_000_000_789L, 1.75, true, false);
   }
 
-  private static ResourceRequest sliceOfJob() {
+  private static ResourceRequest quotaShareRequestOfJob() {
     Resources lacking = new Resources(5.75, 6.75, 7.75);
-    return ResourceRequest.forQuotaShare(job(Priority.HIGH), lacking, 1_700_000_000_999L)
+    return ResourceRequest.forQuotaShare(jobSpec(Priority.HIGH), lacking, 1_700_000_000_999L)
         .fromDonor(new ControllerId("c2"), new Resources(2.75, 3.75, 4.75));
   }
 
-  private static JobViewMessage view(String job, JobView.JobStatus status) {
+  private static JobViewMessage jobView(String job, JobView.JobStatus status) {
     return new JobViewMessage(job, status.name(), 3, 13, "c2");
   }
 
-  private static ConfigurationState state(boolean fresh) {
+  private static ConfigurationState configurationState(boolean fresh) {
     return new ConfigurationState("c2", 17, 250, 1_700_000_001_000L, fresh);
   }
 
   @Test
-  void everyKindOfQuestionHasAnExample() {
+  void everyRequestKindHasAnExample() {
     Set<PeerRequestKind> kinds = EnumSet.noneOf(PeerRequestKind.class);
     for (Record example : EXAMPLES.values()) {
-      if (example instanceof PeerRequest question) {
-        kinds.add(question.kind());
+      if (example instanceof PeerRequest request) {
+        kinds.add(request.kind());
       }
     }
     assertEquals(EnumSet.allOf(PeerRequestKind.class), kinds);
@@ -212,7 +225,7 @@
 
   @ParameterizedTest
   @MethodSource("recorded")
-  void recordedBytesMeanTheSame(String name) {
+  void recordedBytesDecodeToTheExample(String name) {
     byte[] bytes = HexFormat.of().parseHex(RECORDED.get(name));
     Record expected = EXAMPLES.get(name);
     assertEquals(expected, codec.decode(bytes, expected.getClass()));
@@ -220,7 +233,7 @@
 
   @ParameterizedTest
   @MethodSource("recorded")
-  void theSameBytesAreWritten(String name) {
+  void exampleEncodesToTheRecordedBytes(String name) {
     assertEquals(RECORDED.get(name), HexFormat.of().formatHex(codec.encode(EXAMPLES.get(name))));
   }
 }
--- a/src/test/java/io/violetrail/compatibility/ProtocolFieldsTest.java
+++ b/src/test/java/io/violetrail/compatibility/ProtocolFieldsTest.java
@@ -41,8 +41,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The protocol's field names and words as text. No constant of the program stands on both sides of
- * a comparison here, so none can be renamed unseen.
+ * Compares the protocols' field names and enumerated values with literal text. No constant of the
+ * program is on both sides of a comparison, so changing the value of one is always noticed.
  */
 class ProtocolFieldsTest {
   private static final String SUBMISSION =
@@ -89,17 +89,18 @@
   void submissionFields() throws MalformedMessageException {
     assertEquals(SUBMITTED, JobMessages.parseSubmission(json(SUBMISSION)));
     assertEquals(SUBMISSION, JobMessages.submissionMessage(SUBMITTED).toString());
-    String spread = SUBMISSION.replace("true,\"apart\":false", "false,\"apart\":true");
-    JobSpec read =
-        JobMessages.parseSubmission(json(spread.replace("loaners\":true", "loaners\":false")));
-    assertFalse(read.singleZone());
-    assertTrue(read.spreadAcrossZones());
-    assertFalse(read.spotAllowed());
+    String spreadSubmission = SUBMISSION.replace("true,\"apart\":false", "false,\"apart\":true");
+    JobSpec spreadJob =
+        JobMessages.parseSubmission(
+            json(spreadSubmission.replace("loaners\":true", "loaners\":false")));
+    assertFalse(spreadJob.singleZone());
+    assertTrue(spreadJob.spreadAcrossZones());
+    assertFalse(spreadJob.spotAllowed());
   }
 
   @ParameterizedTest
   @CsvSource({"batch,ARRAY", "ensemble,GANG", "daemon,SERVICE"})
-  void shapes(String word, JobShape shape) throws MalformedMessageException {
+  void jobShapes(String word, JobShape shape) throws MalformedMessageException {
     JsonNode submission = json(SUBMISSION.replace("ensemble", word));
     assertEquals(shape, JobMessages.parseSubmission(submission).shape());
     assertEquals(
@@ -109,7 +110,7 @@
 
   @ParameterizedTest
   @CsvSource({"prod,PRODUCTION", "high,HIGH", "normal,NORMAL", "low,LOW"})
-  void urgencies(String word, Priority priority) throws MalformedMessageException {
+  void jobPriorities(String word, Priority priority) throws MalformedMessageException {
     JsonNode submission = json(SUBMISSION.replace("\"high\"", "\"" + word + "\""));
     assertEquals(priority, JobMessages.parseSubmission(submission).priority());
     assertEquals(
@@ -119,7 +120,7 @@
 
   @ParameterizedTest
   @CsvSource({"queued,QUEUED", "running,RUNNING", "done,DONE", "cancelled,CANCELLED"})
-  void jobViews(String word, JobView.JobStatus status) {
+  void jobStatuses(String word, JobView.JobStatus status) {
     assertEquals(
         "{\"name_id\":\"job-000412\",\"status\":\"%s\",\"done\":3,\"running\":13}".formatted(word),
         JobMessages.viewMessage(new JobView("job-000412", status, 3, 13)).toString());
@@ -152,7 +153,8 @@
         HeartbeatMessages.parseReport(json(report)));
   }
 
-  private static TaskReport reported(String status, String cause) throws MalformedMessageException {
+  private static TaskReport parseTaskReport(String status, String cause)
+      throws MalformedMessageException {
     return HeartbeatMessages.parseReport(
             json(
                 """
@@ -172,7 +174,7 @@
     "ended,EXITED"
   })
   void taskStates(String word, TaskState state) throws MalformedMessageException {
-    assertEquals(state, reported(word, "done").state());
+    assertEquals(state, parseTaskReport(word, "done").state());
   }
 
   @ParameterizedTest
@@ -187,7 +189,7 @@
     "unknown,UNKNOWN"
   })
   void exitCauses(String word, ExitCause cause) throws MalformedMessageException {
-    assertEquals(cause, reported("ended", word).exitCause());
+    assertEquals(cause, parseTaskReport("ended", word).exitCause());
   }
 
   @Test
@@ -216,7 +218,7 @@
   }
 
   @Test
-  void flavors() throws MalformedMessageException {
+  void machineTypeFields() throws MalformedMessageException {
     String flavors =
         """
         {"hosttypes":[{"sku":"g8","cores":96.0,"gpus":8.0,"mem_gb":768.0,"cache_gb":200.0,\
@@ -230,7 +232,7 @@
   }
 
   @Test
-  void hosts() throws MalformedMessageException {
+  void rentalAndMachineFields() throws MalformedMessageException {
     List<MachineId> machines = List.of(new MachineId("vm-000231"), new MachineId("vm-000232"));
     String names = "{\"hosts\":[\"vm-000231\",\"vm-000232\"]}";
     assertEquals(
@@ -238,13 +240,13 @@
         CloudMessages.rentalRequest("r-17", "g8", "a", true, 12).toString());
     assertEquals(machines, CloudMessages.parseRentedMachines(json(names)));
     assertEquals(names, CloudMessages.returnRequest(machines).toString());
-    String listed =
+    String machineList =
         """
         {"hosts":[{"name_id":"vm-000231","endpoint":"10.1.0.232:9000","hosttype":"g8","yard":"a",
          "loaners":true,"status":"running","age_s":61.5},{"name_id":"vm-000232"}],"truncated":true}
         """;
-    assertEquals(machines, CloudMessages.parseListedMachines(json(listed)));
-    assertTrue(CloudMessages.isTruncated(json(listed)));
+    assertEquals(machines, CloudMessages.parseListedMachines(json(machineList)));
+    assertTrue(CloudMessages.isTruncated(json(machineList)));
     assertFalse(CloudMessages.isTruncated(json("{\"hosts\":[],\"truncated\":false}")));
   }
 
@@ -262,30 +264,30 @@
         {"if":[{"key":"a/b","stamp":0}],"writes":[{"set":"a/b","v":{"x":1},"hold":7},\
         {"set":"a/c","v":{"x":1}},{"drop":"c/d"}]}""",
         text(transaction.encode()));
-    JsonNode refused = json("{\"failed\":[\"a/b\"],\"epoch\":431}");
+    JsonNode failedTransaction = json("{\"failed\":[\"a/b\"],\"epoch\":431}");
     assertEquals(
         new StateStoreMessages.TransactionOutcome(false, 431, Set.of("a/b")),
-        StateStoreMessages.parseOutcome(false, refused));
+        StateStoreMessages.parseOutcome(false, failedTransaction));
   }
 
   @Test
-  void keysAndLeases() throws MalformedMessageException {
+  void entryAndLeaseFields() throws MalformedMessageException {
     JsonNode value = json("{\"x\":1}");
     Entry entry = new Entry("a/b", value, 412);
-    String stored = "{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412,\"hold\":7}";
-    assertEquals(entry, StateStoreMessages.parseEntry(json(stored)));
+    String storedEntry = "{\"key\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412,\"hold\":7}";
+    assertEquals(entry, StateStoreMessages.parseEntry(json(storedEntry)));
     assertNull(StateStoreMessages.parseEntry(json("{\"epoch\":431}")).value());
     assertEquals(431, StateStoreMessages.parseRevision(json("{\"epoch\":431}")));
     assertEquals(
         new StateStoreMessages.ListPage(List.of(entry), 431, true),
         StateStoreMessages.parsePage(
-            json("{\"entries\":[" + stored + "],\"truncated\":true,\"epoch\":431}")));
+            json("{\"entries\":[" + storedEntry + "],\"truncated\":true,\"epoch\":431}")));
     assertEquals("{\"life_ms\":5000}", StateStoreMessages.leaseRequest(5_000).toString());
     assertEquals(7, StateStoreMessages.parseLeaseId(json("{\"hold\":7}")));
   }
 
   @Test
-  void changes() {
+  void changeLogFields() {
     String log =
         """
         {"epoch":433,"log":[{"set":"c/9","v":{"x":1},"stamp":433},{"drop":"c/d","stamp":432}]}""";
@@ -296,12 +298,12 @@
   }
 
   @Test
-  void errors() throws MalformedMessageException {
+  void errorFields() throws MalformedMessageException {
     assertEquals("{\"error\":\"no capacity\"}", text(HttpAnswer.error(503, "no capacity").body()));
     assertEquals("{\"error\":\"not ready\"}", text(HttpAnswer.unavailable("not ready").body()));
   }
 
-  /** CBOR itself, for one small map. */
+  /** Checks the CBOR encoding itself with one small map. */
   @Test
   void bodiesAreCbor() {
     byte[] expected = {(byte) 0xa1, 0x65, 'b', 'a', 't', 'o', 'n', 0x18, 0x29};
--- a/src/test/java/io/violetrail/compatibility/RecordedRun.java
+++ b/src/test/java/io/violetrail/compatibility/RecordedRun.java
@@ -15,13 +15,13 @@
 import java.util.TreeMap;
 
 /**
- * A short run of a simulated deployment in which every kind of row is written. It is the same each
- * time: {@code stored-rows.txt} holds rows that an earlier program wrote in it.
+ * A short run of a simulated deployment in which every kind of row is written. It is deterministic,
+ * and {@code stored-rows.txt} holds the rows that an earlier release wrote in it.
  */
 final class RecordedRun {
   private static final double STEP_SECONDS = 0.05;
 
-  /** Long enough for a block of ended runs of a schedule that fires each minute. */
+  /** Long enough for a block of finished runs of a schedule that fires every minute. */
   private static final double SCHEDULED_SECONDS = 18 * 60;
 
   private final ClusterSimulation cluster = newDeployment();
@@ -31,7 +31,7 @@
 
   private RecordedRun() {}
 
-  /** A deployment that serves everything, with the settings of the recording. */
+  /** Returns a deployment with all APIs enabled and the settings of the recorded run. */
   static ClusterSimulation newDeployment() {
     ClusterSimulation simulation = new ClusterSimulation(3, 11);
     simulation.setKubernetesEnabled(true);
@@ -50,38 +50,38 @@
     return simulation;
   }
 
-  /** The longest value of each key that was written, the last one of several. */
+  /** Returns the longest value written under each key; of several, the latest. */
   static Map<String, JsonNode> rows() {
     RecordedRun run = new RecordedRun();
-    run.play();
+    run.execute();
     return run.rows;
   }
 
-  private void play() {
+  private void execute() {
     cluster.startAllControllers();
-    configure();
-    schedule();
-    run(SCHEDULED_SECONDS);
-    jobs();
-    run(15);
-    objects();
-    run(15);
-    whatStaysOpen();
-    run(8);
+    changeConfiguration();
+    createCalendarAndSchedule();
+    runAndRecord(SCHEDULED_SECONDS);
+    submitJobs();
+    runAndRecord(15);
+    createKubernetesObjects();
+    runAndRecord(15);
+    leaveRentalRequestsOpen();
+    runAndRecord(8);
     cluster.killController("c1");
-    run(30);
+    runAndRecord(30);
   }
 
-  private void configure() {
+  private void changeConfiguration() {
     ObjectNode change = Cbor.newMap().put("expected", 0).put("request", "first");
     change.put("who", "operator").put("why", "a recording");
     change.putArray("teams").addObject().put("name", "red").put("cpus_max", 300.0);
     change.withArray("teams").addObject().put("name", "blue").put("cpus_max", 9.0);
     post("/config", change, 200);
-    run(10);
+    runAndRecord(10);
   }
 
-  private void schedule() {
+  private void createCalendarAndSchedule() {
     put("/calendars/holidays", "{\"dates\":[\"2030-01-01\",\"2030-12-25\"]}");
     ObjectNode schedule = Cbor.newMap().put("name", "readings").put("due", "every 1 minutes");
     schedule.put("zone", "UTC").put("deadline_s", 55.0);
@@ -91,7 +91,7 @@
     post("/schedules", schedule, 201);
   }
 
-  private void jobs() {
+  private void submitJobs() {
     expect(201, user.submit("c0", SimulatedUser.jobRequest("job-101", 3)));
     expect(201, user.submit("c0", SimulatedUser.jobRequest("job-102", 2)));
     user.cancel("c0", "job-102");
@@ -107,26 +107,26 @@
         SimulatedUser.jobRequest("job-105", 4).put("shape", "daemon").put("urgency", "prod");
     expect(201, user.submit("c2", service.put("apart", true).put("guess_s", 0.0)));
     expect(201, user.submit("c0", SimulatedUser.jobRequest("job-106", 40).put("urgency", "low")));
-    // More than one entity's part of the team's limit, so that slices move.
+    // Needs more than one entity's share of the team's limit, so that quota shares are transferred.
     expect(201, user.submit("c0", SimulatedUser.jobRequest("job-108", 8).put("crew", "blue")));
   }
 
-  private void objects() {
+  private void createKubernetesObjects() {
     for (String name : new String[] {"web", "old-web"}) {
-      expect(201, kubernetes.send("c1", "POST", deployments(), deployment(name)).status());
+      expect(201, kubernetes.send("c1", "POST", deploymentsPath(), deployment(name)).status());
     }
     expect(201, kubernetes.send("c0", "POST", jobsPath(), kubernetesJob()).status());
-    run(5);
-    expect(200, kubernetes.send("c2", "DELETE", deployments() + "/old-web", null).status());
+    runAndRecord(5);
+    expect(200, kubernetes.send("c2", "DELETE", deploymentsPath() + "/old-web", null).status());
   }
 
-  /** The cloud refuses without certainty, so what is asked of it stays open. */
-  private void whatStaysOpen() {
+  /** The cloud fails rental requests without a definite outcome, so they stay open. */
+  private void leaveRentalRequestsOpen() {
     cluster.cloud().setUnavailable(true);
     expect(201, user.submit("c0", SimulatedUser.jobRequest("job-107", 100).put("crew", "red")));
   }
 
-  static String deployments() {
+  static String deploymentsPath() {
     return "/apis/apps/v1/namespaces/red/deployments";
   }
 
@@ -162,7 +162,7 @@
     expect(200, reply.status());
   }
 
-  private void post(String path, ObjectNode body, int status) {
+  private void post(String path, ObjectNode body, int expectedStatus) {
     var reply =
         cluster.sendRequest(
             "operator",
@@ -173,16 +173,17 @@
             KubernetesJson.toBytes(body),
             10);
     cluster.runUntil(15, reply::isDone);
-    expect(status, reply.join().status());
+    expect(expectedStatus, reply.join().status());
   }
 
-  private static void expect(int status, int answered) {
-    if (status != answered) {
-      throw new IllegalStateException("answered " + answered + " and not " + status);
+  private static void expect(int expectedStatus, int actualStatus) {
+    if (expectedStatus != actualStatus) {
+      throw new IllegalStateException(
+          "expected status " + expectedStatus + ", received " + actualStatus);
     }
   }
 
-  private void run(double seconds) {
+  private void runAndRecord(double seconds) {
     double end = cluster.nowSeconds() + seconds;
     while (cluster.nowSeconds() < end) {
       cluster.runFor(STEP_SECONDS);
@@ -190,11 +191,12 @@
           .stateService()
           .keysWithPrefix("")
           .forEach(
-              key -> rows.merge(key, cluster.stateService().findValue(key), RecordedRun::longer));
+              key ->
+                  rows.merge(key, cluster.stateService().findValue(key), RecordedRun::longerValue));
     }
   }
 
-  private static JsonNode longer(JsonNode kept, JsonNode next) {
+  private static JsonNode longerValue(JsonNode kept, JsonNode next) {
     return next.toString().length() >= kept.toString().length() ? next : kept;
   }
 }
--- a/src/test/java/io/violetrail/compatibility/Recording.java
+++ b/src/test/java/io/violetrail/compatibility/Recording.java
@@ -6,18 +6,18 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Text that an earlier program wrote, kept as test resources. */
+/** Text that an earlier release wrote, kept as test resources. */
 final class Recording {
   private Recording() {}
 
-  /** The lines of a recording: what stands before the first space names the rest. */
+  /** Returns the lines of a recording by their names, the text before the first space. */
   static Map<String, String> lines(String resource) {
-    Map<String, String> all = new LinkedHashMap<>();
+    Map<String, String> valuesByName = new LinkedHashMap<>();
     for (String line : text(resource).lines().toList()) {
       int space = line.indexOf(' ');
-      all.put(line.substring(0, space), line.substring(space + 1));
+      valuesByName.put(line.substring(0, space), line.substring(space + 1));
     }
-    return all;
+    return valuesByName;
   }
 
   private static String text(String resource) {
--- a/src/test/java/io/violetrail/compatibility/StoredRowsCompatibilityTest.java
+++ b/src/test/java/io/violetrail/compatibility/StoredRowsCompatibilityTest.java
@@ -26,28 +26,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Rows of the state service as an earlier program wrote them, kept as text. Today's program writes
- * the same rows in the same run, and controllers that find the recorded ones understand them.
+ * Rows of the state service as an earlier release wrote them, kept as text. The current release
+ * must write the same rows in the same run, and its controllers must read the recorded ones
+ * correctly.
  *
- * <p>A change of what is decided (which machine, how many) changes the run. Then rows may be
- * recorded anew, by a program whose form of rows is the recorded one.
+ * <p>A change of scheduling decisions (which machine, how many) changes the run. The rows may then
+ * be recorded anew, by a program that writes rows in the recorded format.
  */
 class StoredRowsCompatibilityTest {
-  private static final long STAMP = 7;
+  private static final long REVISION = 7;
 
-  /** As the same program wrote it in another run, where the job was still open. */
+  /** Written by the same release in another run, in which the job was still open. */
   private static final String PROGRESS_OF_JOB_106 = "{\"job-106/0\":\"Hw==\"}";
 
   private static final int DONE_OF_JOB_106 = 5;
-  private static final Map<String, JsonNode> RECORDED = recorded();
+  private static final Map<String, JsonNode> RECORDED = readRecordedRows();
 
-  private static Map<String, JsonNode> recorded() {
+  private static Map<String, JsonNode> readRecordedRows() {
     Map<String, JsonNode> rows = new TreeMap<>();
-    Recording.lines("stored-rows.txt").forEach((key, text) -> rows.put(key, parsed(text)));
+    Recording.lines("stored-rows.txt").forEach((key, text) -> rows.put(key, parseJson(text)));
     return rows;
   }
 
-  private static JsonNode parsed(String text) {
+  private static JsonNode parseJson(String text) {
     try {
       return new ObjectMapper().readTree(text);
     } catch (java.io.IOException exception) {
@@ -56,7 +57,7 @@
   }
 
   @Test
-  void theSameRunWritesTheSameRows() {
+  void sameRunWritesTheRecordedRows() {
     Map<String, String> written = new TreeMap<>();
     RecordedRun.rows().forEach((key, value) -> written.put(key, value.toString()));
     Map<String, String> expected = new TreeMap<>(Recording.lines("stored-rows.txt"));
@@ -94,9 +95,9 @@
   }
 
   @Test
-  void ownersLeaseRowsAndHistoriesMeanTheSame() {
-    JsonNode alive = parsed("{\"zone\":\"z\",\"token_in_every_answer\":true}");
-    assertEquals(new LivenessRow(true, STAMP), StateSchema.decodeLiveness(alive, STAMP));
+  void livenessAndEntityRowsDecodeAndEncodeUnchanged() {
+    JsonNode alive = parseJson("{\"zone\":\"z\",\"token_in_every_answer\":true}");
+    assertEquals(new LivenessRow(true, REVISION), StateSchema.decodeLiveness(alive, REVISION));
     assertEquals(alive.toString(), StateSchema.encodeLiveness("z").toString());
     String text =
         "{\"owner\":\"c0\",\"version\":20,\"calm\":false,\"unknown\":1700000000111,"
@@ -107,24 +108,26 @@
             new Version(20),
             false,
             new OwnershipHistory(1_700_000_000_111L, 1_700_000_000_222L),
-            STAMP);
-    assertEquals(expected, StateSchema.decodeEntity("c/entity/c1", parsed(text), STAMP));
+            REVISION);
+    assertEquals(expected, StateSchema.decodeEntity("c/entity/c1", parseJson(text), REVISION));
     assertEquals(text, StateSchema.encode(expected, "c0").toString());
   }
 
   @Test
-  void machinesMeanTheSame() {
-    MachineRow spot = machine(true, false, -1);
+  void machineRowsDecodeAndEncodeUnchanged() {
+    MachineRow spotMachine = machine(true, false, -1);
     String text =
         "{\"entity\":\"c2\",\"type\":\"plain\",\"zone\":\"b\",\"spot\":true,\"up\":false,"
             + "\"term\":22,\"rented\":1700000000333}";
-    assertEquals(spot, StateSchema.decodeMachine("c/machine/vm-000012", parsed(text), STAMP));
-    assertEquals(text, StateSchema.encode(spot).toString());
-    MachineRow up = machine(false, true, 5);
+    assertEquals(
+        spotMachine, StateSchema.decodeMachine("c/machine/vm-000012", parseJson(text), REVISION));
+    assertEquals(text, StateSchema.encode(spotMachine).toString());
+    MachineRow runningMachine = machine(false, true, 5);
     String block = "{\"vm-000012\":[\"plain\",\"b\",false,true,22,1700000000333]}";
     assertEquals(
-        Map.of(up.id(), up), StateSchema.decodeBlock("c/block/c2/5", parsed(block), STAMP));
-    assertEquals(block, StateSchema.encode(List.of(up)).toString());
+        Map.of(runningMachine.id(), runningMachine),
+        StateSchema.decodeBlock("c/block/c2/5", parseJson(block), REVISION));
+    assertEquals(block, StateSchema.encode(List.of(runningMachine)).toString());
   }
 
   private static MachineRow machine(boolean spot, boolean up, int block) {
@@ -137,12 +140,15 @@
         up,
         new Version(22),
         1_700_000_000_333L,
-        STAMP,
+        REVISION,
         block);
   }
 
-  /** Controllers that start where the recorded run has been. */
-  private static ClusterSimulation restored(int cloudCapacity) {
+  /**
+   * Starts controllers on the recorded rows, without the liveness rows, at 1,200 s: after the end
+   * of the recorded run.
+   */
+  private static ClusterSimulation startRestoredCluster(int cloudCapacity) {
     ClusterSimulation simulation = RecordedRun.newDeployment();
     RECORDED.forEach(
         (key, value) -> {
@@ -150,7 +156,7 @@
             simulation.stateService().put(key, value);
           }
         });
-    simulation.stateService().put("progress/c0/0", parsed(PROGRESS_OF_JOB_106));
+    simulation.stateService().put("progress/c0/0", parseJson(PROGRESS_OF_JOB_106));
     simulation.cloud().setCapacity(cloudCapacity);
     simulation.runFor(1_200);
     return simulation.startAllControllers().runFor(10);
@@ -166,8 +172,8 @@
   }
 
   @Test
-  void jobsAreWhatTheyWere() {
-    SimulatedUser user = new SimulatedUser(restored(0));
+  void restoredJobsKeepTheirStatus() {
+    SimulatedUser user = new SimulatedUser(startRestoredCluster(0));
     assertEquals("done", user.pollStatus("c0", "job-101"));
     assertEquals("cancelled", user.pollStatus("c1", "job-102"));
     assertEquals("done", user.pollStatus("c2", "job-103"));
@@ -178,26 +184,28 @@
   }
 
   @Test
-  void schedulesAreWhatTheyWere() {
-    SimulatedUser user = new SimulatedUser(restored(0));
+  void restoredSchedulesKeepDefinitionAndHistory() {
+    SimulatedUser user = new SimulatedUser(startRestoredCluster(0));
     JsonNode schedule = get(user, "/schedules/readings");
     assertEquals(1, schedule.get("version").asInt());
     assertEquals("every 1 minutes", schedule.get("due").asText());
     assertEquals("c0", schedule.get("entity").asText());
     JsonNode history = get(user, "/schedules/readings/history");
     assertEquals(0, history.get("torn").size());
-    assertTrue(history.get("runs").size() >= 16, "the runs of the packed block");
+    assertTrue(history.get("runs").size() >= 16, "the runs of the packed block are listed");
     JsonNode days = get(user, "/calendars/holidays").get("dates");
-    assertEquals(parsed("[\"2030-01-01\",\"2030-12-25\"]"), days);
+    assertEquals(parseJson("[\"2030-01-01\",\"2030-12-25\"]"), days);
   }
 
   @Test
-  void kubernetesObjectsAreWhatTheyWere() {
-    KubernetesTestClient client = new KubernetesTestClient(restored(0));
+  void restoredKubernetesObjectsKeepUidSpecAndGeneration() {
+    KubernetesTestClient client = new KubernetesTestClient(startRestoredCluster(0));
     for (String path : List.of("job/red/scan", "deployment/red/web")) {
       JsonNode row = RECORDED.get("k8s/" + path);
-      String all = path.startsWith("job") ? RecordedRun.jobsPath() : RecordedRun.deployments();
-      JsonNode object = client.get("c2", all + path.substring(path.lastIndexOf('/'))).body();
+      String collectionPath =
+          path.startsWith("job") ? RecordedRun.jobsPath() : RecordedRun.deploymentsPath();
+      JsonNode object =
+          client.get("c2", collectionPath + path.substring(path.lastIndexOf('/'))).body();
       assertEquals(row.get("uid"), object.at("/metadata/uid"));
       assertEquals(row.get("spec"), object.get("spec"));
       assertEquals(row.get("gen").asLong(), object.at("/metadata/generation").asLong());
@@ -205,41 +213,41 @@
   }
 
   @Test
-  void whatEveryControllerWatchesMeansTheSame() {
+  void clusterViewReadsTheRecordedRows() {
     ClusterView clusterView = new ClusterView(new ClusterSimulation(3, 1).settings("c0"));
-    clusterView.replaceWithListing(watchedRows(), STAMP);
+    clusterView.replaceWithListing(watchedRows(), REVISION);
     assertEquals(RECORDED.get("c/slice/blue"), clusterView.findQuotaShare("blue").value());
     assertEquals(RECORDED.get("c/types"), clusterView.machineTypes());
     assertEquals(RECORDED.get("c/config"), clusterView.configurationEntry().value());
-    assertEquals(STAMP, clusterView.machineAdditionsRevision());
+    assertEquals(REVISION, clusterView.machineAdditionsRevision());
     assertTrue(clusterView.isAlive(new ControllerId("c1")));
     assertEquals(new ControllerId("c0"), clusterView.findLatestOwner(new ControllerId("c1")));
-    MachineRow ownRow = clusterView.findMachineRow(new MachineId("vm-000019"));
-    assertEquals(new ControllerId("c2"), ownRow.entity());
-    assertEquals(new Version(22), ownRow.term());
-    MachineRow inBlock = clusterView.findMachineRow(new MachineId("vm-000013"));
-    assertEquals(new ControllerId("c2"), inBlock.entity());
-    assertTrue(inBlock.spot());
+    MachineRow singleRow = clusterView.findMachineRow(new MachineId("vm-000019"));
+    assertEquals(new ControllerId("c2"), singleRow.entity());
+    assertEquals(new Version(22), singleRow.term());
+    MachineRow rowInBlock = clusterView.findMachineRow(new MachineId("vm-000013"));
+    assertEquals(new ControllerId("c2"), rowInBlock.entity());
+    assertTrue(rowInBlock.spot());
   }
 
   private static List<Entry> watchedRows() {
     return RECORDED.entrySet().stream()
         .filter(row -> row.getKey().startsWith("c/"))
-        .map(row -> new Entry(row.getKey(), row.getValue(), STAMP))
+        .map(row -> new Entry(row.getKey(), row.getValue(), REVISION))
         .toList();
   }
 
   @Test
-  void typesAndTheConfigurationAreInForce() {
-    var controller = restored(0).controllers().get("c1");
+  void restoredMachineTypesAndConfigurationAreInEffect() {
+    var controller = startRestoredCluster(0).controllers().get("c1");
     assertEquals(1, controller.configuration().revision());
     assertEquals(9, controller.configuration().findTeam("blue").maxCpus());
     assertEquals(8, controller.machineTypes().find("plain").capacity().cpus());
   }
 
   @Test
-  void rentalRequestsLeftOpenAreRepeatedUnderTheirNames() {
-    ClusterSimulation simulation = restored(100);
+  void openRentalRequestsAreRepeatedUnderTheirIds() {
+    ClusterSimulation simulation = startRestoredCluster(100);
     simulation.runUntil(60, () -> simulation.cloud().machinesByRequest().containsKey("c2-12-2"));
     var machines = simulation.cloud().machinesByRequest().get("c2-12-2");
     assertEquals(2, machines.size());
--- a/src/test/java/io/violetrail/simulation/BudgetLendingTest.java
+++ b/src/test/java/io/violetrail/simulation/BudgetLendingTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A controller with more to write than its part of the budget is lent what its peers have left. */
+/** A controller that needs more than its write budget borrows what its peers do not use. */
 class BudgetLendingTest extends SimulationTestBase {
   private static final int BURST_SIZE = 12;
   private static final double WRITES_PER_SECOND = 12;
@@ -28,7 +28,7 @@
     simulation.runFor(10);
   }
 
-  /** Submits a burst at one controller; returns how long it takes until all of it is accepted. */
+  /** Submits a burst to one controller; returns the seconds until all of its jobs are accepted. */
   private double submitBurstAt(String controller) {
     double startedAtSeconds = simulation.nowSeconds();
     for (int i = 0; i < BURST_SIZE; i++) {
@@ -55,20 +55,26 @@
   @Test
   void burstAtOneControllerBorrowsUnusedBudgetOfPeers() {
     startWithWriteLimit();
-    // Its own part is a fifth of 0.9 times the budget: some 2 changes a second, for 12 claims
-    // alone.
+    // The controller's own share is a fifth of 0.9 times the budget, about 2 writes per second. The
+    // claims alone are 12 writes.
     double ownWritesPerSecond = WRITES_PER_SECOND * 0.9 / 5;
     double elapsedSeconds = submitBurstAt("c0");
     assertTrue(
         elapsedSeconds < BURST_SIZE / ownWritesPerSecond,
-        "took " + elapsedSeconds + " s, its own part allows " + BURST_SIZE / ownWritesPerSecond);
+        "took "
+            + elapsedSeconds
+            + " s, with its own share alone it takes "
+            + BURST_SIZE / ownWritesPerSecond);
     assertEquals(
-        0, simulation.stateService().overLimitCount(), "together they stay within the limit");
+        0,
+        simulation.stateService().overLimitCount(),
+        "all controllers together stay within the limit");
     assertEquals(List.of(), simulation.violations());
   }
 
   /**
-   * While submissions use up what seven controllers may write, jobs that have ended are told so.
+   * Submissions exhaust the write budget of seven controllers. Even so, queries report jobs that
+   * have finished as done.
    */
   @Test
   void jobOutcomesAreWrittenWhileSubmissionsExhaustTheBudget() {
@@ -105,14 +111,14 @@
               ? 1
               : 0;
     }
-    assertTrue(reportedDone >= 38, reportedDone + " of 40 are told");
+    assertTrue(reportedDone >= 38, reportedDone + " of 40 jobs are reported done");
     assertEquals(List.of(), simulation.violations());
   }
 
   @Test
   void withoutPeersOnlyTheOwnBudgetShareIsUsed() {
     startWithWriteLimit();
-    simulation.networkFaults().refuseConnections(m -> m.endsWith(" POST /peer"));
+    simulation.networkFaults().refuseConnections(message -> message.endsWith(" POST /peer"));
     double ownWritesPerSecond = WRITES_PER_SECOND * 0.9 / 5;
     double elapsedSeconds = submitBurstAt("c0");
     assertTrue(
--- a/src/test/java/io/violetrail/simulation/FailureAttributionTest.java
+++ b/src/test/java/io/violetrail/simulation/FailureAttributionTest.java
@@ -7,7 +7,7 @@
 import io.violetrail.fakes.SimulatedUser;
 import org.junit.jupiter.api.Test;
 
-/** Failures of tasks are attributed to their job or to their machine. */
+/** Task failures are attributed either to the job or to the machine. */
 class FailureAttributionTest extends SimulationTestBase {
   FailureAttributionTest() {
     super(11);
@@ -15,7 +15,8 @@
 
   @Test
   void failingJobsDoNotQuarantineHealthyMachines() {
-    // Two different jobs that failed on a machine had it drained, wave after wave.
+    // Guards against draining a machine because two different jobs failed on it: failing jobs then
+    // drain wave after wave of machines.
     simulation.cloud().setCapacity(4);
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 32));
@@ -29,7 +30,7 @@
     assertEquals(4, rentedMachineCount(), "no machine had to be replaced");
     int countBefore = launchCount();
     simulation.runFor(60);
-    assertTrue(launchCount() - countBefore < 40, "probes " + (launchCount() - countBefore));
+    assertTrue(launchCount() - countBefore < 40, "probe launches " + (launchCount() - countBefore));
     assertEquals("queued", user.pollStatus("c1", "job-10"));
     assertEquals("cancelled", user.cancel("c1", "job-10"));
     assertEquals("cancelled", user.pollStatus("c2", "job-10"));
--- a/src/test/java/io/violetrail/simulation/FleetFailoverTest.java
+++ b/src/test/java/io/violetrail/simulation/FleetFailoverTest.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A thousand machines, and one controller that is left to carry them. */
+/**
+ * Failover of 1,000 machines to the last controller, and leases of frozen or unreachable
+ * controllers.
+ */
 class FleetFailoverTest extends SimulationTestBase {
   private static final int MACHINE_COUNT = 1_000;
 
@@ -60,7 +63,8 @@
     final int writesBefore = simulation.stateService().writeCount();
     simulation.killController("c0");
     simulation.killController("c1");
-    // Every worker hears a valid term within its lease, before all jobs and machines are settled.
+    // Every worker receives a valid term before its lease expires, even if not all jobs and
+    // machines have been reconciled by then.
     simulation.runUntil(
         30, () -> simulation.controllers().get("c2").membership().ownedEntities().size() == 3);
     simulation.runFor(20);
@@ -68,16 +72,16 @@
         simulation.cloud().workers().values().stream()
             .mapToLong(FakeWorker::expiredLeaseCount)
             .sum();
-    assertEquals(0, expiredLeases, "leases lost");
+    assertEquals(0, expiredLeases, "expired worker leases");
     Controller lastController = simulation.controllers().get("c2");
     assertTrue(
         lastController.membership().ownedEntities().stream().allMatch(entity -> entity.isActive()),
-        "all entities are served");
-    // A takeover is a move for each entity, and nothing for each machine.
+        "all entities are active");
+    // A failover writes one ownership change per entity and nothing per machine.
     int writesOfFailover = simulation.stateService().writeCount() - writesBefore;
     assertTrue(
         writesOfFailover < MACHINE_COUNT / 4,
-        "writes of the takeover and its progress: " + writesOfFailover);
+        "writes of the failover and of job progress: " + writesOfFailover);
     long examinedBefore = machinesExamined();
     List<String> secondJobs = submitBatches(4, 1_500);
     for (String id : secondJobs) {
@@ -87,12 +91,12 @@
       simulation.runUntil(200, () -> user.pollStatus("c2", id).equals("done"));
     }
     long examinedPerTask = (machinesExamined() - examinedBefore) / (4 * 1_500);
-    assertTrue(examinedPerTask < 25, "machines looked at for each task: " + examinedPerTask);
+    assertTrue(examinedPerTask < 25, "machines examined per task: " + examinedPerTask);
   }
 
   /**
-   * It stands still for longer than its lease, at moments drawn across its renewals, launches and
-   * writes, and goes on in mid-step with all that waited for it.
+   * Freezes a controller for longer than its lease, at moments spread across its renewals, launches
+   * and writes. It resumes in mid-step, with all messages and timers that queued up meanwhile.
    */
   @Test
   void controllerFrozenPastItsLeaseActsOnNoStaleDecision() {
@@ -106,22 +110,29 @@
             ClusterSimulation.controllerName(i % 3), SimulatedUser.jobRequest("job-" + i, 20));
       }
       frozenSimulation.runFor(4 + 0.13 * step);
-      var frozen = frozenSimulation.controllers().get("c0");
-      final var versionBefore = frozen.membership().findHomeEntity().row().version();
-      // What it had written but not sent leaves only when it goes on, and then comes too late.
+      var frozenController = frozenSimulation.controllers().get("c0");
+      final var versionBefore = frozenController.membership().findHomeEntity().row().version();
+      // Messages that it has written but not sent leave only as it resumes, and arrive too late.
       frozenSimulation
           .networkFaults()
-          .holdMessages(m -> m.startsWith("c0 state POST /txn") || m.startsWith("c0 vm-"));
+          .holdMessages(
+              message -> message.startsWith("c0 state POST /txn") || message.startsWith("c0 vm-"));
       frozenSimulation.runFor(0.02);
       frozenSimulation.freezeController("c0", 25);
       frozenSimulation.runFor(25 - 0.05);
       frozenSimulation.networkFaults().releaseHeldMessages();
       frozenSimulation.runFor(0.3);
-      // It knows at once that its time was over, before anything that waited is acted upon.
+      // It detects its lease expiry at once, before it acts on any message that queued up.
       assertTrue(
-          frozen.membership().findHomeEntity() == null
-              || frozen.membership().findHomeEntity().row().version().compareTo(versionBefore) > 0,
-          "it still believes in its old version");
+          frozenController.membership().findHomeEntity() == null
+              || frozenController
+                      .membership()
+                      .findHomeEntity()
+                      .row()
+                      .version()
+                      .compareTo(versionBefore)
+                  > 0,
+          "the controller still acts under its old version");
       for (int i = 0; i < 6; i++) {
         String id = "job-" + i;
         frozenSimulation.runUntil(300, () -> frozenUser.pollStatus("c1", id).equals("done"));
@@ -139,7 +150,7 @@
         simulation.controllers().get("c1").membership().ownedEntities().stream()
             .map(entity -> entity.row())
             .toList();
-    simulation.networkFaults().holdMessages(m -> m.matches("c[0-2] c[0-2] .*"));
+    simulation.networkFaults().holdMessages(message -> message.matches("c[0-2] c[0-2] .*"));
     simulation.runFor(60);
     simulation.networkFaults().releaseHeldMessages();
     assertEquals(
@@ -147,7 +158,7 @@
         simulation.controllers().get("c1").membership().ownedEntities().stream()
             .map(entity -> entity.row())
             .toList(),
-        "nothing moves to and fro");
+        "no entity changes its owner");
     simulation.runUntil(120, () -> user.pollStatus("c2", "job-1").equals("done"));
   }
 }
--- a/src/test/java/io/violetrail/simulation/GangAndQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/GangAndQuotaTest.java
@@ -10,7 +10,7 @@
 import io.violetrail.fakes.SimulatedUser;
 import org.junit.jupiter.api.Test;
 
-/** Gangs start and run as a whole, and team quotas hold, through failover. */
+/** Gangs start and run as a whole and team quotas hold, also through failover. */
 class GangAndQuotaTest extends SimulationTestBase {
   GangAndQuotaTest() {
     super(2);
@@ -48,8 +48,8 @@
   @Test
   void gangKeepsRunningThroughFailoverAndFailback() {
     resetSimulation(11);
-    // Recorded: gangs of six ran five times, anew after each move, since their tasks were seen one
-    // machine after the other and the missing ones were taken for lost.
+    // In a recorded run, gangs of six ran five times. They restarted after each change of owner,
+    // since the new owner saw their tasks one machine at a time and took the missing ones for lost.
     simulation.cloud().setTaskDurationSeconds(90);
     simulation.startAllControllers();
     user.submit(
@@ -94,15 +94,15 @@
   @Test
   void quotaShareIsNotPassedBackAndForth() {
     resetSimulation(11);
-    // Seen on a small simulated day: each second two entities gave one quota share to each other.
+    // On a small simulated day, two entities passed one quota share to each other every second.
     simulation.teams().put("blue", new Team("blue", 0, 0, 24, 0));
     simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 24).put("crew", "blue").put("gpus", 0.0));
     simulation.runFor(1);
-    ObjectNode urgent =
+    ObjectNode urgentGang =
         SimulatedUser.jobRequest("job-2", 3).put("crew", "blue").put("shape", "ensemble");
-    user.submit("c1", urgent.put("cores", 8.0).put("urgency", "high"));
+    user.submit("c1", urgentGang.put("cores", 8.0).put("urgency", "high"));
     simulation.runFor(4);
     simulation.cloud().setUnavailable(true);
     int countBefore = simulation.stateService().writeCount();
--- a/src/test/java/io/violetrail/simulation/JobRecordsTest.java
+++ b/src/test/java/io/violetrail/simulation/JobRecordsTest.java
@@ -8,7 +8,7 @@
 import io.violetrail.wire.Cbor;
 import org.junit.jupiter.api.Test;
 
-/** What is stored about open and finished jobs survives failover and late writes. */
+/** Stored records of open and finished jobs stay correct through failover and late writes. */
 class JobRecordsTest extends SimulationTestBase {
   JobRecordsTest() {
     super(11);
@@ -33,12 +33,12 @@
 
   @Test
   void finishedJobStaysFinishedWhenItsOpenJobSegmentIsReread() {
-    // An open-job segment still shows jobs that are over until it is next written.
+    // An open-job segment still lists finished jobs until its next write.
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     simulation.runUntil(60, () -> user.pollStatus("c0", "job-1").equals("done"));
     assertTrue(simulation.stateService().findValue("open/c0/0").has("job-1"));
-    simulation.networkFaults().holdMessages(m -> m.startsWith("c0 state POST /txn"));
+    simulation.networkFaults().holdMessages(message -> message.startsWith("c0 state POST /txn"));
     simulation.callController(
         "user", "c0", "POST", "/work", Cbor.encode(SimulatedUser.jobRequest("job-2", 1)));
     simulation.runFor(1.8);
--- a/src/test/java/io/violetrail/simulation/JobSubmissionTest.java
+++ b/src/test/java/io/violetrail/simulation/JobSubmissionTest.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Submissions, repeated and concurrent ones, and what each controller says of them. */
+/** Job submissions, also repeated and concurrent ones, and the status that controllers report. */
 class JobSubmissionTest extends SimulationTestBase {
   JobSubmissionTest() {
     super(1);
@@ -66,19 +66,19 @@
     assertEquals(400, user.send("c0", "POST", "/work", new byte[70_000]).status());
     List<Consumer<ObjectNode>> mistakes =
         List.of(
-            m -> m.put("pieces", 0),
-            m -> m.put("pieces", 100_001),
-            m -> m.put("pieces", 1.5),
-            m -> m.put("cores", -1.0),
-            m -> m.put("cores", Double.NaN),
-            m -> m.put("gpus", Double.POSITIVE_INFINITY),
-            m -> m.put("shape", "heap"),
-            m -> m.put("name_id", "task-1"),
-            m -> m.put("one_zone", "yes"),
-            m -> m.remove("crew"),
-            m -> m.put("crew", ""),
-            m -> m.put("yard", ""),
-            m -> m.put("hosttypes", "plain"));
+            job -> job.put("pieces", 0),
+            job -> job.put("pieces", 100_001),
+            job -> job.put("pieces", 1.5),
+            job -> job.put("cores", -1.0),
+            job -> job.put("cores", Double.NaN),
+            job -> job.put("gpus", Double.POSITIVE_INFINITY),
+            job -> job.put("shape", "heap"),
+            job -> job.put("name_id", "task-1"),
+            job -> job.put("one_zone", "yes"),
+            job -> job.remove("crew"),
+            job -> job.put("crew", ""),
+            job -> job.put("yard", ""),
+            job -> job.put("hosttypes", "plain"));
     for (int i = 0; i < mistakes.size(); i++) {
       ObjectNode job = SimulatedUser.jobRequest("job-9", 1);
       mistakes.get(i).accept(job);
@@ -111,8 +111,8 @@
 
   @Test
   void submissionWithDelayedCommitIsKnownToItsOwner() {
-    // The transaction is applied, but the answer never comes: the owner must find the job.
-    simulation.networkFaults().holdMessages(m -> m.startsWith("c0 state POST /txn"));
+    // The transaction is applied, but c0 never gets its reply: the owner must still find the job.
+    simulation.networkFaults().holdMessages(message -> message.startsWith("c0 state POST /txn"));
     final var reply =
         simulation.callController(
             "user", "c0", "POST", "/work", Cbor.encode(SimulatedUser.jobRequest("job-12", 1)));
--- a/src/test/java/io/violetrail/simulation/KubernetesApiTest.java
+++ b/src/test/java/io/violetrail/simulation/KubernetesApiTest.java
@@ -24,7 +24,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Jobs and Deployments of the Kubernetes API, through failures of what keeps them. */
+/** Jobs and Deployments of the Kubernetes API, also through failures of their controllers. */
 class KubernetesApiTest extends SimulationTestBase {
   private static final String JOBS = "/apis/batch/v1/namespaces/red/jobs";
   private static final String DEPLOYMENTS = "/apis/apps/v1/namespaces/red/deployments";
@@ -79,7 +79,7 @@
     return manifest;
   }
 
-  /** What a pair of jobs is made of, drawn once and written both ways. */
+  /** One random job, written as a Kubernetes manifest and as a native submission. */
   private record JobPair(String manifest, ObjectNode message) {}
 
   private static JobPair drawJobPair(int number, Random random) {
@@ -126,9 +126,9 @@
   }
 
   /**
-   * The hard case: a Job and its equal as a native job. Two simulations from one seed, one given
-   * manifests and one messages: every launch is at the same moment on the same machine, and the
-   * same is stored of each job.
+   * Submits the same jobs to two simulations with one seed, as Kubernetes manifests to one and as
+   * native submissions to the other. Every launch must take place at the same time on the same
+   * machine, and the same rows must be stored for each job.
    */
   @Test
   void kubernetesJobAndNativeJobAreScheduledIdentically() throws Exception {
@@ -145,7 +145,7 @@
             new KubernetesTestClient(kubernetesSimulation)
                 .send(ClusterSimulation.controllerName(i % 3), "POST", JOBS, drawn.manifest());
         assertEquals(201, reply.status(), reply.body().toString());
-        // The one native job whose claim came with the object's row.
+        // The one native job that was claimed together with the object's row.
         Set<String> claims =
             new TreeSet<>(kubernetesSimulation.stateService().keysWithPrefix("job/"));
         claims.removeAll(nativeSimulation.stateService().keysWithPrefix("job/"));
@@ -173,14 +173,14 @@
   }
 
   private static TreeMap<String, String> storedRows(ClusterSimulation simulation) {
-    TreeMap<String, String> all = new TreeMap<>();
+    TreeMap<String, String> rows = new TreeMap<>();
     for (String prefix : List.of("job/", "end/", "c/slice/")) {
       simulation
           .stateService()
           .keysWithPrefix(prefix)
-          .forEach(k -> all.put(k, simulation.stateService().findValue(k).toString()));
+          .forEach(key -> rows.put(key, simulation.stateService().findValue(key).toString()));
     }
-    return all;
+    return rows;
   }
 
   @Test
@@ -189,85 +189,86 @@
     String validManifest = jobManifest("j", 2);
     record RejectedManifest(ObjectNode manifest, int code, String path) {}
 
-    List<RejectedManifest> all = new ArrayList<>();
+    List<RejectedManifest> rejectedManifests = new ArrayList<>();
     String pod = "/spec/template/spec";
     String container = pod + "/containers/0";
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, container, "command", "[\"x\"]"),
             422,
             "spec.template.spec.containers[0].command"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, container, "colour", "1"),
             422,
             "spec.template.spec.containers[0].colour"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, pod, "tolerations", "[]"),
             422,
             "spec.template.spec.tolerations"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/spec", "ttlSecondsAfterFinished", "1"),
             422,
             "spec.ttlSecondsAfterFinished"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/spec", "parallelism", "1"), 422, "spec.parallelism"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/spec", "completions", "\"2\""), 400, "spec.completions"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/spec", "completions", "0"), 422, "spec.completions"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, pod, "restartPolicy", "\"Always\""),
             422,
             "spec.template.spec.restartPolicy"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, container + "/resources/requests", "cpu", "\"1 core\""),
             422,
             "spec.template.spec.containers[0].resources.requests.cpu"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, container + "/resources/requests", "ephemeral-storage", "1"),
             422,
             "spec.template.spec.containers[0].resources.requests.ephemeral-storage"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, container + "/resources", "limits", "{\"cpu\":2}"),
             422,
             "spec.template.spec.containers[0].resources.limits.cpu"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/metadata/annotations", "violetrail.io/estimate", "\"soon\""),
             422,
             "metadata.annotations[violetrail.io/estimate]"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/metadata/annotations", "violetrail.io/estimates", "\"1s\""),
             422,
             "metadata.annotations[violetrail.io/estimates]"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/metadata", "finalizers", "[\"x\"]"),
             422,
             "metadata.finalizers"));
-    all.add(
+    rejectedManifests.add(
         new RejectedManifest(
             withField(validManifest, "/metadata", "namespace", "\"blue\""),
             422,
             "metadata.namespace"));
-    all.add(new RejectedManifest(withField(validManifest, "", "extra", "{}"), 422, "extra"));
-    for (RejectedManifest bad : all) {
-      Reply reply = client.send("c0", "POST", JOBS, bad.manifest().toString());
+    rejectedManifests.add(
+        new RejectedManifest(withField(validManifest, "", "extra", "{}"), 422, "extra"));
+    for (RejectedManifest rejected : rejectedManifests) {
+      Reply reply = client.send("c0", "POST", JOBS, rejected.manifest().toString());
       String replyText = reply.body().toString();
-      assertEquals(bad.code(), reply.status(), replyText);
+      assertEquals(rejected.code(), reply.status(), replyText);
       assertEquals("Status", reply.body().path("kind").asText());
-      assertEquals(bad.path(), reply.body().at("/details/causes/0/field").asText(), replyText);
+      assertEquals(rejected.path(), reply.body().at("/details/causes/0/field").asText(), replyText);
     }
     String duplicateField =
         validManifest.replace("\"completions\":2", "\"completions\":2,\"completions\":3");
@@ -309,7 +310,7 @@
             .replace("\"name\":\"x\"", "\"generateName\":\"scan-\"")
             .replace("\"annotations\":{", "\"annotations\":{\"violetrail.io/request-id\":\"7\",");
     Reply first = client.send("c1", "POST", JOBS, manifest);
-    // Its answer is lost, and another controller is asked again.
+    // The client lost the reply and repeats the request at another controller.
     Reply second = client.send("c2", "POST", JOBS, manifest);
     assertEquals(201, first.status());
     assertEquals(200, second.status(), second.body().toString());
@@ -334,7 +335,9 @@
     assertEquals(404, client.get("c0", JOBS + "/j").status());
     assertEquals(0, activeTaskCount());
     assertEquals(
-        Set.of(), simulation.stateService().keysWithPrefix("k8s/"), "nothing is left of it");
+        Set.of(),
+        simulation.stateService().keysWithPrefix("k8s/"),
+        "no row of the deleted object is left");
     assertEquals(201, client.send("c2", "POST", JOBS, jobManifest("j", 4)).status());
   }
 
@@ -375,7 +378,7 @@
     long previousVersion = 0;
     for (JsonNode event : events.events) {
       long version = event.at("/object/metadata/resourceVersion").asLong();
-      assertTrue(version > previousVersion, "out of order, or twice: " + events.events);
+      assertTrue(version > previousVersion, "event out of order or repeated: " + events.events);
       previousVersion = version;
       versions.add(version);
       types.add(event.path("type").asText());
@@ -383,12 +386,12 @@
     assertEquals("ADDED", types.get(0));
     assertEquals("DELETED", types.get(types.size() - 1));
     assertEquals(1, types.stream().filter("DELETED"::equals).count());
-    // Going on from the middle gives the rest, and no more.
+    // A watch resumed from the middle delivers the remaining events and no others.
     long middle = versions.stream().skip(1).findFirst().orElseThrow();
     WatchEvents resumedEvents = client.watch("c2", JOBS + "?watch=1&resourceVersion=" + middle);
     simulation.runFor(1);
     assertEquals(events.events.size() - 2, resumedEvents.events.size());
-    // What is too old is said, not passed over.
+    // A resource version that is too old gets an explicit error instead of a gap in the events.
     simulation.startController("c0");
     simulation.runFor(8);
     WatchEvents expiredEvents = client.watch("c0", JOBS + "?watch=1&resourceVersion=" + middle);
@@ -402,8 +405,9 @@
     assertEquals(
         201, client.send("c0", "POST", DEPLOYMENTS, deploymentManifest("d", 4, "one")).status());
     simulation.runUntil(60, () -> readyReplicaCount("c1") == 4);
-    Reply rolled = client.send("c1", "PUT", DEPLOYMENTS + "/d", deploymentManifest("d", 4, "two"));
-    assertEquals(200, rolled.status(), rolled.body().toString());
+    Reply updateReply =
+        client.send("c1", "PUT", DEPLOYMENTS + "/d", deploymentManifest("d", 4, "two"));
+    assertEquals(200, updateReply.status(), updateReply.body().toString());
     simulation.runFor(1);
     simulation.killController("c0");
     int fewestActive = 4;
@@ -419,8 +423,8 @@
       simulation.runFor(0.2);
     }
     assertEquals(4, updatedReplicaCount("c2"));
-    assertTrue(fewestActive >= 3, "no more than one is missing, there were " + fewestActive);
-    assertTrue(mostActive <= 5, "no more than one above, there were " + mostActive);
+    assertTrue(fewestActive >= 3, "at most one replica may be missing, running: " + fewestActive);
+    assertTrue(mostActive <= 5, "at most one extra replica may run, running: " + mostActive);
     String scale =
         "{\"apiVersion\":\"autoscaling/v1\",\"kind\":\"Scale\",\"spec\":{\"replicas\":1}}";
     assertEquals(200, client.send("c2", "PUT", DEPLOYMENTS + "/d/scale", scale).status());
@@ -537,7 +541,8 @@
 
   @Test
   void submissionsGet503WhileMachineTypesAreUnknown() {
-    // Nothing fits types that nobody knows: a Job was refused for good where a native one may wait.
+    // Guards against a permanent rejection: no job fits while the machine types are unknown, but a
+    // native job may wait for them.
     simulation.cloud().setUnavailable(true);
     startWithKubernetes();
     assertEquals(503, client.send("c0", "POST", JOBS, jobManifest("j", 1)).status());
@@ -560,7 +565,7 @@
     do {
       Reply page =
           client.get("c1", JOBS + "?limit=3" + (next.isEmpty() ? "" : "&continue=" + next));
-      page.body().path("items").forEach(o -> names.add(o.at("/metadata/name").asText()));
+      page.body().path("items").forEach(item -> names.add(item.at("/metadata/name").asText()));
       next = page.body().at("/metadata/continue").asText();
       pages++;
     } while (!next.isEmpty());
@@ -576,10 +581,10 @@
   }
 
   @Test
-  void lateWriteOfItsCreationDoesNotRestoreDeletedObject() {
+  void lateCreationWriteDoesNotRestoreDeletedObject() {
     startWithKubernetes();
     simulation.stateService().lateTransactionSeconds().put("c0", 9.0);
-    // The creation has no answer and is on its way for long; its repeat goes through at once.
+    // The creating transaction gets no reply and is applied 9 s late; its retry is applied at once.
     simulation.runAfter(0.5, simulation.stateService().lateTransactionSeconds()::clear);
     assertEquals(
         201, client.send("c0", "POST", DEPLOYMENTS, deploymentManifest("d", 2, "one")).status());
--- a/src/test/java/io/violetrail/simulation/LargeFleetLoadTest.java
+++ b/src/test/java/io/violetrail/simulation/LargeFleetLoadTest.java
@@ -16,7 +16,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What bit when deployments grew to hundreds of machines on the same small controllers. */
+/**
+ * Faults that appeared when deployments grew to hundreds of machines on the same small controllers.
+ */
 class LargeFleetLoadTest extends SimulationTestBase {
 
   LargeFleetLoadTest() {
@@ -60,13 +62,14 @@
     assertTrue(machines > 100, "machines " + machines);
     long machinesExamined =
         simulation.controllers().values().stream()
-            .mapToLong(number -> number.machinesExamined())
+            .mapToLong(controller -> controller.machinesExamined())
             .sum();
-    // A look at all machines for each task would be some 400,000.
+    // Examining all machines for each task would amount to about 400,000.
     assertTrue(
         machinesExamined < 25L * tasks,
-        "looked at " + machinesExamined + " machines for " + tasks + " tasks");
-    // Four a job and two a machine; a write for each step and each job in progress were twice that.
+        "examined " + machinesExamined + " machines for " + tasks + " tasks");
+    // Four writes per job and two per machine. One write per step and job in progress would be
+    // twice as many.
     int writeCount = simulation.stateService().writeCount() - writesBefore;
     assertTrue(
         writeCount < 4 * jobs.size() + 2 * machines,
@@ -75,7 +78,7 @@
 
   @Test
   void failbackDoesNotWaitBehindSubmissions() {
-    // Seen on a simulated day: for the whole of a burst two controllers of three stood idle.
+    // On a simulated day, two of three controllers stayed idle for a whole burst of submissions.
     simulation.setStateLimits(new StateStoreLimits(100, 9, 8192, 12));
     simulation.startAllControllers();
     simulation.killController("c0");
@@ -94,7 +97,7 @@
 
   @Test
   void newMachinesAreUsedWhileSubmissionsExhaustTheWriteBudget() {
-    // A wide write of machines' records never found its whole need in the budget.
+    // Guards against a write of many machine records that never finds enough budget at once.
     simulation.setStateLimits(new StateStoreLimits(100, 9, 8192, 12));
     simulation.cloud().setCapacity(60);
     simulation.startAllControllers();
@@ -130,10 +133,10 @@
               });
     }
     simulation.runFor(6);
-    assertTrue(rejectedAfterSeconds.size() > 20, "turned away " + rejectedAfterSeconds.size());
+    assertTrue(rejectedAfterSeconds.size() > 20, "rejected " + rejectedAfterSeconds.size());
     assertTrue(
         rejectedAfterSeconds.stream().allMatch(s -> s <= 1),
-        "after " + rejectedAfterSeconds + " s");
+        "rejected after " + rejectedAfterSeconds + " s");
   }
 
   @Test
@@ -150,7 +153,7 @@
             .put("tick", 1)
             .put("baton", 0);
     report.putArray("pieces");
-    simulation.networkFaults().holdMessages(m -> m.startsWith("c0 state POST /txn"));
+    simulation.networkFaults().holdMessages(message -> message.startsWith("c0 state POST /txn"));
     simulation.callController("vm-900000", "c0", "POST", "/agent/beat", Cbor.encode(report));
     simulation.runUntil(3, () -> simulation.networkFaults().heldMessageCount() > 0);
     var secondReply =
@@ -164,18 +167,22 @@
             .filter(key -> simulation.stateService().findValue(key).has("vm-900000"))
             .count();
     assertEquals(1, recordCount);
-    for (Controller number : simulation.controllers().values()) {
+    for (Controller controller : simulation.controllers().values()) {
       assertEquals(
           "c1",
-          number.clusterView().machineRowsOf(number.membership().findHomeEntity().id()).isEmpty()
+          controller
+                  .clusterView()
+                  .machineRowsOf(controller.membership().findHomeEntity().id())
+                  .isEmpty()
               ? "c1"
-              : number.settings().self().value());
+              : controller.settings().self().value());
     }
   }
 
   @Test
   void waitingUrgentGangsDoNotBlockMachineTransfersForOtherJobs() {
-    // Entities with room for arrays kept it, since gangs filled the list of what was asked for.
+    // Guards against gangs that fill the list of requested resources, so that entities with free
+    // machines for arrays keep them.
     simulation.cloud().setCapacity(0);
     simulation
         .cloud()
@@ -239,6 +246,6 @@
     }
     int launchedInAll =
         simulation.cloud().workers().values().stream().mapToInt(w -> w.launchCount()).sum();
-    assertTrue(launchedInAll <= 20 * 60, "nothing ran again");
+    assertTrue(launchedInAll <= 20 * 60, "no task runs twice");
   }
 }
--- a/src/test/java/io/violetrail/simulation/MachineLifecycleTest.java
+++ b/src/test/java/io/violetrail/simulation/MachineLifecycleTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Machines are transferred to the entity that needs them, and returned when they are of no use. */
+/** Machines move to the entity that needs them; faulty and orphaned ones return to the cloud. */
 class MachineLifecycleTest extends SimulationTestBase {
   MachineLifecycleTest() {
     super(2);
@@ -41,7 +41,7 @@
     simulation.runFor(30);
     assertTrue(
         simulation.cloud().workers().containsKey(orphan.id()),
-        "its request may still be under way");
+        "its rental request may still be in progress");
     simulation.cloud().workers().values().forEach(other -> other.setTaskDurationSeconds(400));
     simulation.runUntil(150, () -> !simulation.cloud().workers().containsKey(orphan.id()));
   }
--- a/src/test/java/io/violetrail/simulation/ScaleOutTest.java
+++ b/src/test/java/io/violetrail/simulation/ScaleOutTest.java
@@ -12,20 +12,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Machines are rented as jobs need them, through slow, failed and very quick boots. */
+/** Machines are rented as jobs need them, with slow, failed and very fast boots. */
 class ScaleOutTest extends SimulationTestBase {
   ScaleOutTest() {
     super(11);
   }
 
   @Test
-  void machinesWithoutBootAreReplacedAndReturned() {
+  void machinesThatNeverBootAreReplacedAndReturned() {
     simulation.cloud().setBootSeconds(number -> number % 2 == 0 ? -1 : 3);
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 40));
     simulation.runUntil(100, () -> user.pollStatus("c0", "job-1").equals("done"));
     simulation.runFor(120);
-    assertEquals(0, simulation.cloud().workers().size(), "none is paid for any longer");
+    assertEquals(0, simulation.cloud().workers().size(), "all machines are returned");
   }
 
   @Test
@@ -47,7 +47,7 @@
     simulation.runFor(10);
     user.submit("c0", SimulatedUser.jobRequest("job-1", 40));
     simulation.runUntil(20, () -> launchCount() == 40);
-    assertEquals(5, rentedMachineCount(), "nothing was rented twice");
+    assertEquals(5, rentedMachineCount(), "no machine was rented twice");
     assertEquals(
         0,
         simulation.stateService().keysWithPrefix("c/block/c1/").size()
@@ -55,17 +55,17 @@
   }
 
   @Test
-  void urgentJobsMachineIsRentedBeforeWideArrays() {
+  void machineOfUrgentJobIsRentedBeforeThoseOfWideArrays() {
     simulation
         .cloud()
         .machineTypes()
         .add(new MachineType("wide", new Resources(8, 1, 32), 50, 1, 1.1, 0.3, 3, List.of("a")));
     simulation.startAllControllers();
-    ObjectNode wide = SimulatedUser.jobRequest("job-1", 30).put("gpus", 1.0).put("cores", 8.0);
-    simulation.callController("user", "c0", "POST", "/work", Cbor.encode(wide));
-    ObjectNode urgent =
+    ObjectNode wideArray = SimulatedUser.jobRequest("job-1", 30).put("gpus", 1.0).put("cores", 8.0);
+    simulation.callController("user", "c0", "POST", "/work", Cbor.encode(wideArray));
+    ObjectNode urgentJob =
         SimulatedUser.jobRequest("job-2", 1).put("urgency", "high").put("cores", 8.0);
-    simulation.callController("user", "c0", "POST", "/work", Cbor.encode(urgent));
+    simulation.callController("user", "c0", "POST", "/work", Cbor.encode(urgentJob));
     simulation.runUntil(
         20,
         () ->
--- a/src/test/java/io/violetrail/simulation/ScheduleTest.java
+++ b/src/test/java/io/violetrail/simulation/ScheduleTest.java
@@ -14,7 +14,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Schedules on whole controllers: fired once, through takeovers, and reported in time. */
+/**
+ * Schedules fire once per due time, also through failover; missed deadlines are reported in time.
+ */
 class ScheduleTest extends SimulationTestBase {
 
   ScheduleTest() {
@@ -49,11 +51,11 @@
     return definition;
   }
 
-  /** Distinct jobs of schedules that have been claimed. */
+  /** Returns the keys of the scheduled runs' jobs that have been claimed. */
   private Set<String> claimedRuns() {
-    Set<String> all = new HashSet<>();
-    simulation.stateService().keysWithPrefix("job/job-8").forEach(all::add);
-    return all;
+    Set<String> keys = new HashSet<>();
+    simulation.stateService().keysWithPrefix("job/job-8").forEach(keys::add);
+    return keys;
   }
 
   @Test
@@ -76,14 +78,15 @@
     simulation.startController("c0");
     simulation.startController("c1");
     simulation.runFor(120);
-    // The wall clock stands at 1,700,000,000 s and the virtual time.
+    // The simulated wall clock shows 1,700,000,000 s plus the virtual time.
     long minutes =
         (long) Math.floor((1_700_000_000L + simulation.nowSeconds()) / 60)
             - (long) Math.floor((1_700_000_000L + createdAtSeconds) / 60);
-    assertEquals(minutes, claimedRuns().size(), "those missed while nobody was there are made up");
+    assertEquals(
+        minutes, claimedRuns().size(), "due times missed while no controller ran are caught up on");
     JsonNode history = send("c1", "GET", "/schedules/readings/history", null).body();
-    JsonNode shown = send("c1", "GET", "/schedules/readings", null).body();
-    assertEquals(minutes, history.path("runs").size() + shown.path("runs").size());
+    JsonNode schedule = send("c1", "GET", "/schedules/readings", null).body();
+    assertEquals(minutes, history.path("runs").size() + schedule.path("runs").size());
     assertEquals(0, history.path("torn").size());
   }
 
@@ -92,9 +95,9 @@
     startWithSchedules();
     send("c0", "POST", "/schedules", scheduleDefinition("s", 300));
     simulation.runFor(70);
-    ObjectNode other = scheduleDefinition("s", 200).put("version", 1).put("due", "at 03:00");
-    assertEquals(200, send("c1", "PUT", "/schedules/s", other).status());
-    assertEquals(409, send("c2", "PUT", "/schedules/s", other).status());
+    ObjectNode update = scheduleDefinition("s", 200).put("version", 1).put("due", "at 03:00");
+    assertEquals(200, send("c1", "PUT", "/schedules/s", update).status());
+    assertEquals(409, send("c2", "PUT", "/schedules/s", update).status());
     int runsBefore = claimedRuns().size();
     simulation.runFor(200);
     assertEquals(runsBefore, claimedRuns().size());
@@ -126,7 +129,8 @@
     simulation.runUntil(
         60, () -> !send("c0", "GET", "/reports", null).body().path("reports").isEmpty());
     assertTrue(
-        1_700_000_000L + simulation.nowSeconds() < dueAtSeconds + 45 + 60, "before the meeting");
+        1_700_000_000L + simulation.nowSeconds() < dueAtSeconds + 45 + 60,
+        "reported within 60 s of the deadline");
     simulation.killController("c0");
     simulation.runUntil(
         30,
@@ -156,8 +160,9 @@
     days.putArray("dates").add("2027-01-06");
     assertEquals(200, send("c0", "PUT", "/calendars/meetings", days).status());
     simulation.runFor(2);
-    ObjectNode named = scheduleDefinition("s", 300).put("due", "at 05:00 on days \"meetings\"");
-    assertEquals(201, send("c1", "POST", "/schedules", named).status());
+    ObjectNode namedCalendarSchedule =
+        scheduleDefinition("s", 300).put("due", "at 05:00 on days \"meetings\"");
+    assertEquals(201, send("c1", "POST", "/schedules", namedCalendarSchedule).status());
     assertEquals(
         "2027-01-06T05:00:00Z",
         send("c2", "GET", "/schedules/s", null).body().path("next").asText());
@@ -191,10 +196,10 @@
   }
 
   @Test
-  void lateWriteOfItsCreationDoesNotRestoreDeletedSchedule() {
+  void lateCreationWriteDoesNotRestoreDeletedSchedule() {
     startWithSchedules();
     simulation.stateService().lateTransactionSeconds().put("c0", 9.0);
-    // The creation has no answer and is on its way for long; its repeat goes through at once.
+    // The creating transaction gets no reply and is applied 9 s late; its retry is applied at once.
     simulation.runAfter(0.5, simulation.stateService().lateTransactionSeconds()::clear);
     assertEquals(201, send("c0", "POST", "/schedules", scheduleDefinition("daily", 40)).status());
     assertEquals(200, send("c1", "DELETE", "/schedules/daily", null).status());
--- a/src/test/java/io/violetrail/simulation/SilentMachineTest.java
+++ b/src/test/java/io/violetrail/simulation/SilentMachineTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tasks of machines that are not heard of are restarted on evidence only. */
+/** Tasks of a machine that stopped reporting restart only on evidence that they have ended. */
 class SilentMachineTest extends SimulationTestBase {
   SilentMachineTest() {
     super(2);
@@ -36,11 +36,11 @@
 
   @Test
   void reportDelayedPastItsLeaseIsIgnored() {
-    // Seen on a simulated day: the late report named a task that had long been started elsewhere.
+    // On a simulated day, such a report named a task that had long been restarted elsewhere.
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     FakeWorker worker = awaitRunning("job-1/0");
-    simulation.networkFaults().holdMessages(m -> m.startsWith(worker.id() + " "));
+    simulation.networkFaults().holdMessages(message -> message.startsWith(worker.id() + " "));
     simulation.runFor(14);
     simulation.runUntil(
         40,
--- a/src/test/java/io/violetrail/simulation/StateServiceLoadTest.java
+++ b/src/test/java/io/violetrail/simulation/StateServiceLoadTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What submissions and queries cost the state service, and what they get when it is short. */
+/** The load of submissions and queries on the state service, and their replies under its limits. */
 class StateServiceLoadTest extends SimulationTestBase {
   StateServiceLoadTest() {
     super(11);
@@ -20,7 +20,7 @@
 
   @Test
   void tinyJobsCostFewWritesEach() {
-    // Recorded: with four writes a job, most submissions of such a day were turned away.
+    // With four writes per job, most submissions of a recorded day of tiny jobs were rejected.
     simulation.setStateLimits(new StateStoreLimits(200, 25, 8192, 12));
     simulation.startAllControllers();
     List<Integer> statuses = new ArrayList<>();
@@ -56,8 +56,8 @@
     simulation
         .networkFaults()
         .holdMessages(
-            m -> {
-              messageCount[0] += m.contains("/peer") || m.contains("/keys/") ? 1 : 0;
+            message -> {
+              messageCount[0] += message.contains("/peer") || message.contains("/keys/") ? 1 : 0;
               return false;
             });
     List<Integer> statuses = new ArrayList<>();
@@ -99,13 +99,13 @@
     assertEquals(900, statuses.size());
     assertTrue(statuses.contains(404) && statuses.contains(503));
     for (int i = 0; i < 3; i++) {
-      assertEquals(i, ownerIndexOf("c" + i), "nobody lost a lease");
+      assertEquals(i, ownerIndexOf("c" + i), "no controller lost its lease");
     }
   }
 
   @Test
   void restartedControllerAnswersQueriesThroughItsPeers() {
-    // With a read for each in the budget, 13,000 questions of a simulated day got 503.
+    // When each query took a read from the budget, 13,000 queries of a simulated day got 503.
     simulation.setStateLimits(new StateStoreLimits(60, 60, 8192, 12));
     simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
--- a/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Teams at their limits, and no work left waiting while its limit and a machine have room. */
+/** Team quotas hold, and no task waits while its team's quota and a machine have room for it. */
 class TeamQuotaTest extends SimulationTestBase {
   TeamQuotaTest() {
     super(8);
@@ -45,8 +45,9 @@
     simulation.runUntil(timeoutSeconds, () -> user.pollStatus("c1", id).matches("done|cancelled"));
   }
 
-  // Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the
-  // leader changes; some machines can't be asked, and the cloud takes nothing back for a while.
+  // Every team is at its limit while jobs are cancelled whose machines are partitioned or hang, and
+  // leaders fail. Some machines do not answer, and with cloudUnavailable the cloud takes no machine
+  // back for a while.
 
   @ParameterizedTest
   @CsvSource({
@@ -59,7 +60,7 @@
     "7, true",
     "8, true"
   })
-  void quotasHoldThroughCancellationsAndFailovers(long seed, boolean cloudAway) {
+  void quotasHoldThroughCancellationsAndFailovers(long seed, boolean cloudUnavailable) {
     resetSimulation(seed);
     Random random = new Random(seed * 3);
     addTeam("blue", 12);
@@ -74,7 +75,7 @@
     }
     simulation.runFor(12);
     for (int round = 0; round < 4; round++) {
-      simulation.cloud().setUnavailable(cloudAway && round < 3);
+      simulation.cloud().setUnavailable(cloudUnavailable && round < 3);
       for (FakeWorker worker : List.copyOf(simulation.cloud().workers().values())) {
         switch (random.nextInt(4)) {
           case 0 -> simulation.networkFaults().partitionHost(worker.id());
@@ -86,8 +87,8 @@
       }
       for (int k = 0; k < 2; k++) {
         String id = "job-" + random.nextInt(12);
-        String canceller = ClusterSimulation.controllerName(random.nextInt(3));
-        cancelWithoutWaiting(canceller, id);
+        String cancellingController = ClusterSimulation.controllerName(random.nextInt(3));
+        cancelWithoutWaiting(cancellingController, id);
       }
       String leader = ClusterSimulation.controllerName(random.nextInt(3));
       simulation.runFor(random.nextDouble());
@@ -130,11 +131,13 @@
     simulation.startController("c0");
   }
 
-  // Quota shares: an entity starts with a third of each limit.
+  // Quota shares: each entity starts with a third of each team's limit.
 
   @Test
   void taskLargerThanOneQuotaShareIsRun() {
-    // Whole tasks alone were given, and none of the others' thirds held one.
+    // Guards against peers that transfer quota in whole tasks only: no peer's third of the limit
+    // has
+    // room for one.
     addTeam("blue", 24);
     simulation.cloud().machineTypes().clear();
     simulation.cloud().machineTypes().add(machineType("wide"));
@@ -147,7 +150,8 @@
   @ParameterizedTest
   @CsvSource({"8, 3.0", "7, 3.0", "3, 7.0", "24, 1.0"})
   void gangNeedingTheWholeQuotaIsRun(int tasks, double cores) {
-    // What each entity kept beside whole tasks was missing.
+    // Guards against peers that transfer quota in whole tasks only: the gang lacks the remainder
+    // that each entity keeps.
     addTeam("blue", 24);
     simulation.startAllControllers();
     simulation.checker().faultsEnded();
@@ -163,7 +167,7 @@
     for (int i = 0; i < 3; i++) {
       byte[] job = Cbor.encode(blueTeamJob("job-" + i, 8, 3).put("shape", "ensemble"));
       String controller = ClusterSimulation.controllerName(i);
-      // In the same millisecond, so that neither of two has waited longer.
+      // All arrive in the same millisecond, so that none has waited longer than another.
       simulation.callController("user", controller, "POST", "/work", job);
     }
     for (int i = 0; i < 3; i++) {
@@ -181,7 +185,7 @@
     final FakeWorker machineInUse = simulation.cloud().addRunningMachine("plain", "a");
     simulation.runFor(8);
     simulation.checker().faultsEnded();
-    // More urgent and older, but no machine of its type is to be had.
+    // It has a higher priority and is older, but its machine type is sold out.
     ObjectNode unplaceableJob = blueTeamJob("job-1", 20, 1).put("urgency", "high");
     unplaceableJob.putArray("hosttypes").add("rare");
     submitUntilAccepted("c1", unplaceableJob);
@@ -191,7 +195,7 @@
     user.cancel("c1", "job-1");
   }
 
-  // Machines: what a peer holds and does not need.
+  // Machines that a peer holds and does not need.
 
   @Test
   void jobRunsOnPeersPartlyUsedMachine() {
@@ -238,7 +242,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void noJobStarvesAfterOverloadAndMachineLoss(long seed) {
-    // Bound to one zone, arrays too, over slow links, urgent and not; their machines end.
+    // Array jobs of all priorities, each bound to one zone, with slow replies of the state service.
+    // Some of their machines are lost.
     resetSimulation(seed);
     Random random = new Random(seed);
     addTeam("blue", 20);
--- a/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
+++ b/src/test/java/io/violetrail/simulation/WorkerReportingTest.java
@@ -8,7 +8,7 @@
 import io.violetrail.model.MachineId;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats of workers: answered early when there is work, ignored when the machine is gone. */
+/** Worker heartbeats are answered early when there is work, and ignored from returned machines. */
 class WorkerReportingTest extends SimulationTestBase {
   WorkerReportingTest() {
     super(11);
@@ -16,7 +16,7 @@
 
   @Test
   void idleWorkersGetWorkBeforeTheirNextReport() {
-    // A gang waited for the slowest of its machines' next reports.
+    // Without an early answer, a gang waits until the last of its machines sends its next report.
     simulation.cloud().setCapacity(0);
     simulation.startAllControllers();
     for (int i = 0; i < 3; i++) {
@@ -30,7 +30,7 @@
     user.submit(
         "c2", SimulatedUser.jobRequest("job-3", 3).put("shape", "ensemble").put("cores", 8.0));
     simulation.runFor(2.2);
-    assertEquals(3, launchCount(), "one of them has its three machines together");
+    assertEquals(3, launchCount(), "one of the gangs has all three machines");
   }
 
   @Test
@@ -39,18 +39,19 @@
     simulation.startAllControllers();
     FakeWorker worker = simulation.cloud().addRunningMachine("plain", "a");
     simulation.runFor(60);
-    assertEquals(0, worker.expiredLeaseCount(), "its lease never ended");
+    assertEquals(0, worker.expiredLeaseCount(), "the worker's lease never expired");
   }
 
   @Test
   void lateReportOfReturnedMachineCreatesNoRecord() {
-    // Recorded: twenty machines that were no more were taken into an entity, and fell silent again.
+    // In a recorded run, twenty machines that no longer existed were added to an entity and then
+    // fell silent again.
     simulation.startAllControllers();
     user.submit("c0", SimulatedUser.jobRequest("job-1", 1));
     simulation.runUntil(20, () -> launchCount() == 1);
     simulation.runFor(1);
     FakeWorker worker = simulation.cloud().workersRunning("job-1/0").get(0);
-    simulation.networkFaults().holdMessages(m -> m.startsWith(worker.id() + " "));
+    simulation.networkFaults().holdMessages(message -> message.startsWith(worker.id() + " "));
     simulation.runUntil(60, () -> !simulation.cloud().workers().containsKey(worker.id()));
     simulation.runFor(1);
     simulation.networkFaults().releaseHeldMessages();
