--- a/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
@@ -136,8 +136,7 @@
   @Test
   void taskLargerThanOneQuotaShareIsRun() {
     // Guards against peers that transfer quota in whole tasks only: no peer's third of the limit
-    // has
-    // room for one.
+    // has room for one.
     addTeam("blue", 24);
     simulation.cloud().machineTypes().clear();
     simulation.cloud().machineTypes().add(machineType("wide"));
