--- a/src/main/java/io/violetrail/evidence/EvidenceLog.java
+++ b/src/main/java/io/violetrail/evidence/EvidenceLog.java
@@ -11,8 +11,8 @@
  * Log lines and counters that show an operator afterwards why a task was started, and which
  * controller kept a worker's lease alive. Lines are rate-limited; counters are complete.
  *
- * <p>Must be called under the controller's lock. The counters are lost in a restart; only the
- * written log lines remain.
+ * <p>Must be called while the controller's lock is held, as in every callback of the {@link
+ * EventLoop}. The counters are lost in a restart; only the written log lines remain.
  */
 public final class EvidenceLog {
   /** Log lines are limited because people read them and because they cost CPU time. */
@@ -30,7 +30,7 @@
   private final long[] startElsewhereCounts = new long[TerminationEvidence.values().length];
   private long droppedLineCount;
   private long droppedLinesSinceLastWrite;
-  private long outlivedLeaseCount;
+  private long reportAfterLeaseExpiryCount;
 
   /** Creates a rate-limited log that passes each finished line to {@code sink}. */
   public EvidenceLog(EventLoop loop, Consumer<String> sink) {
@@ -90,7 +90,7 @@
    * in the network, or another controller has renewed the lease.
    */
   public void recordReportAfterLeaseExpiry(MachineId worker, long session, int stoppedTaskCount) {
-    outlivedLeaseCount++;
+    reportAfterLeaseExpiryCount++;
     writeLine(
         "worker=%s session=%d reports after its lease was counted as over tasks_halted=%d"
             .formatted(worker, session, stoppedTaskCount));
@@ -122,6 +122,6 @@
   }
 
   public long reportAfterLeaseExpiryCount() {
-    return outlivedLeaseCount;
+    return reportAfterLeaseExpiryCount;
   }
 }
--- a/src/main/java/io/violetrail/evidence/HeartbeatReplyKind.java
+++ b/src/main/java/io/violetrail/evidence/HeartbeatReplyKind.java
@@ -5,7 +5,10 @@
   /** Renews the worker's lease, under the fencing token of the machine's owner. */
   RENEWED,
 
-  /** Keeps the worker reporting to this controller without renewing its lease, which runs on. */
+  /**
+   * Keeps the worker reporting to this controller without renewing its lease, which continues to
+   * run down.
+   */
   STAY,
 
   /** Redirects the worker to another controller. */
--- a/src/main/java/io/violetrail/ownership/ClusterView.java
+++ b/src/main/java/io/violetrail/ownership/ClusterView.java
@@ -168,7 +168,10 @@
     return List.copyOf(keys);
   }
 
-  /** Returns whether a liveness row of the controller is known, so that its lease is unexpired. */
+  /**
+   * Returns whether the controller has a known liveness row. The state service removes that row
+   * when the controller's lease expires.
+   */
   public boolean isAlive(ControllerId controller) {
     return livenessRows.containsKey(controller);
   }
@@ -237,7 +240,7 @@
   /**
    * Returns whether the machine's record was removed recently, which happens only after the cloud
    * has certainly deleted the machine. Heartbeats that still arrive from it were delayed in the
-   * network. If the machine were adopted because of them, it would never report again.
+   * network. A machine that was adopted because of such a heartbeat would never report again.
    */
   public boolean wasTerminated(MachineId id) {
     return machineRows.wasTerminated(id);
--- a/src/main/java/io/violetrail/ownership/ControllerLease.java
+++ b/src/main/java/io/violetrail/ownership/ControllerLease.java
@@ -14,8 +14,8 @@
  * the last successful grant or renewal request was <em>sent</em>, and is shorter than the lease's
  * time to live by a margin for clock drift. The state service counts from the arrival of the same
  * request. Therefore {@code isValid} turns false before the state service can remove the
- * controller's liveness row. {@link #end} does not change the validity, because it has already run
- * out by then.
+ * controller's liveness row. {@link #end} does not change the validity period, which has already
+ * ended by then.
  *
  * <p>Must be used on the event loop's thread. The state is lost in a crash: a restarted controller
  * acquires a new lease.
--- a/src/main/java/io/violetrail/ownership/ControllerRegistration.java
+++ b/src/main/java/io/violetrail/ownership/ControllerRegistration.java
@@ -9,11 +9,12 @@
 import java.util.Set;
 
 /**
- * Registers this controller as alive under a new lease, by one transaction. It writes the liveness
- * row. If this controller does not hold the home entity in memory, and the stored row names this
- * controller or no row exists, it also moves the home entity to a new version. It is conditional on
- * the unchanged rows of all entities that this controller still owns, because a survivor may have
- * taken them over while there was no liveness row between two leases.
+ * Registers this controller as alive under a new lease, by one transaction. The transaction writes
+ * the liveness row. It also moves the home entity, which is the entity with this controller's id,
+ * to a new version, if this controller does not already own that entity in memory and the stored
+ * row names this controller or does not exist. The transaction is conditional on the unchanged rows
+ * of all entities that this controller still owns, because a survivor may have taken them over
+ * while there was no liveness row between two leases.
  *
  * <p>Called by {@link ControllerLeaseRenewal} on the event loop's thread.
  */
--- a/src/main/java/io/violetrail/ownership/EntityFailover.java
+++ b/src/main/java/io/violetrail/ownership/EntityFailover.java
@@ -19,27 +19,34 @@
  * acts on the differences:
  *
  * <ul>
- *   <li>It gives up an owned entity if the entity's row is newer than the row under which this
- *       controller acquired it, because another controller may own it now.
- *   <li>It starts to own an entity whose row names this controller, for example after a handover.
- *   <li>It takes over an entity whose owner's lease has expired (failover).
- *   <li>It asks for this controller's home entity to be handed back while another controller that
- *       is alive owns it.
+ *   <li>If the row of an owned entity is newer than the row under which this controller acquired
+ *       the entity, another controller may own it now. This controller gives the entity up.
+ *   <li>If a row names this controller and the entity is not owned here, for example after a
+ *       handover, this controller starts to own the entity.
+ *   <li>If a row names an owner whose lease has expired, this controller tries to take the entity
+ *       over (failover).
+ *   <li>If the row of this controller's home entity, the entity with the controller's own id, names
+ *       another controller that is alive, this controller requests the handback of the entity.
  * </ul>
  *
+ * <p>Giving up is always possible; the other actions require that this controller's own lease is
+ * valid. A controller that is partitioned from its workers requests no handback, and takes over no
+ * entity while another controller is alive.
+ *
  * <p>A failover is one transaction on the conditions that the entity's row has not changed and that
  * the former owner's liveness row does not exist. The state service removes the liveness row when
- * the lease expires, so the former owner no longer acts for the entity by then. In addition, each
- * survivor delays its attempt according to its rank among the controllers that are alive. The delay
- * only avoids simultaneous attempts; correctness does not depend on it.
+ * the lease expires, so the former owner no longer makes decisions for the entity by then. In
+ * addition, each survivor delays its attempt by its rank, which is the number of live controllers
+ * that the settings list before it. The delay only avoids simultaneous attempts; correctness does
+ * not depend on it.
  *
  * <p>Called by {@link Membership} on the event loop's thread. The state of this class is lost in a
- * crash, which is harmless.
+ * crash, which is harmless: a restarted controller measures the delays anew.
  */
 final class EntityFailover {
   private static final Logger LOG = LoggerFactory.getLogger(EntityFailover.class);
 
-  /** How much longer each survivor waits than the one ranked before it, to avoid contention. */
+  /** How much longer a survivor waits than the one ranked before it, to avoid contention. */
   private static final double RANK_DELAY_SECONDS = 0.6;
 
   /**
--- a/src/main/java/io/violetrail/ownership/LeaseTiming.java
+++ b/src/main/java/io/violetrail/ownership/LeaseTiming.java
@@ -16,10 +16,12 @@
  *       came after this owner's lease had expired. {@code keepAliveGraceSeconds} is short enough
  *       that the workers' leases that this owner still renews expire before {@code cancel_s}.
  *   <li>A former owner confirmed the cancellation, and this owner does not know of it yet because
- *       it is still reading the entity's rows. The confirmation came at most one worker lease
- *       before the move, because a worker whose lease was renewed later was told to stop the task.
- *       {@code renewalWhileLoadingSeconds} limits how long workers' leases may be renewed in this
- *       state, in total over a chain of such owners.
+ *       it is still reading the entity's rows. The confirmation matters only if it came at most one
+ *       worker lease before the move: each renewal of a worker's lease after the confirmation
+ *       carried the command to stop the task, and each lease that was renewed only before the
+ *       confirmation has expired one worker lease later. {@code renewalWhileLoadingSeconds} limits
+ *       how long workers' leases may be renewed in this state, in total over a chain of such
+ *       owners.
  * </ul>
  *
  * @param ttlSeconds the time to live of a controller's lease, which is short enough that a survivor
@@ -76,7 +78,10 @@
         clockSkewSeconds);
   }
 
-  /** Returns how long after a failover an unreported machine's tasks have certainly ended. */
+  /**
+   * Returns how many seconds after a failover all tasks have certainly ended on a machine that has
+   * not reported since.
+   */
   public double tasksGoneAfterFailoverSeconds() {
     return keepAliveGraceSeconds * (1 + MAX_CLOCK_DRIFT) + tasksGoneAfterReplySeconds;
   }
@@ -86,8 +91,8 @@
    *
    * <p>Owners that are still reading the entity's rows, or that are in their keep-alive grace
    * period after a failover, may renew workers' leases without knowing which jobs have ended. Such
-   * leases have expired one worker lease after the last such renewal. A move after that time
-   * restarts the count at {@code nowMillis}.
+   * leases have expired one worker lease after the last such renewal. If the move happens after
+   * that time, {@code jobsUnknownSinceMillis} is set to {@code nowMillis}.
    */
   public OwnershipHistory historyAfterMove(
       OwnershipHistory formerHistory, long nowMillis, boolean isFailover) {
@@ -95,10 +100,10 @@
         Math.max(renewalWhileLoadingSeconds, keepAliveGraceSeconds)
             + tasksGoneAfterReplySeconds
             + maxClockSkewSeconds;
-    boolean restartsCount =
+    boolean formerRenewalsExpired =
         nowMillis - formerHistory.jobsUnknownSinceMillis() > expirySeconds * 1000;
     return new OwnershipHistory(
-        restartsCount ? nowMillis : formerHistory.jobsUnknownSinceMillis(),
+        formerRenewalsExpired ? nowMillis : formerHistory.jobsUnknownSinceMillis(),
         isFailover ? nowMillis : formerHistory.lastFailoverAtMillis());
   }
 
--- a/src/main/java/io/violetrail/ownership/MachineRecords.java
+++ b/src/main/java/io/violetrail/ownership/MachineRecords.java
@@ -28,9 +28,11 @@
  * another entity gets a row of its own, because two owners must not write the same block.
  *
  * <p>Changes to records in blocks are queued and written in batches, with one transaction in
- * progress at a time. If a transaction is refused, the remaining changes are drafted again on a
- * newer cluster view and retried until each change is stored or known to be impossible. Changes to
- * a machine's own row are not batched; each is written by a transaction of its own.
+ * progress at a time. A batch is drafted from the cluster view when its transaction is about to be
+ * sent. If the transaction is refused, the changes that can still succeed are queued again and
+ * drafted from a newer view. This is repeated until each change is stored, or refused with {@link
+ * RecordChangeRefusedException}. Changes to a machine's own row are not batched: each is written by
+ * a transaction of its own, and a refusal of that transaction is final.
  *
  * <p>Must be used on the event loop's thread. Queued changes are lost in a crash. A change is
  * certain to be stored only once its future has completed successfully.
@@ -192,7 +194,7 @@
 
   /** One transaction in progress. Its content is drafted only when it is about to be sent. */
   private final class BatchWrite {
-    private Optional<MachineRecordBatch> drafted = Optional.empty();
+    private Optional<MachineRecordBatch> draftedBatch = Optional.empty();
 
     /** Returns null if there is nothing to write any more; the write then fails. */
     private Transaction draft() {
@@ -200,19 +202,19 @@
       if (batch.isEmpty()) {
         return null;
       }
-      drafted = Optional.of(batch);
+      draftedBatch = Optional.of(batch);
       return batch.finishTransaction();
     }
 
     private void onOutcome(TransactionOutcome outcome, Throwable failure) {
       writeInProgress = false;
-      if (drafted.isEmpty()) {
+      if (draftedBatch.isEmpty()) {
         scheduleWrite(RETRY_DELAY_SECONDS);
       } else if (failure == null && outcome.applied()) {
-        onApplied(drafted.get(), outcome);
+        onApplied(draftedBatch.get(), outcome);
         scheduleWrite(lastTransactionFull ? 0 : BATCH_DELAY_SECONDS);
       } else {
-        onNotApplied(drafted.get(), outcome);
+        onNotApplied(draftedBatch.get(), outcome);
       }
     }
   }
--- a/src/main/java/io/violetrail/ownership/Membership.java
+++ b/src/main/java/io/violetrail/ownership/Membership.java
@@ -12,11 +12,12 @@
  * the controller lease and the owned entities. It creates and connects the classes of this package
  * that do the work, and runs the periodic ownership check.
  *
- * <p>A controller may act for its entities only while {@link #isLeaseValid()} returns true, that
- * is, while the last successful grant or renewal request was <em>sent</em> less than the lease's
- * time to live ago. A survivor can take an entity over only by a transaction on the condition that
- * the owner's liveness row does not exist, and the state service does not remove that row earlier.
- * Therefore at most one controller may act for an entity at any time.
+ * <p>A controller may act for its entities only while {@link #isLeaseValid()} returns true. This
+ * validity period starts when the last successful grant or renewal request was <em>sent</em>, and
+ * is shorter than the lease's time to live by a safety margin. A survivor can take an entity over
+ * only by a transaction on the condition that the owner's liveness row does not exist, and the
+ * state service does not remove that row before the end of the period. Therefore at most one
+ * controller may act for an entity at any time.
  *
  * <p>Must be used on the event loop's thread. The state is lost in a crash, but the rows in the
  * state service are kept. The lease of a crashed controller expires by itself.
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -23,18 +23,19 @@
  * placements. An entity is a shard of the cluster's jobs and machines, with one owner at a time.
  * Its version is an epoch that grows with every change of owner and serves as a fencing token.
  *
- * <p>An instance is created when the entity's stored row names this controller as the owner. It
- * goes through the {@link Phase}s in their order, and can become {@code LOST} in any phase. If a
- * handover is refused, the instance returns from {@code RELEASING} to {@code ACTIVE}. If this
- * controller acquires the same entity again later, it creates a new instance with a new row.
+ * <p>An instance is created when this controller has read or written an entity row that names it as
+ * the owner. The {@link Phase} is {@code LOADING} while the entity's rows are read, then {@code
+ * ACTIVE}, and {@code RELEASING} during a handover to another controller. If the handover is
+ * refused although the entity's row has not changed, the phase returns to {@code ACTIVE}. The phase
+ * can become {@code LOST} at any time, when another controller owns the entity or may own it. If
+ * this controller acquires the same entity again later, it creates a new instance with a new row.
  *
  * <p>The following invariants hold:
  *
  * <ul>
  *   <li>The row of an instance never changes. Its version is a lower bound of every fencing token
- *       that the instance issues, and every {@link #fencedTransaction} is conditional on its
- *       revision. The state service therefore refuses the fenced transactions of an instance whose
- *       entity has moved since.
+ *       that the instance issues. Every {@link #fencedTransaction} is conditional on the row's
+ *       revision, so the state service refuses it if the entity has moved since.
  *   <li>The phase determines which decisions can be made for the entity, but it does not show
  *       whether this controller may still act as the owner. That requires a valid controller lease
  *       ({@link Membership#isLeaseValid}). Callers must check both.
@@ -262,9 +263,9 @@
   }
 
   /**
-   * Returns an upper bound of the resources that a team's tasks use. Unknown tasks, and the whole
-   * capacity of machines that may hold unreported tasks, are counted for every team, because their
-   * team is not known.
+   * Returns an upper bound of the resources that a team's tasks use. Unknown tasks ({@link
+   * Machine#unknownTasks}), and the whole capacity of machines that may hold unreported tasks, are
+   * counted for every team, because their team is not known.
    */
   public Resources usageOf(String team, double nowSeconds) {
     Resources total = placementUsage.usageOf(team);
--- a/src/main/java/io/violetrail/ownership/StateSchema.java
+++ b/src/main/java/io/violetrail/ownership/StateSchema.java
@@ -49,7 +49,9 @@
   /** Key of the row of the machine types that the cloud offers. */
   public static final String MACHINE_TYPES_KEY = COMMON_PREFIX + "types";
 
-  /** Key of the row that names the active configuration; absent while the file is active. */
+  /**
+   * Key of the row that names the active configuration; absent while the settings file is active.
+   */
   public static final String CONFIGURATION_KEY = COMMON_PREFIX + "config";
 
   private static final String JOB_PREFIX = "job/";
@@ -81,8 +83,8 @@
   /**
    * An entity and its owner.
    *
-   * @param version the entity's epoch, which grows with every change of owner; its remainder is the
-   *     owner's index in the settings
+   * @param version the entity's epoch, which grows with every change of owner; modulo {@link
+   *     Version#INCREMENT}, it is the owner's index in the settings
    * @param acquiredGracefully whether the former owner handed the entity over, or there was none;
    *     false after a failover
    * @param modRevision the row's revision; 0 if the row has not been written yet
--- a/src/main/java/io/violetrail/peer/JobQueryBatcher.java
+++ b/src/main/java/io/violetrail/peer/JobQueryBatcher.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Batches queries about jobs to their owners. While the allowed messages to an owner are in flight,
- * further queries wait for the next message. Users who poll many times as often then cost one
- * message for each round trip, not one for each poll.
+ * Batches queries about jobs to their owners. While the maximum number of messages to an owner is
+ * in flight, further queries wait for the next message. Users who poll many times as often then
+ * cost one message for each round trip, not one for each poll.
  *
- * <p>A query never joins a message that is already in flight: the reply to that may be older than
- * what another controller has told the same user since.
+ * <p>A query never joins a message that is already in flight. The reply to that message may be
+ * older than an answer that the same user has received from another controller in the meantime.
  */
 final class JobQueryBatcher {
   /** Maximum number of jobs in one message; further jobs wait for the next one. */
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -28,8 +28,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends requests to the other controllers, as Kryo messages over HTTP. Every request may fail
- * without harm.
+ * Sends requests to the other controllers, as Kryo messages over HTTP. A failed request does no
+ * harm.
  */
 public final class PeerClient {
   static final String PATH = "/peer";
@@ -111,14 +111,14 @@
     return states;
   }
 
-  /** Asks the current owner of this controller's own entity to hand it back. */
+  /** Asks the current owner of this controller's home entity to hand it back. */
   public void requestHandback(ControllerId owner) {
     Futures.logFailure(
         call(
             owner,
             newRequest(PeerRequestKind.HAND_BACK, settings.self().value(), 0),
             TIMEOUT_SECONDS),
-        "request the handback of the own entity");
+        "request the handback of the home entity");
   }
 
   /**
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Tells all live peers that the cloud has no machines of this offering for now, which saves them
-   * a call to the cloud.
+   * Announces to all live peers that the cloud has no machines of this offering for now, which
+   * saves the peers a call to the cloud.
    */
   public void announceSoldOut(String type, String zone, boolean spot) {
     callLivePeers(newRequest(PeerRequestKind.SOLD_OUT, type + " " + zone + " " + spot, 0));
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -117,7 +117,11 @@
       case MOVED ->
           membership.onOwnershipAnnounced(
               new ControllerId(request.subject()), new Version(request.number()));
-      default -> throw new IllegalArgumentException("not a kind of notice: " + request.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "request of kind "
+                  + request.kind()
+                  + " is not a notice; expected HAND_BACK, SOLD_OUT, RESOURCES or MOVED");
     }
   }
 
--- a/src/main/java/io/violetrail/peer/WriteBudgetLending.java
+++ b/src/main/java/io/violetrail/peer/WriteBudgetLending.java
@@ -32,7 +32,7 @@
   private final ClusterView clusterView;
   private final PeerClient peerClient;
 
-  /** Creates the lending of the store's write budget; borrowing begins with {@link #start}. */
+  /** Creates an instance that lends at once and borrows only after {@link #start}. */
   public WriteBudgetLending(
       Settings settings,
       EventLoop loop,
@@ -70,7 +70,7 @@
                 "borrow write budget from a peer"));
   }
 
-  /** Lends to a peer that asks for {@code units}, and returns the units that it gets. */
+  /** Lends up to {@code units} to a peer, and returns the number of units lent. */
   long lend(long units) {
     return (long)
         (LENDING_UNITS_PER_WRITE * store.lendWrites(Math.max(0, units) / LENDING_UNITS_PER_WRITE));
--- a/src/main/java/io/violetrail/state/GroupCommit.java
+++ b/src/main/java/io/violetrail/state/GroupCommit.java
@@ -77,7 +77,7 @@
 
   /**
    * Adds a transaction that is drafted only when its turn comes, so that it is based on the latest
-   * state. If it were drafted before it waits for the budget, it would fail on conditions that have
+   * state. If it were drafted before the wait for the budget, it would fail on conditions that have
    * become stale.
    *
    * @return fails with {@link NothingToWriteException} if the draft is null
--- a/src/main/java/io/violetrail/state/RequestBudget.java
+++ b/src/main/java/io/violetrail/state/RequestBudget.java
@@ -33,8 +33,8 @@
   private static final double USER_READ_FRACTION = 0.4;
 
   /**
-   * Maximum number of writes per submission: its claim, and half of an open-job segment when the
-   * budget is short.
+   * Maximum number of writes per submission: the row that claims the job's id, and half of an
+   * open-job segment when the budget is short.
    */
   private static final double WRITES_PER_SUBMISSION = 1.5;
 
--- a/src/main/java/io/violetrail/state/StateStore.java
+++ b/src/main/java/io/violetrail/state/StateStore.java
@@ -109,8 +109,8 @@
    * <p>The pages are read one after the other while rows may change, so the listing is as of the
    * <em>first</em> page's revision. It may already contain later changes, but a watch from that
    * revision reports them in any case. If the listing were as of the last page's revision, a row
-   * that was created during the listing, in the part already read, would be taken for deleted, and
-   * no watch would report it.
+   * that was created during the listing, in the part already read, would seem to be deleted, and no
+   * watch would report it.
    */
   public CompletableFuture<Listing> list(String prefix) {
     return reader.list(prefix);
--- a/src/main/java/io/violetrail/worker/CommandWriter.java
+++ b/src/main/java/io/violetrail/worker/CommandWriter.java
@@ -19,8 +19,8 @@
  * drops late replies, so its next report always shows whether a launch arrived. A task is therefore
  * never launched late, when it may already run elsewhere.
  *
- * <p>Called on the event loop's thread; has no state. Each {@link TaskPlacement} keeps the report
- * in whose reply its launch was sent, which is lost with the process.
+ * <p>Called on the event loop's thread; has no state. Each {@link TaskPlacement} records to which
+ * report the reply with its launch was sent. This information is lost with the process.
  */
 public final class CommandWriter {
   private static final Logger LOG = LoggerFactory.getLogger(CommandWriter.class);
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -26,24 +26,26 @@
  *
  * <ol>
  *   <li>The heartbeat is malformed: it is answered with status 400.
- *   <li>It is not newer than the last heartbeat that was accepted from the same worker ({@link
- *       LastHeartbeats}), so the network has delayed or duplicated it. The reply renews nothing,
- *       and the heartbeat has no other effect.
- *   <li>The cloud has already taken the machine back: the worker is sent to the next controller,
- *       and its lease is not renewed.
+ *   <li>The heartbeat is not newer than the last one that was accepted from the same worker ({@link
+ *       LastHeartbeats}), so the network has delayed or duplicated it. The reply does not renew the
+ *       worker's lease, and the heartbeat has no other effect.
+ *   <li>The cloud has confirmed that the machine was returned: the worker is sent to the next
+ *       controller, and its lease is not renewed.
  *   <li>The machine has no stored record: {@link MachineAdoption} may add it to this controller's
- *       home entity. Once its record is stored, the heartbeat is processed as in case 8.
+ *       home entity. Once the record is stored, and if the entity is still active here, the reply
+ *       is written as in case 8 and sent at once. Otherwise the worker's lease is not renewed.
  *   <li>This controller does not own the machine's entity, or is handing it over: {@link
  *       WorkerRouter} sends the worker to the owner, or keeps it reporting here until an owner is
  *       known.
  *   <li>This controller owns the entity, but has failed to renew its own lease for longer than the
- *       keep-alive grace period: the worker is refused and tries the next controller.
+ *       keep-alive grace period: the heartbeat is refused, and the worker tries the next
+ *       controller.
  *   <li>The entity's stored state is still being loaded, or the machine's type is not known yet:
  *       {@link LeaseRenewal} decides whether to renew the worker's lease. Nothing is launched.
  *   <li>Otherwise {@link OwnedMachineHeartbeat} reconciles the machine with the report and writes
  *       the reply, which normally renews the worker's lease and carries launches and stops. If the
- *       worker waits for work and the reply carries nothing urgent ({@link LongPollReplies}), the
- *       reply is held back in {@link LongPolls} until there is work or the long poll times out.
+ *       machine is waiting for work and the reply carries nothing urgent ({@link LongPollReplies}),
+ *       {@link LongPolls} holds the reply back until there is work or the long poll times out.
  * </ol>
  *
  * <p>Called on the event loop's thread; has no state of its own.
@@ -57,7 +59,7 @@
   private final LastHeartbeats lastHeartbeats;
   private final WorkerRouter router;
   private final MachineAdoption adoption;
-  private final OwnedMachineHeartbeat ownedMachine;
+  private final OwnedMachineHeartbeat ownedMachineHeartbeat;
   private final LeaseRenewal leaseRenewal;
   private final LongPollReplies longPollReplies;
 
@@ -71,7 +73,7 @@
       LastHeartbeats lastHeartbeats,
       WorkerRouter router,
       MachineAdoption adoption,
-      OwnedMachineHeartbeat ownedMachine,
+      OwnedMachineHeartbeat ownedMachineHeartbeat,
       LeaseRenewal leaseRenewal,
       LongPollReplies longPollReplies) {
     this.clusterView = clusterView;
@@ -82,7 +84,7 @@
     this.lastHeartbeats = lastHeartbeats;
     this.router = router;
     this.adoption = adoption;
-    this.ownedMachine = ownedMachine;
+    this.ownedMachineHeartbeat = ownedMachineHeartbeat;
     this.leaseRenewal = leaseRenewal;
     this.longPollReplies = longPollReplies;
   }
@@ -151,7 +153,7 @@
         entity.isActive() && membership.isLeaseValid() ? machines.findOrAdd(entity, row) : null;
     return machine == null
         ? HeartbeatReply.redirected(null)
-        : ownedMachine.process(entity, machine, report, new ArrayList<>());
+        : ownedMachineHeartbeat.process(entity, machine, report, new ArrayList<>());
   }
 
   private void handleOwned(
@@ -165,7 +167,7 @@
       return;
     }
     List<WorkerCommand> commands = new ArrayList<>();
-    HeartbeatReply reply = ownedMachine.process(entity, machine, report, commands);
+    HeartbeatReply reply = ownedMachineHeartbeat.process(entity, machine, report, commands);
     if (longPollReplies.shouldDelay(entity, machine, report, commands)) {
       longPolls.delay(
           machine.id(),
--- a/src/main/java/io/violetrail/worker/HeartbeatReply.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatReply.java
@@ -28,9 +28,9 @@
    * Returns a reply that keeps the worker reporting here without renewing its lease. The reply
    * carries a lower token than the worker has seen, so the worker does not renew its lease.
    *
-   * <p>No token is lower than that of a worker that has seen none. If such a worker holds tasks,
-   * which only releases that issued version 0 can have started, it is refused and tries the next
-   * controller.
+   * <p>A worker that has seen no token reports {@link Version#NONE}, and no token is lower than
+   * that. If such a worker holds tasks, which only releases that issued version 0 can have started,
+   * its report is refused and it tries the next controller.
    */
   static HeartbeatReply withoutRenewal(WorkerReport report) {
     return report.fencingToken().equals(Version.NONE) && report.holdsTasks()
--- a/src/main/java/io/violetrail/worker/LastHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/LastHeartbeat.java
@@ -42,8 +42,8 @@
   /**
    * Returns whether the worker's last reply was of the same kind and carried the same token.
    *
-   * @param absenceSeconds if the last reply is longer ago than this, the worker has reported to
-   *     another controller meanwhile, and the result is false
+   * @param absenceSeconds if the last reply is longer ago than this, the worker is assumed to have
+   *     reported to another controller meanwhile, and the result is false
    */
   boolean isSameReply(HeartbeatReply reply, double nowSeconds, double absenceSeconds) {
     return replyKind == reply.kind()
--- a/src/main/java/io/violetrail/worker/LeaseRenewal.java
+++ b/src/main/java/io/violetrail/worker/LeaseRenewal.java
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns the reply to a report of a session whose lease was taken for expired, and whose tasks
+   * Returns the reply to a report of a session whose lease was considered expired, and whose tasks
    * may have been started elsewhere since.
    *
    * <p>Either the report was delayed in the network and its worker no longer waits for the reply,
--- a/src/main/java/io/violetrail/worker/MachineAdoption.java
+++ b/src/main/java/io/violetrail/worker/MachineAdoption.java
@@ -23,8 +23,8 @@
  * only one succeeds.
  *
  * <p>Called by {@link HeartbeatHandler} on the event loop's thread. The machine's record survives a
- * crash once it is stored. The time of a worker's first report does not, which delays the machine's
- * adoption.
+ * crash once it is stored. The time of a worker's first report does not survive, so a crash may
+ * delay the machine's adoption.
  */
 public final class MachineAdoption {
   private static final Logger LOG = LoggerFactory.getLogger(MachineAdoption.class);
@@ -36,8 +36,8 @@
   private static final double SCALE_OUT_RECORD_DELAY_SECONDS = 2.5;
 
   /**
-   * Time after this controller's start during which workers without a record are taken for those
-   * that were running before the controllers.
+   * Time after this controller's start during which workers without a record are assumed to have
+   * been running before the controllers.
    */
   private static final double STARTUP_SECONDS = 10;
 
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -62,17 +62,17 @@
   /**
    * Processes a report and returns the reply.
    *
-   * <p>Reports may arrive late and out of order. A report is taken for the machine's current state
-   * only if it meets all of these conditions:
+   * <p>Reports may arrive late and out of order. A report is accepted as the machine's current
+   * state only if it meets all of these conditions:
    *
    * <ul>
    *   <li>It is newer than every earlier report of the machine.
-   *   <li>The lease of its session was not taken for expired.
+   *   <li>The lease of its session was not considered expired.
    *   <li>Its worker has seen a fencing token that was issued under the current ownership.
    * </ul>
    *
    * <p>If the worker has seen a higher token than the machine's, the machine's token is raised,
-   * because the worker obeys no lower one.
+   * because the worker rejects lower tokens.
    *
    * @param commands receives the commands that the reply carries
    */
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Returns whether the report belongs to a session whose lease was taken for expired. Such a
+   * Returns whether the report belongs to a session whose lease was considered expired. Such a
    * report may have been delayed in the network for minutes. A report of a later session was
    * certainly sent after that lease expired.
    */
--- a/src/main/java/io/violetrail/worker/ReportReconciliation.java
+++ b/src/main/java/io/violetrail/worker/ReportReconciliation.java
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Returns whether another machine's worker may run the task. A placement on another machine is
-   * removed instead if its launch was never sent.
+   * Returns whether another machine's worker may run the task. If the task is placed on another
+   * machine but its launch was never sent, that placement is removed and the result is false.
    */
   private boolean isOnAnotherMachine(Job job, TaskId taskId) {
     TaskPlacement otherPlacement = job.findPlacement(taskId.index());
@@ -197,8 +197,8 @@
     if (job.isDone(index)) {
       jobLifecycle.handleProgress(entity, job);
       if (succeeded && !job.isStored(index) && job.phase() != Job.Phase.FINISHED) {
-        // Without a FORGET command the worker keeps reporting the task. It is sent only once the
-        // task's completion is stored, so that a controller's crash does not lose the completion.
+        // Without a FORGET command the worker keeps reporting the task. The command is sent only
+        // once the completion is stored, so that a controller's crash does not lose it.
         return;
       }
     }
--- a/src/main/java/io/violetrail/worker/TaskStopper.java
+++ b/src/main/java/io/violetrail/worker/TaskStopper.java
@@ -77,8 +77,8 @@
   /**
    * Stops a placement of a cancelled job. While the placement remains and its machine sends no
    * heartbeats, the stop is resent, because a worker that reaches no controller may still be
-   * reachable. Otherwise a task whose image is being fetched could start after the user was told
-   * that the job is cancelled.
+   * reachable. Otherwise a task whose image is being fetched could start after the cancellation was
+   * confirmed to the user.
    */
   public void stopUntilGone(TaskPlacement placement) {
     enqueueStop(placement);
--- a/src/main/java/io/violetrail/worker/WorkerReachability.java
+++ b/src/main/java/io/violetrail/worker/WorkerReachability.java
@@ -55,8 +55,8 @@
   private static final int MAX_PROBED_WORKERS = 3;
 
   /**
-   * Minimum number of own workers for a probe and for a conclusion: a single silent worker may have
-   * failed itself.
+   * Minimum number of own workers for a probe. If there is only one, its silence may mean that the
+   * worker itself has failed.
    */
   private static final int MIN_WORKERS = 2;
 
