--- a/src/main/java/io/violetrail/api/JobAdmission.java
+++ b/src/main/java/io/violetrail/api/JobAdmission.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Admits new jobs to this controller's home entity. Every interface that accepts jobs uses this
- * class, so a job is checked the same way however it was described.
+ * Admits new jobs to this controller's home entity, the entity with the controller's own id. Every
+ * interface that accepts jobs uses this class, so a job is checked the same way however it was
+ * described.
  */
 public final class JobAdmission {
   private static final int MAX_OPEN_JOBS = 5_000;
--- a/src/main/java/io/violetrail/api/JobCancellation.java
+++ b/src/main/java/io/violetrail/api/JobCancellation.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Handles users' requests to cancel a job. The job is cancelled here if it is open at an entity
- * that this controller owns; otherwise the request is forwarded to its owner. A cancellation is
- * confirmed to the user only after it is stored. Called on the event loop's thread.
+ * Handles users' requests to cancel a job. This controller cancels the job itself if it owns the
+ * entity at which the job is open; otherwise it forwards the request to that entity's owner. A
+ * cancellation is confirmed to the user only after it is stored. Called on the event loop's thread.
  */
 public final class JobCancellation {
   private final LocalCancellation localCancellation;
--- a/src/main/java/io/violetrail/api/JobLifecycle.java
+++ b/src/main/java/io/violetrail/api/JobLifecycle.java
@@ -190,7 +190,7 @@
     stores.progressStoreOf(entity).flush(loop.monotonicSeconds());
   }
 
-  /** Stores the end of a job. Users and workers are told only after it is stored. */
+  /** Stores the end of a job. It is reported to users and workers only after it is stored. */
   private CompletableFuture<Boolean> storeEnd(OwnedEntity entity, Job job, JobStatus status) {
     if (job.phase() == Job.Phase.FINISHED) {
       return CompletableFuture.completedFuture(true);
--- a/src/main/java/io/violetrail/api/JobStateLookup.java
+++ b/src/main/java/io/violetrail/api/JobStateLookup.java
@@ -14,7 +14,7 @@
   private final Membership membership;
   private final KnownJobs knownJobs;
 
-  /** Creates a lookup in the entities owned here and in the cache of known jobs. */
+  /** Creates a lookup in this controller's entities and in the cache of known jobs. */
   public JobStateLookup(Membership membership, KnownJobs knownJobs) {
     this.membership = membership;
     this.knownJobs = knownJobs;
--- a/src/main/java/io/violetrail/api/JobStateResolver.java
+++ b/src/main/java/io/violetrail/api/JobStateResolver.java
@@ -27,7 +27,7 @@
   private final JobLookup jobLookup;
   private final JobStateLookup jobStates;
 
-  /** Creates a resolver that asks the given peers about jobs whose state is not known here. */
+  /** Creates a resolver that asks the given peers about jobs that this controller does not know. */
   public JobStateResolver(
       Set<ControllerId> peers,
       ClusterView clusterView,
--- a/src/main/java/io/violetrail/api/KnownJobs.java
+++ b/src/main/java/io/violetrail/api/KnownJobs.java
@@ -8,8 +8,8 @@
 import io.violetrail.model.Resources;
 
 /**
- * A bounded cache of the entities and the ends of jobs, both this controller's and others'. Neither
- * changes once it is stored.
+ * A bounded cache of the entities and the ends of jobs, whether this controller owns the jobs or a
+ * peer does. Neither the entity nor the end of a job changes once it is stored.
  *
  * <p>Called on the event loop's thread. The cache does not survive a restart. Evicted jobs are
  * looked up in the stored rows again.
--- a/src/main/java/io/violetrail/api/Readiness.java
+++ b/src/main/java/io/violetrail/api/Readiness.java
@@ -8,7 +8,7 @@
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.wire.Cbor;
 
-/** Tells the load balancer's health checks whether this controller can serve users' requests. */
+/** Decides for the load balancer's health checks whether this controller can serve users. */
 public final class Readiness {
   private final Membership membership;
   private final MachineTypes machineTypes;
--- a/src/main/java/io/violetrail/api/UnknownTaskLookup.java
+++ b/src/main/java/io/violetrail/api/UnknownTaskLookup.java
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Returns the job of a task whose job is not open at the entity, or null if it is not known to
-   * have ended or not to exist. In that case a lookup is started, unless the job was looked up just
-   * now or too many lookups are in flight.
+   * Returns a job that is not open at the entity, if it is known that the job has ended or does not
+   * exist. Otherwise returns null and, unless the job was looked up just now or too many lookups
+   * are in flight, starts a lookup.
    */
   public FinishedOrNonexistentJob findFinishedOrNonexistentJob(OwnedEntity ownedEntity, JobId id) {
     FinishedOrNonexistentJob knownJob = knownJobs.findFinishedOrNonexistent(id);
--- a/src/main/java/io/violetrail/fleet/BootTimes.java
+++ b/src/main/java/io/violetrail/fleet/BootTimes.java
@@ -9,7 +9,7 @@
  * Recent boot times of each machine type. A machine that is late in booting no longer counts as
  * capacity and is returned after a while. If all boots are slow, this must neither double the fleet
  * nor return machines just before they would have booted. Called on the event loop's thread; lost
- * in a crash, after which the types' configured boot times are assumed.
+ * in a crash, after which the provider's boot time of each type is assumed.
  */
 public final class BootTimes {
   /** Under the protocol, a usual boot takes up to this many times the type's boot time. */
@@ -24,16 +24,16 @@
   /** The factor by which the excess of the slowest boot decays with each later boot. */
   private static final double DECAY_FACTOR = 0.9;
 
-  /** After this many usual boots, a machine rented before them is expected not to boot. */
+  /** A machine is given up sooner if this many others have booted as usual since it was rented. */
   private static final int RECENT_BOOTS = 3;
 
   /**
-   * How much longer to wait for boots after a machine was returned that had not booted, unless
-   * another one has booted since it was rented.
+   * The factor by which the wait for boots is extended when a machine is returned that never
+   * booted, unless another machine of its type has booted since it was rented.
    */
   private static final double BACKOFF_FACTOR = 1.5;
 
-  /** The limit of the factor by which repeated such returns extend the wait. */
+  /** The maximum of the factor by which several such returns together extend the wait. */
   private static final double MAX_BACKOFF_FACTOR = 4;
 
   /** The least time after renting a machine before it is given up. */
@@ -82,17 +82,17 @@
             + OVERHEAD_SECONDS;
   }
 
-  /** Returns whether a machine that has not reported is no longer expected to, and is returned. */
+  /**
+   * Returns whether a machine that has not reported is no longer waited for and is to be returned.
+   */
   public boolean isGivenUp(MachineType type, double rentedAtSeconds, double nowSeconds) {
     TypeHistory history = historyOf(type);
-    boolean laterRentalsBooted =
+    boolean othersBootedSince =
         history.recentBootsAtSeconds.size() == RECENT_BOOTS
             && history.recentBootsAtSeconds.peekFirst() > rentedAtSeconds
             && history.slowestBootRatio <= USUAL_BOOT_RATIO;
     double bootTimesAllowed =
-        laterRentalsBooted
-            ? 2
-            : Math.max(3, 1.5 * history.slowestBootRatio) * history.backoffFactor;
+        othersBootedSince ? 2 : Math.max(3, 1.5 * history.slowestBootRatio) * history.backoffFactor;
     return nowSeconds - rentedAtSeconds
         > Math.max(MIN_WAIT_SECONDS, bootTimesAllowed * type.bootSeconds() + 4 * OVERHEAD_SECONDS);
   }
--- a/src/main/java/io/violetrail/fleet/EntityMachines.java
+++ b/src/main/java/io/violetrail/fleet/EntityMachines.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Manages the machines of the entities owned here: adds them, records their first report, raises
- * their fencing tokens and removes them. What must survive a crash is written through {@link
- * OwnedEntity#machineRecords}. Called on the event loop's thread.
+ * Manages the machines of the entities that this controller owns: adds them, records their first
+ * report, raises their fencing tokens and removes them. What must survive a crash is written
+ * through {@link OwnedEntity#machineRecords}. Called on the event loop's thread.
  */
 public final class EntityMachines {
   private static final Logger LOG = LoggerFactory.getLogger(EntityMachines.class);
@@ -100,7 +100,7 @@
     return true;
   }
 
-  /** Adds machines that other entities have transferred to entities owned here. */
+  /** Adds machines that other entities have transferred to entities that this controller owns. */
   public void addTransferred() {
     for (OwnedEntity entity : membership.ownedEntities()) {
       if (entity.isActive()) {
@@ -137,18 +137,18 @@
   }
 
   /**
-   * Raises the machine's fencing token above the higher one that its worker has seen, since the
-   * worker rejects commands with a lower one.
+   * Raises the machine's fencing token above the higher token that its worker has seen, since the
+   * worker rejects commands with a lower token.
    */
   public void raiseFencingToken(OwnedEntity entity, Machine machine, Version seenToken) {
     if (mayWriteRow(entity, machine)) {
-      Version newTerm = seenToken.nextOwnedBy(entity.row().version().ownerIndex());
+      Version newToken = seenToken.nextOwnedBy(entity.row().version().ownerIndex());
       LOG.info(
-          "machine {}: worker has seen higher fencing token {}, raising the machine's to {}",
+          "machine {}: worker has seen higher fencing token {}, raising the machine's token to {}",
           machine.id(),
           seenToken,
-          newTerm);
-      writeRow(entity, machine, machine.row().withTerm(newTerm));
+          newToken);
+      writeRow(entity, machine, machine.row().withTerm(newToken));
     }
   }
 
@@ -201,7 +201,7 @@
     return returnedMachineIds.contains(machineId);
   }
 
-  /** Forgets a returned machine, whose row is removed. */
+  /** Removes a machine from the returned machines, since its row is removed. */
   void forgetReturned(MachineId machineId) {
     returnedMachineIds.remove(machineId);
   }
--- a/src/main/java/io/violetrail/fleet/FreeCapacityForecast.java
+++ b/src/main/java/io/violetrail/fleet/FreeCapacityForecast.java
@@ -35,9 +35,10 @@
   }
 
   /**
-   * Returns the additional capacity for further array tasks that could start on the machine, one
-   * after the other and as long as the running ones, before another machine has booted. Without it,
-   * expensive machines were rented for short tasks and had nothing to do once they had booted.
+   * Returns the additional capacity for further array tasks that could run on the machine, one
+   * after the other, before another machine has booted. Each task is assumed to run as long as the
+   * running task before it. Without this capacity, expensive machines were rented for short tasks
+   * and had nothing to do once they had booted.
    */
   Resources sequentialCapacity(Machine machine, double nowSeconds) {
     Resources capacity = Resources.NONE;
--- a/src/main/java/io/violetrail/fleet/MachineTransfer.java
+++ b/src/main/java/io/violetrail/fleet/MachineTransfer.java
@@ -155,8 +155,9 @@
   /**
    * Evicts all tasks from machines that have room for a task of a starving job, since tasks of two
    * entities cannot share a machine. Machines where the least work is lost come first. They are
-   * transferred at a later request. Nothing is evicted while jobs wait in this entity, nor from
-   * machines that joined it recently, so that no machine moves back and forth between two entities.
+   * transferred at a later request. Nothing is evicted while jobs that are not best effort wait in
+   * this entity, nor from machines that joined it recently, so that no machine moves back and forth
+   * between two entities.
    */
   private void evictWithLeastLoss(
       OwnedEntity entity, ResourceRequest request, int taskCount, double nowSeconds) {
@@ -219,16 +220,17 @@
   }
 
   /**
-   * Returns whether a job of the entity goes before the request and waits for the same kind of
-   * machine.
+   * Returns whether a job of the entity is ordered before the request and waits for the same kind
+   * of machine.
    */
   private static boolean hasJobWaitingAheadOf(OwnedEntity entity, ResourceRequest request) {
     return entity.jobs().values().stream().anyMatch(job -> waitsAheadOf(job, request));
   }
 
   /**
-   * Returns whether the job has unplaced tasks, goes before the request, and like the request needs
-   * accelerators or does not. Best-effort jobs and jobs that fail on every machine do not count.
+   * Returns whether the job has unplaced tasks, is ordered before the request, and needs the same
+   * kind of machine: with or without accelerators. Best-effort jobs and jobs that fail on every
+   * machine do not count.
    */
   private static boolean waitsAheadOf(Job job, ResourceRequest request) {
     return job.phase() == Job.Phase.OPEN
@@ -240,8 +242,8 @@
   }
 
   /**
-   * Returns the entity's jobs that go before the request, wait for the same kind of machine, and
-   * have quota for at least one task.
+   * Returns the entity's jobs that are ordered before the request, wait for the same kind of
+   * machine, may hold reservations now, and have quota for at least one task.
    */
   private List<Job> startableJobsAheadOf(
       OwnedEntity entity,
--- a/src/main/java/io/violetrail/fleet/OfferingSelector.java
+++ b/src/main/java/io/violetrail/fleet/OfferingSelector.java
@@ -119,7 +119,11 @@
         return type;
       }
     }
-    throw new IllegalStateException("unknown machine type " + offering.type());
+    throw new IllegalStateException(
+        "unknown machine type "
+            + offering.type()
+            + ", expected one of "
+            + types.stream().map(MachineType::name).toList());
   }
 
   /**
--- a/src/main/java/io/violetrail/fleet/OrphanedMachines.java
+++ b/src/main/java/io/violetrail/fleet/OrphanedMachines.java
@@ -19,10 +19,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines that the provider charges for but that no entity has recorded. They come from
- * scale-out requests that were carried out late, and never boot; a machine that reports is adopted
- * long before. Called by the {@link Autoscaler} on the event loop's thread; after a crash the
- * waiting time starts anew.
+ * Returns machines that the provider charges for but that no entity has recorded. Such machines
+ * come from scale-out requests that were carried out late, and never boot: a machine that reports
+ * is adopted long before it counts as orphaned. Called by the {@link Autoscaler} on the event
+ * loop's thread; after a crash the waiting time starts anew.
  */
 public final class OrphanedMachines {
   private static final Logger LOG = LoggerFactory.getLogger(OrphanedMachines.class);
--- a/src/main/java/io/violetrail/fleet/Prices.java
+++ b/src/main/java/io/violetrail/fleet/Prices.java
@@ -18,7 +18,8 @@
   }
 
   /**
-   * Returns the hourly price for each of {@code taskCount} tasks that share a machine if they fit.
+   * Returns the hourly price of each task if as many of {@code taskCount} tasks as fit share a
+   * machine.
    */
   private static double pricePerTask(
       Resources task, MachineType type, boolean spot, int taskCount) {
@@ -52,9 +53,9 @@
   }
 
   /**
-   * Returns whether tasks may use a machine of the type on their own, given the most that they may
-   * cost as a multiple of the cheapest on-demand price. An expensive machine is worthwhile only if
-   * enough tasks share it.
+   * Returns whether the job's tasks may use a machine of the type, given the maximum price of a
+   * task as a multiple of the cheapest on-demand price. An expensive machine is worthwhile only if
+   * enough of the {@code taskCount} tasks share it.
    */
   public boolean isWorthwhile(
       JobSpec job, MachineType type, boolean spot, int taskCount, double maxPriceRatio) {
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Returns how long a machine may be idle. The time decreases with the hourly price, down to a
-   * tenth of the configured one.
+   * Returns how long a machine may be idle. The higher the hourly price, the shorter the time, down
+   * to a tenth of {@code configuredIdleSeconds}.
    */
   public double maxIdleSeconds(MachineType type, boolean spot, double configuredIdleSeconds) {
     double cheapest =
--- a/src/main/java/io/violetrail/fleet/QuotaMoveExecutor.java
+++ b/src/main/java/io/violetrail/fleet/QuotaMoveExecutor.java
@@ -121,7 +121,7 @@
 
     /** Returns the write, or null, which cancels the deferred write, to abandon the move. */
     private Transaction draftTransaction() {
-      draftedRow = coversUsage() ? move.draftRow(quotaShares).orElse(null) : null;
+      draftedRow = shareCoversUsage() ? move.draftRow(quotaShares).orElse(null) : null;
       return draftedRow == null ? null : buildTransaction();
     }
 
@@ -130,7 +130,7 @@
      * covers what its tasks use. An earlier attempt whose answer was lost may have been applied:
      * the share is then already reduced, and reducing it again would take quota from running tasks.
      */
-    private boolean coversUsage() {
+    private boolean shareCoversUsage() {
       Resources remaining = unusedShare(move.entity(), move.team().name(), loop.monotonicSeconds());
       return move.entity().isActive()
           && remaining.cpus() >= -QuotaAmounts.MIN_SHARE
--- a/src/main/java/io/violetrail/fleet/QuotaTransfer.java
+++ b/src/main/java/io/violetrail/fleet/QuotaTransfer.java
@@ -22,40 +22,43 @@
 /**
  * Decides how much of a team's quota each entity may use, and when quota moves between entities.
  *
- * <p>A team's limit is divided among the entities. An entity's part is its <i>quota share</i>, and
- * an entity's owner starts tasks of the team only within that share. All shares of a team are
- * stored in one row of the state service, and every move is one compare-and-swap write of that row.
- * There are three kinds:
+ * <p>A team's limit on processors and accelerators is divided among the entities (the shards of
+ * jobs and machines). An entity's part is its <i>quota share</i>, and the entity's owner starts
+ * tasks of the team only within that share. All shares of a team are stored in one row of the state
+ * service. Every change of shares, a <i>move</i>, is one compare-and-swap write of that row. There
+ * are three kinds of moves:
  *
  * <ul>
- *   <li>{@link QuotaGrant}: an entity gives what it can spare of its share to another entity that
- *       has requested it. The sum of the shares stays the same.
+ *   <li>{@link QuotaGrant}: an entity gives a part of its share that it can spare to another entity
+ *       that has requested it. The sum of the shares stays the same.
  *   <li>{@link QuotaReturn}: after the limit was lowered, an entity reduces its share towards an
- *       even share of the new limit, but not below what its tasks use.
+ *       even share of the new limit, but not below what its tasks use. The sum of the shares
+ *       decreases.
  *   <li>{@link QuotaClaim}: after the limit was raised, an entity adds to its share a part of the
- *       limit that is in no entity's share. Only claims raise the sum of the shares, at most to the
- *       limit.
+ *       limit that is in no entity's share. Only claims increase the sum of the shares, at most to
+ *       the limit.
  * </ul>
  *
  * <p>Two invariants keep a team within its limit:
  *
  * <ul>
  *   <li>The tasks of an entity never use more than its share. Before an owner sends a write that
- *       reduces a share, it withholds the amount that the write takes from the share, so that no
- *       task starts in it. If the write is not confirmed, the owner uses the amount again only
+ *       reduces a share, it withholds the amount by which the share is reduced: no task is started
+ *       within that amount. If the write is not confirmed, the owner uses the amount again only
  *       after a read, made after the write has ended, shows that the share still contains it.
- *   <li>No task of a team is started while the sum of its shares exceeds the limit in force, as it
- *       does after the limit was lowered until enough is returned. Running tasks continue to their
- *       end.
+ *   <li>No task of a team is started while the sum of the team's shares exceeds the limit in force.
+ *       That is the case after the limit was lowered, until enough is returned. Running tasks
+ *       continue to their end.
  * </ul>
  *
- * <p>A claim is written on the condition that the configuration revision which allows it is still
- * in force. A controller that knows a revision, and the shares as of that revision, therefore knows
- * the largest sum that the shares can have under it.
+ * <p>A claim's write is conditional on the configuration revision whose limit allows the claim, so
+ * it is refused once a later revision is stored. A controller that has read a revision, and the
+ * shares as of that revision, therefore knows the largest sum that the shares can have while the
+ * revision is in force: the sum that it has read or the revision's limit, whichever is larger.
  *
- * <p>Called on the event loop's thread: by scheduling and scale out to learn what may be started,
- * by {@link TransferRequests} to grant and claim quota, and by the controller to return it. The
- * shares are stored and survive a crash; moves in flight are lost.
+ * <p>Called on the event loop's thread: by scheduling and scale out to find out how much quota is
+ * available, by {@link TransferRequests} to grant and claim quota, and by the controller to return
+ * it. The shares are stored and survive a crash; moves in flight are lost.
  */
 public final class QuotaTransfer {
   /** The fraction of a quota share that its entity is expected to have unused. */
@@ -85,8 +88,8 @@
   }
 
   /**
-   * Returns how much of its team quota an owned entity may start tasks in now: its share without
-   * what is withheld by a move in flight and what its tasks use. This is nothing for an unknown
+   * Returns the amount of a team's quota in which an owned entity may start tasks now: its share
+   * without what a move in flight withholds and what its tasks use. Returns no quota for an unknown
    * team, and while the sum of the team's shares exceeds the limit in force.
    */
   public Resources availableQuota(OwnedEntity entity, String teamName, double nowSeconds) {
@@ -140,10 +143,10 @@
   }
 
   /**
-   * Starts a grant of what an owned entity can spare of its share to another entity, unless a move
-   * of this share is in flight. The amount need not be enough for whole tasks: a task that needs
-   * more than one entity's share, or a gang that needs the whole limit, collects its quota from
-   * what each of the other entities can spare.
+   * Starts a grant of the requested amount to {@code recipient}, as far as an owned entity can
+   * spare it from its share, unless a move of this share is in flight. The amount need not be
+   * enough for whole tasks: a task that needs more than one entity's share, or a gang that needs
+   * the whole limit, collects its quota from what each of the other entities can spare.
    */
   void grant(OwnedEntity entity, ControllerId recipient, ResourceRequest request) {
     Team team = configuration.findTeam(request.team());
@@ -173,8 +176,8 @@
   }
 
   /**
-   * Returns what the entity's jobs of the team that go before the request still need. Only jobs
-   * that may hold reservations now count.
+   * Returns the resources that the entity's jobs of the same team that are ordered before the
+   * request still need. Only jobs that may hold reservations now count.
    */
   private static Resources demandAheadOf(
       OwnedEntity entity, ResourceRequest request, double nowSeconds) {
@@ -191,10 +194,10 @@
   }
 
   /**
-   * Starts a claim of what is lacking from the part of a raised limit that is in no entity's share,
-   * unless a move of this entity's share is in flight.
+   * Starts a claim of the lacking amount from the part of a raised limit that is in no entity's
+   * share, unless a move of this entity's share is in flight.
    *
-   * @return false if there is no unclaimed part
+   * @return whether there is an unclaimed part of what is lacking, even if no claim was started
    */
   boolean claimUnclaimed(OwnedEntity entity, String teamName, Resources lacking) {
     Team team = configuration.findTeam(teamName);
@@ -213,7 +216,7 @@
   /**
    * Starts returns of what owned entities have above an even share of a lowered limit, as far as
    * their tasks do not use it. Running tasks continue to their end; what they free is returned by a
-   * later call. Shares shrink to even ones whatever they were before: when they were reduced in
+   * later call. Shares shrink to even shares, whatever they were before: when they were reduced in
    * proportion to their former sizes, each write made another one necessary.
    */
   public void returnExcess(Collection<OwnedEntity> ownedEntities) {
--- a/src/main/java/io/violetrail/fleet/ScaleIn.java
+++ b/src/main/java/io/violetrail/fleet/ScaleIn.java
@@ -177,7 +177,10 @@
     return true;
   }
 
-  /** Returns how long a worker may take to find its new owner, as it may try dead controllers. */
+  /**
+   * Returns how long a worker may take to find the new owner of its machine, since it may try dead
+   * controllers first.
+   */
   private double maxReconnectSeconds() {
     long deadControllerCount =
         settings.peers().keySet().stream().filter(peer -> !clusterView.isAlive(peer)).count();
@@ -194,8 +197,8 @@
     }
     if (machine.mayHoldUnreportedTasks(nowSeconds)
         && nowSeconds - machine.lastHeartbeatAtSeconds() > maxReconnectSeconds()) {
-      // All recovered jobs wait until it is known which tasks this machine holds. The provider's
-      // answer to its return settles that.
+      // All recovered jobs wait until it is known which tasks this machine holds. Once the provider
+      // confirms the machine's return, it certainly holds none.
       return true;
     }
     if (machine.isUnresponsive()) {
@@ -218,7 +221,7 @@
     if (entity.machines().get(machine.id()) != machine) {
       return;
     }
-    double age = loop.monotonicSeconds() - machine.rentedAtSeconds();
+    double ageSeconds = loop.monotonicSeconds() - machine.rentedAtSeconds();
     if (!machine.row().hasReported()) {
       bootTimes.recordNeverBooted(machine.type(), machine.rentedAtSeconds());
     }
@@ -227,7 +230,7 @@
         machine.id(),
         machine.row().type(),
         machine.row().spot(),
-        Math.round(age),
+        Math.round(ageSeconds),
         Math.round(machine.fullUseSeconds()));
     entityMachines.remove(entity, machine);
     Futures.logFailure(
--- a/src/main/java/io/violetrail/fleet/ScaleOut.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOut.java
@@ -44,7 +44,7 @@
   private final FreeCapacityForecast capacityForecast;
   private int tieBreakSeed;
 
-  /** Creates the scale-out of one controller, which sends its requests through the given object. */
+  /** Creates the scale-out of one controller; {@code scaleOutRequests} rents the machines. */
   public ScaleOut(
       Settings settings,
       Random random,
@@ -146,7 +146,7 @@
         });
   }
 
-  /** Adds the demand of pending jobs to the plan, and returns the best-effort jobs, not added. */
+  /** Adds the demand of all but best-effort jobs to the plan, and returns the best-effort jobs. */
   private List<Job> addRegularDemand(
       OwnedEntity entity, ScaleOutPlan plan, boolean awaitingFirstReports, double nowSeconds) {
     Map<String, Resources> remainingQuotas = new HashMap<>();
--- a/src/main/java/io/violetrail/fleet/ScaleOutPlan.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutPlan.java
@@ -45,8 +45,8 @@
   }
 
   /** Adds a machine that is booting or requested. */
-  void addBooting(MachineOffering offering, Resources size) {
-    bins.add(new CapacityBin(offering, size, Resources.NONE, true));
+  void addBooting(MachineOffering offering, Resources capacity) {
+    bins.add(new CapacityBin(offering, capacity, Resources.NONE, true));
     remainingRentals--;
   }
 
@@ -125,7 +125,12 @@
     rentForRemaining(job, remainingTasks, bestZone);
   }
 
-  /** Plans machines of the cheapest offerings, in any zone if null, until all of the tasks fit. */
+  /**
+   * Plans machines of the cheapest offerings until all of the tasks fit, no offering suits them, or
+   * {@code maxRentals} is reached.
+   *
+   * @param zone the zone of the machines; null for any zone
+   */
   private void rentForRemaining(Job job, int taskCount, String zone) {
     int remainingTasks = taskCount;
     while (remainingTasks > 0 && remainingRentals > 0) {
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequests.java
@@ -26,13 +26,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scale-out requests of the entities owned here, from the decision to rent until all rented
- * machines are recorded. A request's stored row survives a crash, and the entity's next owner
- * resumes the request. Called on the event loop's thread by {@link ScaleOut}, by recovery and by
- * the handler of peers' messages.
+ * The scale-out requests of the entities that this controller owns, from the decision to rent until
+ * all rented machines are recorded. A request's stored row survives a crash, and the entity's next
+ * owner resumes the request. Called on the event loop's thread by {@link ScaleOut}, by recovery and
+ * by the handler of peers' messages.
  */
 public final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
+
+  /** How long an on-demand offering counts as sold out after the provider has rented too few. */
   private static final double SOLD_OUT_SECONDS = 20;
 
   /** Longer for spot machines: they rarely become available again, and each request uses a call. */
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -25,8 +25,8 @@
 import java.util.Set;
 
 /**
- * Requests resources that waiting jobs lack from other entities, machines or parts of team quotas,
- * and handles the requests of other entities.
+ * Asks other entities for the machines and the parts of team quotas that waiting jobs lack, and
+ * handles such requests of other entities.
  *
  * <p>Called on the event loop's thread by scheduling passes and for messages of peers. Requests are
  * repeated while jobs wait, so they need not survive a crash.
@@ -62,7 +62,10 @@
    */
   private final Set<JobId> jobsThatAskedSelectedDonors = new HashSet<>();
 
-  /** Creates the requests of one controller; the two transfers carry out those of others. */
+  /**
+   * Creates an object for one controller. {@code quotaTransfer} and {@code machineTransfer} carry
+   * out the requests of other entities.
+   */
   public TransferRequests(
       EventLoop loop,
       Random random,
--- a/src/main/java/io/violetrail/scheduling/BinPacker.java
+++ b/src/main/java/io/violetrail/scheduling/BinPacker.java
@@ -214,7 +214,7 @@
     return Optional.of(chosenMachines);
   }
 
-  /** Returns whether the tasks of the job may start one by one, so that it is not a gang. */
+  /** Returns whether the job's tasks may start one by one, which is so unless it is a gang. */
   static boolean startsTasksIndividually(Job job) {
     return job.spec().shape() != JobShape.GANG;
   }
--- a/src/main/java/io/violetrail/scheduling/DeadlineSelection.java
+++ b/src/main/java/io/violetrail/scheduling/DeadlineSelection.java
@@ -8,8 +8,9 @@
 /**
  * Orders pending jobs so that as many as possible meet their deadlines (after the Moore-Hodgson
  * algorithm). Jobs are ordered by deadline; where not all of them can meet it, the jobs with the
- * most work are deferred. With the earliest deadline first alone, an overloaded entity would spend
- * its capacity on jobs that are late in the end, and make one job after the other late.
+ * most work are deferred. If the jobs were ordered by deadline alone, an overloaded entity would
+ * spend its capacity on jobs that miss their deadlines nevertheless, and each of them would make
+ * the next job late too.
  *
  * <p>Has no state.
  */
--- a/src/main/java/io/violetrail/scheduling/FailureAttribution.java
+++ b/src/main/java/io/violetrail/scheduling/FailureAttribution.java
@@ -32,7 +32,8 @@
   private static final double SUSPECT_JOB_EVIDENCE = 0.25;
 
   /**
-   * One job that succeeds elsewhere suffices for a quarantine if it has failed there this often.
+   * A single job that succeeds on other machines suffices for a quarantine if it has failed on the
+   * machine this often.
    */
   private static final int FAILURES_TO_QUARANTINE = 3;
 
@@ -90,7 +91,10 @@
     job.failureHistory().failedMachines().forEach(FailureAttribution::updateQuarantine);
   }
 
-  /** Returns whether no task of the job is done and none was healthy on any machine yet. */
+  /**
+   * Returns whether no task of the job is done yet, and none has run long enough to be healthy
+   * since the job first failed.
+   */
   private static boolean isUnproven(Job job) {
     return job.doneCount() == 0 && !job.failureHistory().isProven();
   }
@@ -110,7 +114,7 @@
     boolean quarantined = evidence >= QUARANTINE_EVIDENCE - ROUNDING_TOLERANCE;
     if (quarantined && !machine.isQuarantined()) {
       LOG.info(
-          "machine {} quarantined: it fails jobs that succeed elsewhere, or several other jobs",
+          "machine {} quarantined: jobs that succeed elsewhere, or several other jobs, fail on it",
           machine.id());
       machine.startDraining();
     } else if (!quarantined && machine.isQuarantined() && !machine.isReturning()) {
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -301,7 +301,7 @@
 
   /**
    * Removes and returns the last departure of a task that is started again; empty if this
-   * controller knows of none.
+   * controller has recorded none.
    */
   public Optional<TaskDeparture> removeLastDeparture(int index) {
     return tasks.removeLastDeparture(index);
@@ -378,7 +378,7 @@
 
   /**
    * Returns whether the job may reserve machines or quota shares that it cannot use yet, and
-   * thereby block other jobs. While the job waits, this alternates: otherwise a job whose
+   * thereby block other jobs. The result alternates while the job waits: otherwise a job whose
    * reservations never suffice would block the others for as long as it waits.
    */
   public boolean mayHoldReservations(double nowSeconds) {
@@ -405,7 +405,7 @@
     return nowSeconds >= nextPreemptionAtSeconds;
   }
 
-  /** Prevents that tasks of other jobs are preempted for this job before {@code untilSeconds}. */
+  /** Prevents preemption of other jobs' tasks for this job before {@code untilSeconds}. */
   void deferPreemptionUntil(double untilSeconds) {
     nextPreemptionAtSeconds = untilSeconds;
   }
--- a/src/main/java/io/violetrail/scheduling/JobTasks.java
+++ b/src/main/java/io/violetrail/scheduling/JobTasks.java
@@ -8,7 +8,8 @@
 
 /**
  * The states of a job's tasks, by task index. A task is pending, placed, done, or done and stored
- * as done in the state store. Also keeps where each pending task ran last.
+ * as done in the state store. Also keeps the last departure of each pending task: the machine that
+ * the task left, and the evidence that it no longer runs there.
  *
  * <p>Invariants: {@link #doneOrPlaced} contains exactly the tasks that are done or placed, and
  * every stored task is done.
@@ -29,7 +30,7 @@
   /** Kept in addition, so that the next unplaced task of a wide job is found quickly. */
   private final BitSet doneOrPlaced = new BitSet();
 
-  /** Where tasks that wait to be started again ran last. */
+  /** The last departures of tasks that are to be started again. */
   private final Int2ObjectHashMap<TaskDeparture> lastDepartures = new Int2ObjectHashMap<>();
 
   JobTasks(int taskCount) {
--- a/src/main/java/io/violetrail/scheduling/MachineDrainer.java
+++ b/src/main/java/io/violetrail/scheduling/MachineDrainer.java
@@ -24,9 +24,9 @@
 
   /**
    * Requests stops of the launched tasks on a machine that is draining or that its provider
-   * preempts; does nothing for other machines. On a machine that is only preempted, tasks without
-   * checkpoints run on, except those of gangs. Gangs are stopped as a whole, on all of their
-   * machines.
+   * preempts; does nothing for other machines. On a machine that the provider preempts but that is
+   * not draining, tasks without checkpoints run on, except those of gangs. Gangs are stopped as a
+   * whole, on all of their machines.
    */
   public void drain(Machine machine) {
     if (machine.preemptionNoticeSeconds() == null && !machine.isDraining()) {
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Evicts best-effort tasks from a machine that other jobs need. Starts no best-effort tasks there
-   * until the grace period and {@link Preemption#RESERVATION_SECONDS} are over. Does nothing if an
-   * earlier call still has this effect.
+   * Evicts best-effort tasks from a machine that other jobs need. No best-effort task is placed
+   * there until the grace period and {@link Preemption#RESERVATION_SECONDS} are over. Does nothing
+   * while an earlier call still keeps best-effort tasks off the machine.
    */
   public void evictBestEffortTasks(OwnedEntity entity, Machine machine) {
     double nowSeconds = loop.monotonicSeconds();
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Evicts all tasks from a machine. Starts no tasks there until {@code reservedSeconds} after the
-   * grace period.
+   * Evicts all tasks from a machine. No task is placed there until {@code reservedSeconds} after
+   * the grace period.
    */
   public void evictAll(OwnedEntity entity, Machine machine, double reservedSeconds) {
     double nowSeconds = loop.monotonicSeconds();
--- a/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
+++ b/src/main/java/io/violetrail/scheduling/MachineLivenessMonitor.java
@@ -67,11 +67,11 @@
     }
     if (!machine.tasksKnown() && clusterView.anyControllerRepliesWithoutToken()) {
       // During an upgrade, a controller of an earlier release may reply without a fencing token.
-      // Such a reply renews the lease of a worker that has seen no token yet. This ends when the
-      // upgrade is complete or the machine is returned to the provider.
-      double leaseKeptUntilSeconds =
+      // Such a reply renews the lease of a worker that has seen no token yet. The time is extended
+      // until the upgrade is complete or the machine is returned to the provider.
+      double tasksGoneAtSeconds =
           nowSeconds + periodSeconds + leaseTiming.tasksGoneAfterReplySeconds();
-      machine.extendUnreportedTasksUntil(leaseKeptUntilSeconds);
+      machine.extendUnreportedTasksUntil(tasksGoneAtSeconds);
     }
     if (machine.isUnresponsive()
         && isLeaseExpired(machine, nowSeconds)
--- a/src/main/java/io/violetrail/scheduling/PendingQueue.java
+++ b/src/main/java/io/violetrail/scheduling/PendingQueue.java
@@ -22,10 +22,10 @@
   private static final double ORDER_CACHE_SECONDS = 0.5;
 
   /**
-   * The maximum time that an array waits for its first task behind jobs that can still meet their
-   * deadlines while it cannot. Without a limit, the widest arrays are deferred indefinitely while
-   * there is more work than capacity: in an overload a third of them had not started after four
-   * minutes. With a lower limit, too many arrays are ordered before jobs that could still meet
+   * The maximum time that an array which cannot meet its deadline waits for its first task behind
+   * jobs that can still meet theirs. Without a limit, the widest arrays are deferred indefinitely
+   * while there is more work than capacity: in an overload a third of them had not started after
+   * four minutes. With a lower limit, too many arrays are ordered before jobs that could still meet
    * their deadlines. Gangs are excluded: going first does not help them, since the room for a whole
    * gang is never free at one time.
    */
@@ -71,8 +71,8 @@
           pendingJobs.add(toPendingJob(job, availableCapacity, nowSeconds));
         }
       }
-      // The job goes first only until its first task is placed. Then it is ordered as before, so
-      // that other jobs can meet their deadlines.
+      // An overdue job goes first only until its first task is placed. Then it is ordered by
+      // deadline again, so that other jobs can meet their deadlines.
       overdueForFirstTask.sort(Comparator.comparingDouble(Job::arrivedAtSeconds));
       sorted.addAll(overdueForFirstTask);
       DeadlineSelection.orderByDeadline(pendingJobs, nowSeconds)
@@ -125,8 +125,8 @@
     return job.spec().taskResources().gpus() > 0;
   }
 
-  private static double gpusOrCpus(Resources resources, boolean gpus) {
-    return gpus ? resources.gpus() : resources.cpus();
+  private static double gpusOrCpus(Resources resources, boolean countGpus) {
+    return countGpus ? resources.gpus() : resources.cpus();
   }
 
   /**
@@ -135,14 +135,14 @@
    * cores on the others. At least 1.
    */
   private double capacityAvailableTo(Job sampleJob) {
-    boolean gpus = usesAccelerators(sampleJob);
+    boolean countGpus = usesAccelerators(sampleJob);
     double availableCapacity = 0;
     for (Machine machine : entity.machines().values()) {
-      if (machine.isSchedulable() && (machine.type().capacity().gpus() > 0) == gpus) {
-        availableCapacity += gpusOrCpus(machine.type().capacity(), gpus);
+      if (machine.isSchedulable() && (machine.type().capacity().gpus() > 0) == countGpus) {
+        availableCapacity += gpusOrCpus(machine.type().capacity(), countGpus);
         for (TaskPlacement placement : machine.placements().values()) {
           if (placement.job().spec().priority().compareTo(sampleJob.spec().priority()) < 0) {
-            availableCapacity -= gpusOrCpus(placement.job().spec().taskResources(), gpus);
+            availableCapacity -= gpusOrCpus(placement.job().spec().taskResources(), countGpus);
           }
         }
       }
--- a/src/main/java/io/violetrail/scheduling/PlacementConstraints.java
+++ b/src/main/java/io/violetrail/scheduling/PlacementConstraints.java
@@ -104,8 +104,8 @@
       return true;
     }
     if (job.mayUseAcceleratorReserve(nowSeconds) && !acceleratorJobPending) {
-      // Room is kept free for accelerator jobs that may never arrive. It must not stay unused while
-      // this job waits.
+      // The reserve is kept for accelerator jobs that may never arrive. It must not stay unused
+      // while this job waits.
       return true;
     }
     Resources freeBefore = machine.freeCapacity();
@@ -132,7 +132,8 @@
             && machine.type().capacity().gpus() > 0
             && acceleratorDemand.hasRecentDemand(nowSeconds);
     if (!usesAcceleratorMachineCpus && job.bestEffort()) {
-      // It may use existing machines, since it does not keep an on-demand machine from scale-in.
+      // A best-effort job may use any existing machine, since it does not keep an on-demand machine
+      // from scale-in.
       return true;
     }
     if (!usesAcceleratorMachineCpus
@@ -144,8 +145,8 @@
   }
 
   /**
-   * Returns whether the machine cannot be returned in any case, since it runs tasks that use more
-   * accelerators than those of this job.
+   * Returns whether a task on the machine uses more accelerators than a task of this job. Such a
+   * task keeps the machine from scale-in, whether or not this job uses the machine too.
    */
   private static boolean isHeldByMoreAccelerators(Job job, Machine machine) {
     for (TaskPlacement placement : machine.placements().values()) {
--- a/src/main/java/io/violetrail/scheduling/Preemption.java
+++ b/src/main/java/io/violetrail/scheduling/Preemption.java
@@ -172,7 +172,8 @@
 
   /**
    * Returns the machine as a candidate with its current free room or, if no task of the job fits
-   * there, with the victims for one task. Returns null if the machine is not eligible.
+   * there, with the victims for one task. Returns null if the machine is not eligible, or if there
+   * is no room even after preempting all tasks of lower priority.
    */
   private static PreemptionCandidate findCandidate(Job job, Machine machine, double nowSeconds) {
     Resources taskResources = job.spec().taskResources();
@@ -221,7 +222,8 @@
     if (!taskResources.fitsIn(capacityAfterPreemption)) {
       return null;
     }
-    lowerPriority.sort(Comparator.comparingDouble(p -> lostCpuSeconds(p, nowSeconds)));
+    lowerPriority.sort(
+        Comparator.comparingDouble(placement -> lostCpuSeconds(placement, nowSeconds)));
     capacityAfterPreemption = machine.freeCapacity();
     List<TaskPlacement> victims = new ArrayList<>();
     double totalLostCpuSeconds = 0;
--- a/src/main/java/io/violetrail/scheduling/RecentAcceleratorDemand.java
+++ b/src/main/java/io/violetrail/scheduling/RecentAcceleratorDemand.java
@@ -13,7 +13,7 @@
  * again from the pending jobs.
  */
 final class RecentAcceleratorDemand {
-  /** Once no job of a class has been pending for this long, no room is left for the class. */
+  /** Room is left for a class only while a job of it was pending within this time. */
   private static final double RECENT_SECONDS = 600;
 
   private record Demand(Resources taskResources, double seenAtSeconds) {
@@ -35,7 +35,10 @@
     return demandByJobClass.values().stream().anyMatch(demand -> demand.isRecent(nowSeconds));
   }
 
-  /** Returns whether fewer tasks of some recent job class fit in {@code freeAfter} than before. */
+  /**
+   * Returns whether fewer tasks of some recent job class fit in {@code freeAfter} than in {@code
+   * freeBefore}.
+   */
   boolean reducesAcceleratorSlots(Resources freeBefore, Resources freeAfter, double nowSeconds) {
     for (Demand demand : demandByJobClass.values()) {
       if (demand.isRecent(nowSeconds)
--- a/src/main/java/io/violetrail/scheduling/RuntimeEstimates.java
+++ b/src/main/java/io/violetrail/scheduling/RuntimeEstimates.java
@@ -25,7 +25,8 @@
       double factor =
           Math.max(
               MIN_FACTOR, Math.min(MAX_FACTOR, runtimeSeconds / job.estimatedRuntimeSeconds()));
-      factorByJobClass.merge(job.jobClass(), factor, (old, f) -> old + NEWEST_WEIGHT * (f - old));
+      factorByJobClass.merge(
+          job.jobClass(), factor, (old, newest) -> old + NEWEST_WEIGHT * (newest - old));
     }
   }
 
--- a/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/io/violetrail/scheduling/ServiceLevelObjectives.java
@@ -12,7 +12,8 @@
 
 /**
  * Computes from the jobs' deadlines and the users' service-level objectives when jobs should start
- * and complete, and which price is acceptable for them while they wait.
+ * and complete, and which price is acceptable for them while they wait. The acceptable price is
+ * expressed as a price ratio: a multiple of the cheapest on-demand price of a task.
  *
  * <p>Called on the event loop's thread. Has no state: the objectives are read from the
  * configuration each time.
--- a/src/main/java/io/violetrail/scheduling/TaskPlacement.java
+++ b/src/main/java/io/violetrail/scheduling/TaskPlacement.java
@@ -36,7 +36,7 @@
   /** When the task was last reported to have started running; 0 before. */
   private double runningSinceSeconds;
 
-  /** Whether the entity counts its resources as used; changed only by the entity. */
+  /** Whether the entity counts the task's resources as used; changed only by the entity. */
   private boolean countedAsUsed;
 
   /** Identifies a heartbeat of a machine's worker: the worker's session and a number within it. */
--- a/src/main/java/io/violetrail/scheduling/TaskScheduler.java
+++ b/src/main/java/io/violetrail/scheduling/TaskScheduler.java
@@ -21,7 +21,8 @@
 import java.util.Set;
 
 /**
- * Places the pending tasks of each entity that this controller owns on that entity's machines.
+ * Decides on which machine each pending task runs. Each entity (a shard of jobs and machines) that
+ * this controller owns is scheduled separately: its tasks are placed only on its own machines.
  *
  * <p>Scheduling is triggered in two ways:
  *
@@ -31,28 +32,30 @@
  *       while jobs are pending.
  *   <li>When a heartbeat shows that tasks on a machine have ended, {@link
  *       #placeTasksOnFreedMachine} reuses the freed capacity at once, so that the reply to that
- *       heartbeat can launch the next tasks. It considers only that machine; a few gangs whose
- *       tasks fit there are tried on all machines.
+ *       heartbeat can launch the next tasks. It considers only jobs that fit on that machine, and
+ *       places their tasks only there. The exception is a small number of gangs, for which it
+ *       considers all machines.
  * </ul>
  *
- * <p>Both take the jobs in the order of {@link PendingQueues}, the most urgent first, and stay
- * within the part of each team's quota that the entity holds. {@link BinPacker} chooses the
- * machines. A gang is placed as a whole or not at all; the tasks of other jobs are placed one by
- * one. For a job that does not fit, {@link Preemption} may stop tasks of lower priority and reserve
- * their room, in which a later pass places the job. At the end of a pass, {@link TransferRequests}
- * asks other entities for the machines and quota that are still missing.
+ * <p>In both cases, jobs are taken in the order of {@link PendingQueues}, the most urgent first,
+ * and {@link BinPacker} chooses the machines. No team's tasks exceed the entity's share of the
+ * team's quota ({@link QuotaTransfer}). A gang is placed as a whole or not at all; the tasks of
+ * other jobs are placed one by one. For a job that does not fit, {@link Preemption} may stop tasks
+ * of lower priority and reserve their room for the job, which a later pass places there. At the end
+ * of a pass, {@link TransferRequests} asks other entities for the machines and quota that pending
+ * jobs still lack.
  *
- * <p>Placing a task only records a {@link TaskPlacement}. The launch is sent in the reply to a
- * heartbeat of the machine's worker. If the worker waits in a long poll, that reply is sent at
- * once.
+ * <p>Placing a task only records a {@link TaskPlacement} in memory. The launch is sent in the next
+ * reply to a heartbeat of the machine's worker. If a heartbeat is held open as a long poll, its
+ * reply is sent at once.
  *
  * <p>Called on the event loop's thread. Placements are not stored: after a restart or failover they
- * are rebuilt from the workers' heartbeats. Until every machine has reported, or certainly has no
- * tasks, jobs that were loaded from the state store are not placed, since their tasks may still be
- * running.
+ * are rebuilt from the workers' heartbeats. A job that was loaded from the state store may have
+ * tasks on machines that have not reported yet. Such jobs are therefore not placed until each of
+ * the entity's machines has reported or can no longer run unreported tasks.
  */
 public final class TaskScheduler {
-  /** The number of gangs that one heartbeat may try to place; the next pass tries the others. */
+  /** The maximum number of gangs to try for one heartbeat; the next pass tries the others. */
   private static final int MAX_GANG_ATTEMPTS_PER_HEARTBEAT = 2;
 
   private final EventLoop loop;
@@ -137,7 +140,7 @@
       }
       Resources quota =
           remainingQuotaByTeam.computeIfAbsent(
-              job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, nowSeconds));
+              job.spec().team(), team -> quotaTransfer.availableQuota(entity, team, nowSeconds));
       Resources used =
           BinPacker.startsTasksIndividually(job)
               ? placeTasks(entity, job, schedulableMachines, quota, nowSeconds)
@@ -160,7 +163,7 @@
   /**
    * Places tasks on a machine whose heartbeat has shown that tasks ended, before the heartbeat is
    * answered. A gang that fits there may also be placed on other machines of the entity. Does
-   * nothing while the machine is not schedulable or the configuration is not fresh.
+   * nothing if the machine is not schedulable or the configuration is not fresh.
    *
    * <p>The caller must have checked that the entity is active and the controller's lease valid.
    */
@@ -183,7 +186,7 @@
       }
       Resources quota =
           remainingQuotaByTeam.computeIfAbsent(
-              job.spec().team(), t -> quotaTransfer.availableQuota(entity, t, nowSeconds));
+              job.spec().team(), team -> quotaTransfer.availableQuota(entity, team, nowSeconds));
       Resources used = Resources.NONE;
       if (BinPacker.startsTasksIndividually(job)) {
         if (binPacker.hasRoomOnBusierMachines(
@@ -205,7 +208,7 @@
     endLongPolls();
   }
 
-  private void queueNotification(Machine machine) {
+  private void recordNewPlacement(Machine machine) {
     machinesWithNewPlacements.add(machine.id());
   }
 
@@ -265,7 +268,7 @@
       entity.addPlacement(
           new TaskPlacement(job, taskIndex, machine, entity.nextAttemptId(), nowSeconds));
       job.prioritizeForFirstTask(false);
-      queueNotification(machine);
+      recordNewPlacement(machine);
       placedCount++;
       if (zonesMatter) {
         placedCountByZone.merge(machine.row().zone(), 1, Integer::sum);
@@ -289,8 +292,8 @@
 
   /**
    * Preempts best-effort tasks on as many machines as the job's pending tasks need, all at once.
-   * The ordinary preemption makes room for one task a second, which would be too slow, and
-   * best-effort tasks may always be preempted.
+   * {@link Preemption#preemptFor} makes room for at most one task a second, which would be too
+   * slow, and best-effort tasks may always be preempted.
    *
    * @return whether best-effort tasks were evicted from at least one machine
    */
@@ -343,7 +346,7 @@
     long attempt = entity.nextAttemptId();
     for (int i = 0; i < chosenMachines.size(); i++) {
       entity.addPlacement(new TaskPlacement(job, i, chosenMachines.get(i), attempt, nowSeconds));
-      queueNotification(chosenMachines.get(i));
+      recordNewPlacement(chosenMachines.get(i));
     }
     return gangResources;
   }
