--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -89,7 +89,6 @@
     return acquiredVersion;
   }
 
-  /** Returns when the machine was rented. */
   public double rentedAtSeconds() {
     return rentedAtSeconds;
   }
@@ -120,7 +119,6 @@
     return lifecycle.isRowWriteInFlight();
   }
 
-  /** Records that a write of the machine's record has been started. */
   void startRowWrite() {
     lifecycle.startRowWrite();
   }
@@ -130,7 +128,7 @@
     lifecycle.endRowWrite();
   }
 
-  /** Replaces the record by the one that was stored. */
+  /** Replaces the record by the record that was stored. */
   void replaceRow(MachineRow stored) {
     lifecycle.replaceRow(stored);
   }
@@ -150,7 +148,6 @@
     lifecycle.stopDraining();
   }
 
-  /** Returns whether the machine is being returned to the provider. */
   public boolean isReturning() {
     return lifecycle.isReturning();
   }
@@ -185,7 +182,7 @@
     lifecycle.startTransfer();
   }
 
-  /** Ends a transfer that did not take place, and replaces the record by the one stored. */
+  /** Ends a transfer that did not take place, and replaces the record by the stored record. */
   void abortTransfer(MachineRow stored) {
     lifecycle.abortTransfer(stored);
   }
@@ -369,7 +366,6 @@
     return Collections.unmodifiableMap(failuresByJob);
   }
 
-  /** Counts one failed task of the job. */
   public void countFailure(Job job) {
     failuresByJob.merge(job, 1, Integer::sum);
   }
@@ -396,14 +392,14 @@
     return idleSinceSeconds;
   }
 
-  /** Sets the start of the idle time. */
+  /** Sets {@link #idleSinceSeconds} to {@code nowSeconds}. */
   public void markIdle(double nowSeconds) {
     idleSinceSeconds = nowSeconds;
   }
 
   /**
    * Returns the seconds of use so far, weighted by {@link #utilization()}: a machine that is half
-   * used for two seconds counts one.
+   * used for two seconds counts one second.
    */
   public double fullUseSeconds() {
     return fullUseSeconds;
--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -131,8 +131,8 @@
         String.valueOf(job.spec().taskResources().gpus() > 0),
         String.valueOf(job.spec().shape()),
         String.valueOf(job.bestEffort()),
-        // Puts jobs that have waited long without success into a kind of their own for every other
-        // turn, so that meanwhile they do not use up the requests of jobs like them.
+        // Jobs that have waited long without success alternate between two kinds, so that half of
+        // the time they do not use up the requests of jobs like them.
         String.valueOf(job.mayHoldReservations(nowSeconds)));
   }
 
