--- a/src/main/java/io/violetrail/fleet/TransferRequests.java
+++ b/src/main/java/io/violetrail/fleet/TransferRequests.java
@@ -25,8 +25,8 @@
 import java.util.Set;
 
 /**
- * Requests resources that waiting jobs lack from other entities, machines or parts of team quotas,
- * and handles the requests of other entities.
+ * Asks other entities for the machines and the parts of team quotas that waiting jobs lack, and
+ * handles such requests of other entities.
  *
  * <p>Called on the event loop's thread by scheduling passes and for messages of peers. Requests are
  * repeated while jobs wait, so they need not survive a crash.
@@ -62,7 +62,10 @@
    */
   private final Set<JobId> jobsThatAskedSelectedDonors = new HashSet<>();
 
-  /** Creates the requests of one controller; the two transfers carry out those of others. */
+  /**
+   * Creates an object for one controller. {@code quotaTransfer} and {@code machineTransfer} carry
+   * out the requests of other entities.
+   */
   public TransferRequests(
       EventLoop loop,
       Random random,
@@ -128,8 +131,8 @@
         String.valueOf(job.spec().taskResources().gpus() > 0),
         String.valueOf(job.spec().shape()),
         String.valueOf(job.bestEffort()),
-        // Puts jobs that have waited long without success into a kind of their own for every other
-        // turn, so that meanwhile they do not use up the requests of jobs like them.
+        // Jobs that have waited long without success alternate between two kinds, so that half of
+        // the time they do not use up the requests of jobs like them.
         String.valueOf(job.mayHoldReservations(nowSeconds)));
   }
 
