--- a/src/test/java/io/violetrail/simulation/digest/InjectedFault.java
+++ b/src/test/java/io/violetrail/simulation/digest/InjectedFault.java
@@ -129,9 +129,9 @@
         .networkFaults()
         .refuseConnections(
             message -> {
-              String[] part = message.split(" ", 0);
+              String[] fields = message.split(" ", 0);
               return toPeer.test(message)
-                  && (part[0].equals(controller) || part[1].equals(controller));
+                  && (fields[0].equals(controller) || fields[1].equals(controller));
             });
     return () -> simulation.networkFaults().refuseConnections(message -> false);
   }
@@ -165,9 +165,9 @@
         .networkFaults()
         .holdMessages(
             message -> {
-              String[] part = message.split(" ", 0);
-              return zoneMembers.contains(part[0]) != zoneMembers.contains(part[1])
-                  && !part[0].equals("user");
+              String[] fields = message.split(" ", 0);
+              return zoneMembers.contains(fields[0]) != zoneMembers.contains(fields[1])
+                  && !fields[0].equals("user");
             });
     return simulation.networkFaults()::releaseHeldMessages;
   }
--- a/src/test/java/io/violetrail/tools/scale/OpenLoopLoad.java
+++ b/src/test/java/io/violetrail/tools/scale/OpenLoopLoad.java
@@ -83,13 +83,13 @@
   }
 
   private void scheduleNext(double previousSeconds, double untilSeconds) {
-    double atSeconds = previousSeconds - Math.log(1 - random.nextDouble()) / jobsPerSecond;
-    if (atSeconds < untilSeconds) {
+    double scheduledAtSeconds = previousSeconds - Math.log(1 - random.nextDouble()) / jobsPerSecond;
+    if (scheduledAtSeconds < untilSeconds) {
       simulation.runAfter(
-          Math.max(0, atSeconds - simulation.nowSeconds()),
+          Math.max(0, scheduledAtSeconds - simulation.nowSeconds()),
           () -> {
-            submit(jobMix.nextJob(), atSeconds);
-            scheduleNext(atSeconds, untilSeconds);
+            submit(jobMix.nextJob(), scheduledAtSeconds);
+            scheduleNext(scheduledAtSeconds, untilSeconds);
           });
     }
   }
--- a/src/test/java/io/violetrail/tools/scale/ScaleRun.java
+++ b/src/test/java/io/violetrail/tools/scale/ScaleRun.java
@@ -181,8 +181,9 @@
   /** Serves a worker's direct commands at its own port, as long as ports are left. */
   private void serveWorker(FakeWorker worker) {
     if (workerPortsUsed < options.workers) {
-      int first = firstPort + 2 + PORTS_PER_CONTROLLER * options.controllers + relayCount();
-      int port = first + workerPortsUsed++;
+      int firstWorkerPort =
+          firstPort + 2 + PORTS_PER_CONTROLLER * options.controllers + relayCount();
+      int port = firstWorkerPort + workerPortsUsed++;
       worker.setAddress(new HostPort(RealTimeSimulation.HOST, port));
       realTimeSimulation.serve(port, worker.service());
     }
@@ -207,7 +208,7 @@
   }
 
   private void startControllers() throws IOException {
-    List<String> command = controllerCommand();
+    List<String> commandPrefix = controllerCommand();
     HostZones zones = new HostZones(simulation);
     for (int i = 0; i < options.controllers; i++) {
       String name = ClusterSimulation.controllerName(i);
@@ -233,7 +234,7 @@
       Files.writeString(
           settings,
           SettingsFileWriter.formatSettings(simulation, name, zones.zoneOf(name), addresses));
-      List<String> fullCommand = new ArrayList<>(command);
+      List<String> fullCommand = new ArrayList<>(commandPrefix);
       fullCommand.add(settings.toString());
       ManagedProcess process =
           new ManagedProcess(
@@ -252,8 +253,8 @@
     if (options.controllerCommand != null) {
       command.addAll(List.of(options.controllerCommand.split(" ")));
     } else if (Files.exists(Path.of("target", "violetrail.jar")) && Files.exists(serviceFile)) {
-      JsonNode run = new TomlMapper().readTree(serviceFile.toFile()).path("run");
-      command.addAll(List.of(run.asText().split(" ")));
+      JsonNode runCommand = new TomlMapper().readTree(serviceFile.toFile()).path("run");
+      command.addAll(List.of(runCommand.asText().split(" ")));
     } else {
       command.addAll(List.of("java", "-Xmx64m", "-cp", System.getProperty("java.class.path")));
       command.addAll(List.of("io.violetrail.cli.Main", "--config"));
@@ -490,9 +491,9 @@
     network.healPartitions();
   }
 
-  private void recordEvent(String what) {
-    failoverTimes.recordEvent(what);
-    printProgress("%s", what);
+  private void recordEvent(String event) {
+    failoverTimes.recordEvent(event);
+    printProgress("%s", event);
   }
 
   private void crashController(int number) {
@@ -525,14 +526,14 @@
     rack.forEach(FakeWorker::destroy);
   }
 
-  private void waitAndPrintProgress(double seconds, String what) throws Exception {
+  private void waitAndPrintProgress(double seconds, String phase) throws Exception {
     double startedAtSeconds = realTimeSimulation.loop().monotonicSeconds();
     double secondsLeft;
     while ((secondsLeft =
             seconds - (realTimeSimulation.loop().monotonicSeconds() - startedAtSeconds))
         > 0) {
       Thread.sleep((long) (1000 * Math.min(PROGRESS_INTERVAL_SECONDS, secondsLeft)));
-      String line =
+      String status =
           runOnLoop(
               () ->
                   String.format(
@@ -545,7 +546,8 @@
                       load.submittedCount,
                       simulation.violations().size()));
       printProgress(
-          "%s, %.0f s left: %s", what, Math.max(0, secondsLeft - PROGRESS_INTERVAL_SECONDS), line);
+          "%s, %.0f s left: %s",
+          phase, Math.max(0, secondsLeft - PROGRESS_INTERVAL_SECONDS), status);
       requireLiveProcesses();
     }
   }
@@ -558,12 +560,13 @@
     }
   }
 
-  private void awaitCondition(Supplier<Boolean> condition, double timeoutSeconds, String what)
-      throws Exception {
+  private void awaitCondition(
+      Supplier<Boolean> condition, double timeoutSeconds, String description) throws Exception {
     double startedAtSeconds = realTimeSimulation.loop().monotonicSeconds();
     while (!runOnLoop(condition)) {
       if (realTimeSimulation.loop().monotonicSeconds() - startedAtSeconds > timeoutSeconds) {
-        printProgress("gave up waiting for %s after %.0f s; continuing", what, timeoutSeconds);
+        printProgress(
+            "gave up waiting for %s after %.0f s; continuing", description, timeoutSeconds);
         return;
       }
       Thread.sleep(100);
--- a/src/test/java/io/violetrail/tools/scale/SimulatedNetwork.java
+++ b/src/test/java/io/violetrail/tools/scale/SimulatedNetwork.java
@@ -55,8 +55,8 @@
   }
 
   /** Drops all messages between two regions. */
-  void partitionRegions(String one, String other) {
-    partitionedRegionPairs.add(Set.of(one, other));
+  void partitionRegions(String first, String second) {
+    partitionedRegionPairs.add(Set.of(first, second));
   }
 
   void healPartitions() {
@@ -70,15 +70,15 @@
     if (fromZone.equals(toZone)) {
       return true;
     }
-    String oneRegion = LoadShape.regionOf(fromZone);
-    String otherRegion = LoadShape.regionOf(toZone);
+    String fromRegion = LoadShape.regionOf(fromZone);
+    String toRegion = LoadShape.regionOf(toZone);
     return !partitionedZones.contains(fromZone)
         && !partitionedZones.contains(toZone)
-        && (oneRegion.equals(otherRegion)
-            || !partitionedRegionPairs.contains(Set.of(oneRegion, otherRegion)));
+        && (fromRegion.equals(toRegion)
+            || !partitionedRegionPairs.contains(Set.of(fromRegion, toRegion)));
   }
 
-  /** Sends a worker's or user's request to a controller. Each worker uses its own HTTP client. */
+  /** Sends a worker's or user's request to a controller. Each worker has its own connection. */
   CompletableFuture<HttpClient.ClientReply> callController(
       String from, String controller, HostPort to, String method, String path, byte[] body) {
     boolean fromUser = from.equals("user");
--- a/src/test/java/io/violetrail/tools/scale/TargetEvaluation.java
+++ b/src/test/java/io/violetrail/tools/scale/TargetEvaluation.java
@@ -17,12 +17,12 @@
     report.atLeast(
         "submissions accepted within a second", 0.99, figures.get("accepted_within_1s_share"));
     report.atMost("machines for control", 7, shape.controllers());
-    double mostCores =
+    double maxCores =
         report.controllers.values().stream()
             .mapToDouble(ScaleReport.ControllerFigures::cpuCores)
             .max()
             .orElse(0);
-    report.atMost("processor cores of the busiest controller", 1, mostCores);
+    report.atMost("processor cores of the busiest controller", 1, maxCores);
     report.atMost("KB a second of a worker's control", 15, figures.get("kb_a_s_a_worker"));
     report.atMost(
         "cores of a hollow worker's control, with all stand-ins in this process",
