--- a/src/test/java/io/violetrail/tools/scale/ScaleRun.java
+++ b/src/test/java/io/violetrail/tools/scale/ScaleRun.java
@@ -47,7 +47,7 @@
     sortOptions = false,
     description = "Measures real controllers under the load of a large deployment, on loopback.",
     footer = {
-      "Exits when the run is complete. Exit status: 0 if every measured figure meets its target,",
+      "Exits by itself. Exit status: 0 if each measured figure meets its target,",
       "1 if one does not, 2 for an invalid command line, 3 if the run itself failed."
     })
 public final class ScaleRun implements Callable<Integer> {
