--- a/src/main/java/io/violetrail/calendar/CalendarExpression.java
+++ b/src/main/java/io/violetrail/calendar/CalendarExpression.java
@@ -29,8 +29,8 @@
  */
 public final class CalendarExpression {
   /**
-   * Eight years: the longest interval between two days 29 February, across a century year that is
-   * not a leap year.
+   * Eight years: the longest interval between two leap days, across a century year that is not a
+   * leap year.
    */
   static final int MAX_LOOKAHEAD_DAYS = 8 * 366 + 1;
 
@@ -45,7 +45,10 @@
     this.rules = rules;
   }
 
-  /** Thrown for an invalid expression; the message names the line, the column and what is wrong. */
+  /**
+   * Thrown for an invalid expression. The message says what is wrong and, unless the expression is
+   * too long, at which line and column.
+   */
   public static final class MalformedExpressionException extends MalformedDataException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/violetrail/calendar/DayRule.java
+++ b/src/main/java/io/violetrail/calendar/DayRule.java
@@ -152,7 +152,8 @@
       if (countsWorkdays && !dayCalendar.isWorkday(region, day)) {
         return false;
       }
-      // Walks back from the day to each base day from which the offset leads to it.
+      // Walks from the day against the direction of the offset, to each base day that the offset
+      // shifts to the day.
       LocalDate candidate = day;
       int remaining = Math.abs(offset);
       int step = offset < 0 ? 1 : -1;
@@ -179,7 +180,7 @@
           + Math.abs(offset)
           + (countsWorkdays ? " workdays " : " days ")
           + (offset < 0 ? "before" : "after")
-          + " such a day";
+          + " a day that the rule counts from";
     }
 
     @Override
--- a/src/main/java/io/violetrail/calendar/LocalDaysResource.java
+++ b/src/main/java/io/violetrail/calendar/LocalDaysResource.java
@@ -41,7 +41,8 @@
     if (!name.matches(ScheduleApi.NAME_PATTERN)) {
       responder.accept(
           JsonAnswers.error(
-              404, "invalid name of local days: must match " + ScheduleApi.NAME_PATTERN));
+              404,
+              "invalid name of local days '" + name + "': must match " + ScheduleApi.NAME_PATTERN));
       return;
     }
     String key = ScheduleRow.CALENDAR_KEY_PREFIX + name;
@@ -69,7 +70,7 @@
     responder.accept(JsonAnswers.of(200, json));
   }
 
-  /** Sends the write. It replaces the whole set, so repeating a request is harmless. */
+  /** Sends the write once. It replaces or deletes the whole set, so a client may repeat it. */
   private void store(String name, Transaction transaction, Consumer<HttpAnswer> responder) {
     Futures.logFailure(
         store
--- a/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
+++ b/src/main/java/io/violetrail/calendar/RunHistoryCodec.java
@@ -50,7 +50,7 @@
           .put("count", runs.size())
           .put("xz", Base64.getEncoder().encodeToString(compressed.toByteArray()));
     } catch (IOException exception) {
-      throw new IllegalStateException(exception);
+      throw new IllegalStateException("cannot compress a history block", exception);
     }
   }
 
@@ -69,7 +69,8 @@
       JsonNode runs = Cbor.parse(bytes).get("runs");
       if (!(runs instanceof ArrayNode runList) || runList.size() != block.path("count").asInt(-1)) {
         throw new CorruptBlockException(
-            "the block's runs are missing or their number differs from the stored count");
+            "the block's runs are missing or their number differs from the stored count "
+                + block.path("count").asInt(-1));
       }
       return runList;
     } catch (IOException | IllegalArgumentException | Cbor.MalformedMessageException exception) {
--- a/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleDefinition.java
@@ -179,8 +179,8 @@
   }
 
   /**
-   * Returns the job of one run. Its deadline reaches placement in the same way as that of any other
-   * job.
+   * Returns the job of one run. Placement treats the job's deadline in the same way as that of any
+   * other job.
    *
    * @throws InvalidDefinitionException if the job is malformed, is a service, or sets its own id or
    *     deadline
--- a/src/main/java/io/violetrail/calendar/ScheduleEditor.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleEditor.java
@@ -38,7 +38,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ScheduleEditor.class);
   private static final int MAX_ATTEMPTS = 5;
 
-  /** The limit for the whole cluster, since a takeover reads the schedules of all entities. */
+  /** The limit for the whole cluster: an entity's new owner reads the schedules of all entities. */
   private static final int MAX_SCHEDULES = 20_000;
 
   /**
@@ -166,14 +166,14 @@
     String impossibleReason =
         jobAdmission.findImpossibleReason(scheduleDefinition.toJobSpec(new JobId("job-0")));
     if (impossibleReason != null) {
-      throw new InvalidDefinitionException(422, "job", "can never run: " + impossibleReason);
+      throw new InvalidDefinitionException(422, "job", "cannot run: " + impossibleReason);
     }
     if (Cbor.encode(json).length
         > settings.stateStoreLimits().maxValueBytes() / DEFINITION_SIZE_DIVISOR) {
       throw new InvalidDefinitionException(
           422,
           "job",
-          "the definition is too long: it may take up 1/"
+          "the definition is too long: it may take up at most 1/"
               + DEFINITION_SIZE_DIVISOR
               + " of a row, which has at most "
               + settings.stateStoreLimits().maxValueBytes()
--- a/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleRegistry.java
@@ -43,14 +43,14 @@
   private final MachineTypes machineTypes;
   private final JobLifecycle jobLifecycle;
   private final RuntimeEstimates runtimeEstimates;
-  private final PrefixWatcher rowFeed;
+  private final PrefixWatcher rowWatcher;
   private final Map<String, Set<LocalDate>> namedDays = new HashMap<>();
   private final PublicHolidays holidays = new PublicHolidays();
   private final DayCalendar dayCalendar = DayCalendar.of(holidays, namedDays);
   private final Map<OwnedEntity, EntitySchedules> schedulesByEntity = new HashMap<>();
   private final Set<String> scheduleNames = new HashSet<>();
 
-  /** The schedules of one owned entity, and the progress of their read since its acquisition. */
+  /** The schedules of one owned entity, and the progress of reading them after its acquisition. */
   private record EntitySchedules(ScheduleTrigger trigger, InitialListing initialListing) {}
 
   /** Creates the registry; {@link #start} starts it. */
@@ -69,12 +69,12 @@
     this.machineTypes = machineTypes;
     this.jobLifecycle = jobLifecycle;
     this.runtimeEstimates = runtimeEstimates;
-    this.rowFeed = new PrefixWatcher(store, loop, KEY_PREFIX, this);
+    this.rowWatcher = new PrefixWatcher(store, loop, KEY_PREFIX, this);
   }
 
   /** Starts to watch the rows and to fire schedules. */
   public void start() {
-    rowFeed.start();
+    rowWatcher.start();
     loop.scheduleWithFixedDelay(TICK_SECONDS, this::tick);
   }
 
@@ -83,7 +83,7 @@
   }
 
   boolean isReady() {
-    return rowFeed.isReady();
+    return rowWatcher.isReady();
   }
 
   /** Returns the number of schedules of all entities, including those of other controllers. */
@@ -149,7 +149,7 @@
 
   private void tick() {
     schedulesByEntity.keySet().retainAll(membership.ownedEntities());
-    if (!membership.isLeaseValid() || !rowFeed.isReady()) {
+    if (!membership.isLeaseValid() || !rowWatcher.isReady()) {
       return;
     }
     for (OwnedEntity entity : membership.ownedEntities()) {
--- a/src/main/java/io/violetrail/calendar/ScheduleState.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleState.java
@@ -41,7 +41,7 @@
       return ScheduleDefinition.parse(row.definition());
     } catch (InvalidDefinitionException exception) {
       LOG.error(
-          "schedule {}: the stored definition cannot be parsed, so it is not fired: {}",
+          "schedule {}: the stored definition cannot be parsed, so the schedule is not fired: {}",
           row.name(),
           exception.getMessage());
       return null;
--- a/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
@@ -81,12 +81,12 @@
         ScheduleRow before, ScheduleRow next, ObjectNode block, boolean urgent);
 
     /**
-     * Returns the state of a job that is open here or is known to have ended. Otherwise starts a
-     * lookup and returns null; a later call returns the result.
+     * Returns the state of a job that is open in the entity or is known to have ended. Otherwise
+     * starts a lookup and returns null; a later call returns the result.
      */
     JobView findJobView(JobId id);
 
-    /** Returns the progress of an open job; null if the job is not open here. */
+    /** Returns the progress of an open job; null if the entity has no such open job. */
     RunProgress findRunProgress(JobId id);
   }
 
@@ -286,7 +286,8 @@
     try {
       spec = schedule.definition().toJobSpec(ScheduleRow.runJobId(before.uid(), dueMillis));
     } catch (ScheduleDefinition.InvalidDefinitionException exception) {
-      throw new IllegalStateException(exception);
+      throw new IllegalStateException(
+          "schedule " + before.name() + ": the definition does not yield a valid job", exception);
     }
     ScheduleRow next =
         before.withChange(value -> ScheduleRow.recordFired(value, dueMillis, nowMillis));
--- a/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/DeploymentReconciler.java
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Takes the next step.
+   * Takes the Deployment's next step, which may submit or cancel replicas.
    *
    * @return the object's next state, or null if there is nothing to store
    */
--- a/src/main/java/io/violetrail/kubernetes/JobReconciler.java
+++ b/src/main/java/io/violetrail/kubernetes/JobReconciler.java
@@ -17,8 +17,8 @@
  */
 final class JobReconciler {
   /**
-   * The minimum interval between writes of a status in which only other counts have changed. A new
-   * failure, or a change from or to no running task, is written immediately.
+   * The minimum interval between writes of a status in which only counts have changed. A new
+   * failure, and a change between no running task and some, are written immediately.
    */
   private static final long COUNT_WRITE_INTERVAL_MILLIS = 10_000;
 
@@ -39,7 +39,7 @@
   }
 
   /**
-   * Takes the next step.
+   * Takes the Job's next step, which may submit or cancel the native job.
    *
    * @return the object's next state, or null if there is nothing to store
    */
--- a/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesApi.java
@@ -22,7 +22,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(KubernetesApi.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Open watches of a controller. Each holds a connection and a buffer of unsent bytes. */
+  /**
+   * Maximum number of open watches of a controller. Each holds a connection and a buffer of unsent
+   * bytes.
+   */
   static final int MAX_WATCHES = 64;
 
   private static final Set<String> JSON_MEDIA_TYPES = Set.of("", "application/json");
@@ -326,7 +329,8 @@
       ObjectKind kind, String namespace, ListOptions options, HttpExchange httpExchange) {
     if (!watchCache.isReady()) {
       httpExchange.answer(
-          KubernetesStatus.unavailable("this controller has not loaded the stored objects yet"));
+          KubernetesStatus.unavailable(
+              "this controller has not read the objects yet; retry later"));
       return;
     }
     if (watchCache.watcherCount() >= MAX_WATCHES) {
@@ -378,7 +382,11 @@
         entity == null ? null : podLister.listForPeer(new ControllerId(entity), namespace, options);
     if (page == null) {
       httpExchange.answer(
-          KubernetesStatus.unavailable("this controller does not own the requested entity"));
+          KubernetesStatus.unavailable(
+              "this controller cannot list the pods of entity "
+                  + entity
+                  + ": it does not own the entity, its lease has expired or it has not read the"
+                  + " entity's objects yet"));
     } else {
       httpExchange.answer(200, page, 0);
     }
--- a/src/main/java/io/violetrail/kubernetes/KubernetesHttpServer.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesHttpServer.java
@@ -26,7 +26,7 @@
  */
 public final class KubernetesHttpServer {
 
-  /** Unsent bytes of a watch. A client that exceeds them does not read and is disconnected. */
+  /** Maximum number of unsent bytes of a watch; a client that reads too slowly is disconnected. */
   private static final int MAX_PENDING_BYTES = 1 << 20;
 
   private KubernetesHttpServer() {}
@@ -106,8 +106,8 @@
     public EventStream startStream(Runnable onClosed) {
       serverExchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
       LineStream lines = new LineStream(serverExchange, loop, onClosed);
-      // An empty line flushes the headers. Without it a client waited for them until the first
-      // event.
+      // An empty line flushes the headers. Without it, a client would receive them only with the
+      // first event.
       lines.send(new byte[] {'\n'});
       return lines;
     }
@@ -169,8 +169,8 @@
 
     @Override
     public void onComplete(HttpServerExchange exchange, Sender sender) {
-      // Sends the next line later: within the sender's own call, calls would nest once for each
-      // pending line.
+      // Sends the next line from the event loop: if it were sent from within this callback, the
+      // calls would nest once for each pending line.
       loop.execute(
           () -> {
             sending = false;
--- a/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
+++ b/src/main/java/io/violetrail/kubernetes/KubernetesObject.java
@@ -36,7 +36,10 @@
   private final ObjectNode value;
   private final long resourceVersion;
 
-  /** Computed lazily and cached, since reconciliation reads them twice a second. */
+  /**
+   * Computed lazily and cached, as is {@code templateHash}, since reconciliation reads both twice a
+   * second.
+   */
   private List<NativeJob> nativeJobs;
 
   private String templateHash;
@@ -157,7 +160,10 @@
     return new KubernetesObject(kind, namespace, name, next, resourceVersion);
   }
 
-  /** Returns the last state of an object none of whose tasks is left: its row is to be deleted. */
+  /**
+   * Returns the object's last state, which records that none of its tasks is left. The entity's
+   * owner then deletes the row.
+   */
   KubernetesObject withTasksGone() {
     return withChange(row -> row.put(TASKS_GONE_FIELD, true));
   }
@@ -209,7 +215,7 @@
     return value.path("at").asLong();
   }
 
-  /** Returns when the object was created or, if it was suspended, resumed. */
+  /** Returns when the object was resumed, or when it was created if it was never resumed. */
   long startedMillis() {
     return value.path("began").asLong(createdMillis());
   }
--- a/src/main/java/io/violetrail/kubernetes/ListOptions.java
+++ b/src/main/java/io/violetrail/kubernetes/ListOptions.java
@@ -26,7 +26,7 @@
     boolean allowWatchBookmarks,
     String resourceVersion,
     double timeoutSeconds) {
-  /** Rows that are read for one answer. */
+  /** Maximum number of rows that are read for one answer; also the default. */
   static final int MAX_LIMIT = 500;
 
   private static final double DEFAULT_WATCH_SECONDS = 300;
--- a/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
+++ b/src/main/java/io/violetrail/kubernetes/NativeJobTranslator.java
@@ -16,9 +16,11 @@
 import java.util.Optional;
 
 /**
- * Translates Kubernetes objects into native jobs. A Job becomes the message that a user would have
- * submitted to the native API and is parsed by the same code, so that all later code handles both
- * alike. The result depends only on the arguments and the schema; no other state is read.
+ * Translates Kubernetes objects into native jobs. A Job becomes one native job, and each replica of
+ * a Deployment becomes a native service with one task. Both become the message that a user would
+ * have submitted to the native API and are parsed by the same code, so that all later code handles
+ * them like other jobs. The result depends only on the arguments and the schema; no other state is
+ * read.
  */
 public final class NativeJobTranslator {
   private static final String ANNOTATION_PREFIX = "violetrail.io/";
@@ -91,14 +93,19 @@
           new FieldError(
               "spec.parallelism",
               Cause.NOT_SUPPORTED,
-              "must equal completions: a job runs as many tasks at once"
-                  + " as its team's limit allows"));
+              "is "
+                  + spec.get("parallelism").asInt()
+                  + " but must equal completions, which is "
+                  + spec.get("completions").asInt()
+                  + ": a job runs as many tasks at once as its team's limit allows"));
     }
     String restartPolicy = spec.path("template").path("spec").path("restartPolicy").asText();
     if (!restartPolicy.equals("Never") && !restartPolicy.equals("OnFailure")) {
       errors.add(
           new FieldError(
-              "spec.template.spec.restartPolicy", Cause.REQUIRED, "must be Never or OnFailure"));
+              "spec.template.spec.restartPolicy",
+              Cause.REQUIRED,
+              "must be Never or OnFailure, not '" + restartPolicy + "'"));
     }
   }
 
@@ -114,7 +121,9 @@
                     new FieldError(
                         "spec.selector.matchLabels[" + entry.getKey() + "]",
                         Cause.INVALID,
-                        "does not match the template's labels"));
+                        "is '"
+                            + entry.getValue().asText()
+                            + "' but must equal the template's label of the same name"));
               }
             });
     if (matchLabels.isEmpty()) {
@@ -129,7 +138,7 @@
           new FieldError(
               "spec.template.spec.restartPolicy",
               Cause.NOT_SUPPORTED,
-              "must be Always: a replica runs until it is stopped"));
+              "must be Always, not '" + restartPolicy + "': a replica runs until it is stopped"));
     }
     JsonNode strategy = spec.path("strategy");
     JsonNode rollingUpdate = strategy.get("rollingUpdate");
@@ -164,8 +173,8 @@
   }
 
   /**
-   * Returns a count as it stands, or the part of {@code total} that a percentage stands for. The
-   * result is negative if the value is neither.
+   * Returns the value if it is a count, or the corresponding part of {@code total} if it is a
+   * percentage. The result is negative if the value is neither or is a percentage above 100%.
    */
   static int resolveCountOrPercentage(JsonNode value, int total, boolean roundUp) {
     if (value.isIntegralNumber()) {
@@ -269,7 +278,7 @@
 
   /**
    * Returns the native message of a manifest that {@link #validate} accepts. The {@code check}
-   * command uses it, which needs no controller.
+   * command uses this method, since it works without a controller.
    */
   public ObjectNode toNativeMessage(ObjectKind kind, ObjectNode manifest, String namespace) {
     ObjectNode spec = withDefaults(kind, (ObjectNode) manifest.get("spec"));
--- a/src/main/java/io/violetrail/kubernetes/ObjectCreator.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectCreator.java
@@ -113,14 +113,14 @@
   private void store(KubernetesObject object, OwnedEntity homeEntity, HttpExchange httpExchange) {
     int sizeBytes = Cbor.encode(object.value()).length;
     if (sizeBytes > settings.stateStoreLimits().maxValueBytes() / NEW_OBJECT_ROW_SIZE_DIVISOR) {
-      httpExchange.answer(ObjectErrors.rowTooLong());
+      httpExchange.answer(ObjectErrors.objectTooLarge());
       return;
     }
     JobId id = KubernetesObject.nativeJobId(object.uid(), 1);
     JobSpec spec = translator.toJobSpec(object, id.value());
     String impossibleReason = jobAdmission.findImpossibleReason(spec);
     if (impossibleReason != null) {
-      httpExchange.answer(ObjectErrors.neverRuns(object, impossibleReason));
+      httpExchange.answer(ObjectErrors.impossibleJob(object, impossibleReason));
     } else if (object.kind() == ObjectKind.JOB && !object.spec().path("suspend").asBoolean()) {
       createWithJob(object, spec, sizeBytes, httpExchange);
     } else {
@@ -173,7 +173,7 @@
                     httpExchange.answer(
                         201, object.withResourceVersion(decision.revision()).toJson(), 0);
                   } else if (decision.verdict() == Verdict.IMPOSSIBLE) {
-                    httpExchange.answer(ObjectErrors.neverRuns(object, decision.reason()));
+                    httpExchange.answer(ObjectErrors.impossibleJob(object, decision.reason()));
                   } else if (decision.verdict() == Verdict.LATER) {
                     httpExchange.answer(KubernetesStatus.unavailable(decision.reason()));
                   } else {
@@ -203,13 +203,17 @@
                   } else {
                     httpExchange.answer(
                         KubernetesStatus.unavailable(
-                            "the object was not stored: its entity has changed, or a row was"
-                                + " deleted at the same time; retry"));
+                            "the object was not stored: the entity's row or the tombstone of the"
+                                + " name was changed at the same time; retry"));
                   }
                 }),
         "store a new Kubernetes object");
   }
 
+  /**
+   * Answers a creation whose name is taken: with {@code code} if an earlier attempt of the same
+   * creation has stored the object, with a conflict if it is another object.
+   */
   private void answerExisting(KubernetesObject object, int code, HttpExchange httpExchange) {
     queries.read(
         object.reference(),
--- a/src/main/java/io/violetrail/kubernetes/ObjectDeleter.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectDeleter.java
@@ -16,9 +16,9 @@
 
 /**
  * Deletes Kubernetes objects of any entity, at any controller. A background deletion removes the
- * object immediately and leaves a row that tells the current or next owner of its entity which
- * tasks to stop. After a foreground deletion, the object remains until its tasks have stopped.
- * Called on the event loop's thread. Holds no state.
+ * object immediately and leaves a row from which the current or next owner of its entity reads
+ * which tasks to stop. After a foreground deletion, the object remains until its tasks have
+ * stopped. Called on the event loop's thread. Holds no state.
  */
 final class ObjectDeleter {
   /**
@@ -69,7 +69,9 @@
                   new FieldError(
                       "propagationPolicy",
                       Cause.NOT_SUPPORTED,
-                      "must be Background or Foreground: tasks are stopped with their object"))));
+                      "must be Background or Foreground, not '"
+                          + requestedPolicy
+                          + "': tasks are stopped with their object"))));
       return;
     }
     tryDelete(
--- a/src/main/java/io/violetrail/kubernetes/ObjectErrors.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectErrors.java
@@ -14,18 +14,18 @@
   static KubernetesStatus stateUnavailable(Throwable failure) {
     return RequestFailedException.from(failure).isRateLimited()
         ? KubernetesStatus.tooManyRequests("too many requests at once; retry later")
-        : KubernetesStatus.unavailable("the state service does not answer");
+        : KubernetesStatus.unavailable("the state service did not answer");
   }
 
-  /** Returns the answer for an object whose native job can run on no machine. */
-  static KubernetesStatus neverRuns(KubernetesObject object, String reason) {
+  /** Returns the answer for an object whose native job the job admission finds impossible. */
+  static KubernetesStatus impossibleJob(KubernetesObject object, String reason) {
     return KubernetesStatus.invalid(
         object.reference().displayName(),
         List.of(
-            new FieldError("spec.template.spec", Cause.INVALID, "it can never run: " + reason)));
+            new FieldError("spec.template.spec", Cause.INVALID, "the job cannot run: " + reason)));
   }
 
-  static KubernetesStatus rowTooLong() {
+  static KubernetesStatus objectTooLarge() {
     return KubernetesStatus.tooLarge("the object is too large to be stored");
   }
 }
--- a/src/main/java/io/violetrail/kubernetes/ObjectKind.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectKind.java
@@ -42,7 +42,7 @@
     return keySegment;
   }
 
-  /** Returns the kind with a plural name in an API group, or null if there is none. */
+  /** Returns the kind with the given API group and plural name, or null if there is none. */
   static ObjectKind find(String group, String plural) {
     for (ObjectKind candidate : values()) {
       if (candidate.group.equals(group) && candidate.plural.equals(plural)) {
--- a/src/main/java/io/violetrail/kubernetes/ObjectUpdater.java
+++ b/src/main/java/io/violetrail/kubernetes/ObjectUpdater.java
@@ -77,7 +77,7 @@
         metadata.path("uid").asText(""),
         metadata.path("resourceVersion").asText(""),
         httpExchange,
-        found -> UpdateStrategy.replace(found, metadata, spec, loop.wallMillis()));
+        found -> UpdateRules.replace(found, metadata, spec, loop.wallMillis()));
   }
 
   /** Changes the number of replicas, and answers with the object's {@code Scale}. */
@@ -85,7 +85,7 @@
     JsonNode replicas = scale.path("spec").path("replicas");
     JsonNode metadata = scale.path("metadata");
     List<FieldError> errors =
-        UpdateStrategy.validateScale(scale, reference.name(), reference.namespace());
+        UpdateRules.validateScale(scale, reference.name(), reference.namespace());
     if (!errors.isEmpty()) {
       httpExchange.answer(KubernetesStatus.invalid("scale of " + reference.displayName(), errors));
       return;
@@ -95,7 +95,7 @@
         metadata.path("uid").asText(""),
         metadata.path("resourceVersion").asText(""),
         asScale(httpExchange),
-        found -> UpdateStrategy.scale(found, replicas.asInt()));
+        found -> UpdateRules.scale(found, replicas.asInt()));
   }
 
   /** Converts the answer about an object to that about its {@code Scale}. */
@@ -103,7 +103,7 @@
     return httpExchange.withAnswerFilter(
         (code, body, retryAfterSeconds) ->
             httpExchange.answer(
-                code, code < 300 ? UpdateStrategy.toScale(body) : body, retryAfterSeconds));
+                code, code < 300 ? UpdateRules.toScale(body) : body, retryAfterSeconds));
   }
 
   void getScale(ObjectReference reference, HttpExchange httpExchange) {
@@ -120,7 +120,7 @@
       ObjectReference reference,
       String uid,
       String resourceVersion,
-      UpdateStrategy.Update update,
+      UpdateRules.Update update,
       HttpExchange httpExchange) {
     /** Returns whether the object that was read meets the preconditions. */
     boolean matches(KubernetesObject found) {
@@ -137,7 +137,7 @@
       String uid,
       String resourceVersion,
       HttpExchange httpExchange,
-      UpdateStrategy.Update change) {
+      UpdateRules.Update change) {
     tryUpdate(
         new UpdateRequest(reference, uid, resourceVersion, change, httpExchange),
         MAX_ATTEMPTS,
@@ -147,7 +147,8 @@
   /**
    * Reads the current row and applies the update to it.
    *
-   * @param attemptedState the state that the previous attempt wrote; null at the first attempt
+   * @param attemptedState the state that the previous attempt tried to write; null at the first
+   *     attempt
    */
   private void tryUpdate(UpdateRequest request, int attemptsLeft, KubernetesObject attemptedState) {
     HttpExchange httpExchange = request.httpExchange();
@@ -171,7 +172,7 @@
 
   private void applyChange(UpdateRequest request, int attemptsLeft, KubernetesObject found) {
     HttpExchange httpExchange = request.httpExchange();
-    UpdateStrategy.Result result = request.update().apply(found);
+    UpdateRules.Result result = request.update().apply(found);
     KubernetesObject next = result.next();
     if (!result.errors().isEmpty()) {
       httpExchange.answer(
@@ -191,7 +192,7 @@
   /** Returns why an object's next state cannot be stored, or null if it can be. */
   private KubernetesStatus findRefusal(KubernetesObject next) {
     if (Cbor.encode(next.value()).length > settings.stateStoreLimits().maxValueBytes() * 3 / 4) {
-      return ObjectErrors.rowTooLong();
+      return ObjectErrors.objectTooLarge();
     }
     if (machineTypes.isEmpty()) {
       return KubernetesStatus.unavailable("the machine types are not known yet; retry later");
@@ -199,7 +200,7 @@
     String impossibleReason =
         jobAdmission.findImpossibleReason(
             translator.toJobSpec(next, KubernetesObject.nativeJobId(next.uid(), 1).value()));
-    return impossibleReason == null ? null : ObjectErrors.neverRuns(next, impossibleReason);
+    return impossibleReason == null ? null : ObjectErrors.impossibleJob(next, impossibleReason);
   }
 
   private void commit(
--- a/src/main/java/io/violetrail/kubernetes/PodLister.java
+++ b/src/main/java/io/violetrail/kubernetes/PodLister.java
@@ -79,7 +79,8 @@
                   if (failure != null) {
                     httpExchange.answer(
                         KubernetesStatus.unavailable(
-                            "a controller that owns tasks does not answer; retry later"));
+                            "the pods of at least one entity cannot be listed: it has no live"
+                                + " owner, or its owner did not return them; retry later"));
                     return;
                   }
                   List<ObjectNode> pods = new ArrayList<>();
@@ -172,7 +173,7 @@
   }
 
   /**
-   * Returns an entity's pods that match the options: one more than the limit at most, which shows
+   * Returns an entity's pods that match the options: at most one more than the limit, which shows
    * whether another page follows.
    *
    * @return null if this controller does not own the entity, its lease has expired or it has not
--- a/src/main/java/io/violetrail/kubernetes/UpdateStrategy.java
+++ b/src/main/java/io/violetrail/kubernetes/UpdateRules.java
@@ -12,10 +12,10 @@
  * Computes an object's next state from an update, or why the update is refused. Pure functions:
  * they read and write no rows.
  */
-final class UpdateStrategy {
+final class UpdateRules {
   private static final int MAX_REPLICAS = 200;
 
-  private UpdateStrategy() {}
+  private UpdateRules() {}
 
   /**
    * The outcome of an update.
