--- a/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -50,8 +50,8 @@
   private static final long LEASE_ID = 7;
 
   /**
-   * Exceeds every token granted to the controller by then, so that the controller meets a higher
-   * token than its own.
+   * Exceeds every fencing token that the controller has acquired by then, so that the second
+   * heartbeat carries a higher token than the controller's own.
    */
   private static final long HIGH_FENCING_TOKEN = 100;
 
@@ -112,7 +112,7 @@
    * @return never returns
    */
   static int run() throws IOException, InvalidSettingsException, InterruptedException {
-    ClassArchiveWarmUp warmUp = new ClassArchiveWarmUp(readSettings());
+    ClassArchiveWarmUp warmUp = new ClassArchiveWarmUp(createSettingsWithFreePorts());
     warmUp.startScriptedServices();
     warmUp.scheduleRequests(exampleJob());
     Thread.sleep(RUN_MILLIS);
@@ -120,7 +120,8 @@
     return 0;
   }
 
-  private static Settings readSettings() throws IOException, InvalidSettingsException {
+  private static Settings createSettingsWithFreePorts()
+      throws IOException, InvalidSettingsException {
     int[] ports = new int[4];
     for (int i = 0; i < ports.length; i++) {
       try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/main/java/io/violetrail/cli/ControllerClient.java
+++ b/src/main/java/io/violetrail/cli/ControllerClient.java
@@ -50,7 +50,7 @@
       this.mayHaveBeenReceived = mayHaveBeenReceived;
     }
 
-    /** Whether a controller may have received the request and carried it out. */
+    /** Returns whether a controller may have received the request and carried it out. */
     boolean mayHaveBeenReceived() {
       return mayHaveBeenReceived;
     }
--- a/src/main/java/io/violetrail/cli/KubernetesCommand.java
+++ b/src/main/java/io/violetrail/cli/KubernetesCommand.java
@@ -121,7 +121,10 @@
             new FieldError(
                 "kind",
                 FieldError.Cause.NOT_SUPPORTED,
-                "only batch/v1 Job and apps/v1 Deployment are supported"));
+                "only batch/v1 Job and apps/v1 Deployment are supported, received apiVersion "
+                    + manifest.path("apiVersion").asText("nothing")
+                    + " and kind "
+                    + manifest.path("kind").asText("nothing")));
       }
       String team =
           namespace != null
@@ -141,7 +144,7 @@
     }
   }
 
-  /** Prints the schema's fields from the same schema that requests are validated against. */
+  /** Prints fields of the schema against which requests are validated. */
   @Command(
       name = "explain",
       mixinStandardHelpOptions = true,
@@ -189,7 +192,7 @@
                     + kind
                     + "' begins with '"
                     + field
-                    + "'");
+                    + "'; the kinds are Job and Deployment");
         return ExitStatus.REFUSED;
       }
       return ExitStatus.DONE;
--- a/src/main/java/io/violetrail/cli/Main.java
+++ b/src/main/java/io/violetrail/cli/Main.java
@@ -183,13 +183,21 @@
         || maxIdleSeconds < 0
         || (leaseSeconds != null && !(leaseSeconds >= 1))) {
       throw new Settings.InvalidSettingsException(
-          "--sample must be at least 1, --idle-s at least 0 and --lapse-s at least 1");
+          "--sample must be at least 1, --idle-s at least 0 and --lapse-s at least 1,"
+              + " received --sample "
+              + placementSampleSize
+              + ", --idle-s "
+              + maxIdleSeconds
+              + " and --lapse-s "
+              + (leaseSeconds == null ? "nothing" : leaseSeconds));
     }
     if (kubernetesPort != null && (kubernetesPort < 1 || kubernetesPort > 65_535)) {
-      throw new Settings.InvalidSettingsException("--kubernetes-port must be 1 to 65535");
+      throw new Settings.InvalidSettingsException(
+          "--kubernetes-port must be from 1 to 65535, received " + kubernetesPort);
     }
     if (traceSpans != null && (traceSpans < 1 || traceSpans > MAX_TRACE_SPANS)) {
-      throw new Settings.InvalidSettingsException("--trace-spans must be 1 to " + MAX_TRACE_SPANS);
+      throw new Settings.InvalidSettingsException(
+          "--trace-spans must be from 1 to " + MAX_TRACE_SPANS + ", received " + traceSpans);
     }
     return Settings.load(settingsFile);
   }
--- a/src/main/java/io/violetrail/cli/SchedulePreviewCommand.java
+++ b/src/main/java/io/violetrail/cli/SchedulePreviewCommand.java
@@ -71,12 +71,15 @@
     try {
       DayCalendar days = DayCalendar.of(new PublicHolidays(), parseNamedDays());
       if (region != null && !days.isKnownRegion(region)) {
-        return fail(ExitStatus.REFUSED, "unknown holiday region: " + region);
+        return fail(
+            ExitStatus.REFUSED,
+            "unknown holiday region: " + region + "; --holidays expects a region such as de-by");
       }
       int shown = printDueTimes(CalendarExpression.parse(expression), days);
       return shown == 0
           ? fail(
-              ExitStatus.REFUSED, "the expression is not due within " + MAX_YEARS_AHEAD + " years")
+              ExitStatus.REFUSED,
+              "the expression has no due time within " + MAX_YEARS_AHEAD + " years")
           : ExitStatus.DONE;
     } catch (MalformedExpressionException | DateTimeException exception) {
       return fail(ExitStatus.BAD_USAGE, exception.getMessage());
--- a/src/main/java/io/violetrail/config/Settings.java
+++ b/src/main/java/io/violetrail/config/Settings.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The guaranteed and maximum resources of a team. A maximum of 0 or none in the file is read as
-   * infinite.
+   * The guaranteed and maximum resources of a team. A maximum that is 0 or absent in the file is
+   * read as infinite.
    */
   public record Team(
       String name, double guaranteedCpus, double guaranteedGpus, double maxCpus, double maxGpus) {}
@@ -146,7 +146,7 @@
       throw new InvalidSettingsException(
           "settings file "
               + file
-              + " is not TOML: "
+              + " cannot be read as TOML: "
               + exception.getMessage().lines().findFirst().orElse(""));
     }
   }
--- a/src/main/java/io/violetrail/configuration/Configuration.java
+++ b/src/main/java/io/violetrail/configuration/Configuration.java
@@ -19,24 +19,26 @@
 
   List<Objective> objectives();
 
-  /** Whether new jobs of the team are accepted. A closed team only finishes its open jobs. */
+  /**
+   * Returns whether new jobs of the team are accepted. A closed team only finishes its open jobs.
+   */
   boolean acceptsJobs(String team);
 
-  /** Whether teams and objectives may change while this controller runs. */
+  /** Returns whether teams and objectives may change while this controller runs. */
   boolean canChange();
 
   /**
-   * Whether tasks may be started under the revision known here. False if the controller has no
-   * recent confirmation that this revision is in force.
+   * Returns whether tasks may be started under the revision known here. False if the controller has
+   * no recent confirmation that this revision is in force.
    */
   boolean isFresh();
 
-  /** The number of the revision in force here; 0 for the settings file. */
+  /** Returns the number of the revision in force here; 0 for the settings file. */
   long revision();
 
   /**
-   * The state service's revision of the row that put this revision in force; 0 for the settings
-   * file.
+   * Returns the state service's revision of the row that put this revision in force; 0 for the
+   * settings file.
    */
   long modRevision();
 
@@ -45,7 +47,7 @@
     return null;
   }
 
-  /** Called after the common rows have changed. */
+  /** Called after the common rows, which every controller watches, have changed. */
   default void onRowsChanged() {}
 
   /** Registers a listener that runs whenever another revision comes into force here. */
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -265,7 +265,10 @@
   private static long readNumber(ObjectNode json, String field)
       throws KubernetesJson.MalformedRequestException {
     if (!json.path(field).isIntegralNumber() || json.get(field).asLong() < 0) {
-      throw new KubernetesJson.MalformedRequestException(field, "must be an integer of at least 0");
+      throw new KubernetesJson.MalformedRequestException(
+          field,
+          "must be an integer of at least 0, received "
+              + (json.has(field) ? json.get(field) : "nothing"));
     }
     return json.get(field).asLong();
   }
@@ -275,7 +278,11 @@
     String value = json.path(field).isTextual() ? json.get(field).asText() : "";
     if (value.isBlank() || value.length() > maxLength) {
       throw new KubernetesJson.MalformedRequestException(
-          field, "must be a string of 1 to " + maxLength + " characters and not blank");
+          field,
+          "must be a string of 1 to "
+              + maxLength
+              + " characters and not blank, received "
+              + (json.has(field) ? json.get(field) : "nothing"));
     }
     return value;
   }
--- a/src/main/java/io/violetrail/configuration/ConfigurationChange.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationChange.java
@@ -26,7 +26,7 @@
     CONFLICT,
     /** Nothing was changed: the request cannot be fulfilled. */
     REFUSED,
-    /** The change may be in force or come into force. A repeat with the same id tells which. */
+    /** The change may be in force or come into force. A repeat with the same id shows which. */
     UNKNOWN
   }
 
--- a/src/main/java/io/violetrail/configuration/ConfigurationFormat.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationFormat.java
@@ -40,7 +40,11 @@
 
   private ConfigurationFormat() {}
 
-  /** A validation error at a path such as {@code teams[3].cpus_max}; empty for the whole file. */
+  /**
+   * A validation error.
+   *
+   * @param path path of the field, such as {@code teams[3].cpus_max}; empty for the whole file
+   */
   public record Problem(String path, String message) {
     @Override
     public String toString() {
@@ -151,7 +155,7 @@
     if (list.isArray()) {
       addProblem(field, "has " + list.size() + " entries; at most " + maxEntries + " are allowed");
     } else if (!list.isMissingNode()) {
-      addProblem(field, "must be a list");
+      addProblem(field, "must be a list, received " + list.getNodeType());
     }
     return new ArrayNode(com.fasterxml.jackson.databind.node.JsonNodeFactory.instance);
   }
@@ -167,7 +171,7 @@
   private void readTeam(
       String path, JsonNode node, Map<String, Team> teams, Set<String> closedTeams) {
     if (!node.isObject()) {
-      addProblem(path, "must be a table");
+      addProblem(path, "must be a table, received " + node.getNodeType());
       return;
     }
     addUnknownFields(node, TEAM_FIELDS, path, problems);
@@ -175,7 +179,9 @@
     if (!name.matches(NAME_PATTERN)) {
       addProblem(
           path + ".name",
-          "must be 1 to 63 letters, digits, '.', '_' or '-', and begin with a letter or digit");
+          "must be 1 to 63 letters, digits, '.', '_' or '-', and begin with a letter or digit,"
+              + " received "
+              + (node.has("name") ? node.get("name") : "nothing"));
     }
     Team team =
         new Team(
@@ -189,7 +195,7 @@
     }
     JsonNode closedNode = node.path("closed");
     if (!closedNode.isMissingNode() && !closedNode.isBoolean()) {
-      addProblem(path + ".closed", "must be true or false");
+      addProblem(path + ".closed", "must be true or false, received " + closedNode);
     }
     if (closedNode.asBoolean()) {
       closedTeams.add(name);
@@ -203,7 +209,9 @@
     }
     double value = node.asDouble();
     if (!node.isNumber() || !Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
-      addProblem(path + "." + field, "must be a number from 0 to " + (long) MAX_AMOUNT);
+      addProblem(
+          path + "." + field,
+          "must be a number from 0 to " + (long) MAX_AMOUNT + ", received " + node);
       return 0;
     }
     return value;
@@ -213,31 +221,51 @@
   private double readLimit(String path, JsonNode node, String resource) {
     double limit = readAmount(path, node, resource + "_max");
     if (limit > 0 && node.path(resource).asDouble() > limit) {
-      addProblem(path + "." + resource, "the guarantee exceeds " + resource + "_max");
+      addProblem(
+          path + "." + resource,
+          "the guarantee of "
+              + node.path(resource)
+              + " exceeds "
+              + resource
+              + "_max, which is "
+              + limit);
     }
     return limit == 0 ? Double.POSITIVE_INFINITY : limit;
   }
 
   private Objective readObjective(String path, JsonNode node) {
     if (!node.isObject()) {
-      addProblem(path, "must be a table");
+      addProblem(path, "must be a table, received " + node.getNodeType());
       return null;
     }
     addUnknownFields(node, OBJECTIVE_FIELDS, path, problems);
     String kind = node.path("kind").asText("");
     if (!OBJECTIVE_KINDS.contains(kind)) {
-      addProblem(path + ".kind", "must be one of " + new TreeSet<>(OBJECTIVE_KINDS));
+      addProblem(
+          path + ".kind",
+          "must be one of "
+              + new TreeSet<>(OBJECTIVE_KINDS)
+              + ", received "
+              + (node.has("kind") ? node.get("kind") : "nothing"));
     }
     if (node.hasNonNull("class") && !node.get("class").isTextual()) {
-      addProblem(path + ".class", "must be a string");
+      addProblem(path + ".class", "must be a string, received " + node.get("class"));
     }
     double withinSeconds = readAmount(path, node, "within_s");
     if (TIMED_KINDS.contains(kind) && withinSeconds <= 0) {
-      addProblem(path + ".within_s", "must be above 0");
+      addProblem(
+          path + ".within_s",
+          "must be above 0 for kind "
+              + kind
+              + ", received "
+              + (node.has("within_s") ? node.get("within_s") : "nothing"));
     }
     double share = readAmount(path, node, "share");
     if (share <= 0 || share > 1) {
-      addProblem(path + ".share", "must be above 0 and at most 1");
+      addProblem(
+          path + ".share",
+          "must be above 0 and at most 1, received "
+              + (node.has("share") ? node.get("share") : "nothing"));
     }
     double deadlineFactor = node.has("times") ? readAmount(path, node, "times") : 1;
     String jobClass = node.hasNonNull("class") ? node.get("class").asText() : null;
--- a/src/main/java/io/violetrail/configuration/ConfigurationParts.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationParts.java
@@ -31,9 +31,9 @@
   private ConfigurationParts() {}
 
   /**
-   * Splits a content into parts by digest, in the content's order. All parts except the last of a
-   * list hold the same number of entries. If they were split by size, one longer number could move
-   * entries between all later parts, which would change their digests.
+   * Splits the content of a revision into parts, keyed by digest, in the content's order. All parts
+   * except the last of a list hold the same number of entries. If they were split by size, one
+   * longer number could move entries between all later parts, which would change their digests.
    */
   static Map<String, ObjectNode> split(
       ClusterConfiguration content, int maxValueBytes, long nowMillis) {
@@ -55,14 +55,14 @@
     return parts;
   }
 
-  /** A content and the parts from which it was assembled. */
+  /** The content of a revision and the parts from which it was assembled. */
   record Assembled(ClusterConfiguration content, Map<String, JsonNode> partsByDigest) {}
 
   /**
    * Reads the content of a revision. Fails with an {@link InconsistentRowsException} if a part is
    * missing or the assembled content does not match the revision's digest.
    *
-   * @param knownParts parts by digest that were read before and are not read again
+   * @param knownParts parts that were read earlier and are not read again, keyed by digest
    */
   static CompletableFuture<Assembled> readContent(
       StateStore store, ConfigurationHead.Revision revision, Map<String, JsonNode> knownParts) {
--- a/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationWriter.java
@@ -33,8 +33,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(ConfigurationWriter.class);
 
   /**
-   * The age from which a part that no kept revision refers to is deleted. A younger part may belong
-   * to a change whose head has not been written yet.
+   * When a change is stored, parts older than this to which no kept revision refers are deleted. A
+   * younger part may belong to a change whose head has not been written yet.
    */
   private static final double UNUSED_PART_RETENTION_SECONDS = 600;
 
@@ -60,7 +60,8 @@
   /**
    * Stores a change if the expected revision is in force. Idempotent per request id.
    *
-   * @return never fails: any failure yields {@link Outcome#UNKNOWN}
+   * @return completes with the outcome; never fails, since any failure gives {@link
+   *     Outcome#UNKNOWN}
    */
   public CompletableFuture<Result> apply(ConfigurationChange change) {
     return tryApply(change, 1)
--- a/src/main/java/io/violetrail/errors/MalformedDataException.java
+++ b/src/main/java/io/violetrail/errors/MalformedDataException.java
@@ -2,8 +2,8 @@
 
 /**
  * Data from outside this process that cannot be parsed: a message, a request, an expression or a
- * stored block. The subclasses are declared beside the code that parses the data. They say which
- * data it is, and carry the position of the error where it is known.
+ * stored block. Each subclass is declared next to the code that parses one kind of data, and
+ * carries the position of the error where it is known.
  *
  * <p>Checked, since each caller must decide how to handle such data; without a stack trace, since a
  * peer or a user may send any amount of it.
--- a/src/main/java/io/violetrail/errors/NothingToWriteException.java
+++ b/src/main/java/io/violetrail/errors/NothingToWriteException.java
@@ -1,10 +1,9 @@
 package io.violetrail.errors;
 
-/** A deferred transaction had nothing left to write when its turn came, and was not sent. */
+/** A deferred transaction was not sent, because nothing was left to write when it was drafted. */
 public final class NothingToWriteException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure for one deferred transaction. */
   public NothingToWriteException() {
     super("deferred transaction has nothing left to write");
   }
--- a/src/main/java/io/violetrail/errors/OverBudgetException.java
+++ b/src/main/java/io/violetrail/errors/OverBudgetException.java
@@ -21,7 +21,7 @@
 
   private final Limit limit;
 
-  /** Creates a failure for the limit that leaves no room for the request now. */
+  /** Creates a failure for the limit that the request would exceed. */
   public OverBudgetException(Limit limit) {
     super(limit.message);
     this.limit = limit;
--- a/src/main/java/io/violetrail/errors/PeerUnavailableException.java
+++ b/src/main/java/io/violetrail/errors/PeerUnavailableException.java
@@ -3,7 +3,7 @@
 import io.violetrail.model.ControllerId;
 import io.violetrail.model.JobId;
 
-/** No peer could answer: nothing was sent, or none of the peers that were asked has an answer. */
+/** No peer could answer: no query was sent, or none of the queried peers had an answer. */
 public final class PeerUnavailableException extends RequestFailedException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/violetrail/errors/RequestFailedException.java
+++ b/src/main/java/io/violetrail/errors/RequestFailedException.java
@@ -12,7 +12,7 @@
 public abstract class RequestFailedException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure without a cause, suppressed exceptions and a stack trace. */
+  /** Creates a failure without a cause, suppressed exceptions or a stack trace. */
   protected RequestFailedException(String message) {
     super(message, null, false, false);
   }
@@ -20,7 +20,8 @@
   /**
    * Returns the cause of a failed future, unwrapped from a {@link CompletionException}.
    *
-   * @return the failure itself; a {@link RequestUndecidedException} if it has another type
+   * @return the cause if it is a {@link RequestFailedException}; otherwise a {@link
+   *     RequestUndecidedException} that contains its text
    */
   public static RequestFailedException from(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
--- a/src/main/java/io/violetrail/errors/RequestUndecidedException.java
+++ b/src/main/java/io/violetrail/errors/RequestUndecidedException.java
@@ -26,11 +26,11 @@
   }
 
   /**
-   * Creates a failure for a change that was made in this controller, but is not certain to be
+   * Creates a failure for a change that was made in this controller's memory but may not have been
    * stored.
    */
   public static RequestUndecidedException possiblyNotStored() {
-    return new RequestUndecidedException("the change is not certain to be stored");
+    return new RequestUndecidedException("the change may not have been stored");
   }
 
   /** Creates a failure for a request that ended with an exception of another type. */
--- a/src/main/java/io/violetrail/model/DerivedJobId.java
+++ b/src/main/java/io/violetrail/model/DerivedJobId.java
@@ -5,8 +5,8 @@
 
 /**
  * Derives job ids from the identity of the object that the job belongs to, such as a run of a
- * schedule. If a step is repeated by the same controller or by the next owner, it derives the same
- * id. An id can be claimed only once, so the job is stored only once.
+ * schedule. The same controller or the next owner derives the same id again when it repeats a
+ * submission. An id can be claimed only once, so the job is stored only once.
  */
 public final class DerivedJobId {
   private DerivedJobId() {}
--- a/src/main/java/io/violetrail/model/Version.java
+++ b/src/main/java/io/violetrail/model/Version.java
@@ -2,8 +2,8 @@
 
 /**
  * An entity's version, which is also the fencing token for its workers. The version modulo {@link
- * #INCREMENT} is the index of the owner, so the version alone tells which controller may act under
- * it.
+ * #INCREMENT} is the index of the owner, so the version alone determines which controller may act
+ * under it.
  *
  * <p>Every version that is issued is at least {@link #INCREMENT}. Lower values stand for "none": 0
  * is the token of a worker that has seen no token, and some workers read a reply without a token as
--- a/src/main/java/io/violetrail/net/RequestCoalescer.java
+++ b/src/main/java/io/violetrail/net/RequestCoalescer.java
@@ -9,8 +9,9 @@
 
 /**
  * Coalesces concurrent requests for the same key. At most one request per key is in flight; all
- * calls made meanwhile share the next one. A call never receives the response to a request that was
- * sent before the call, because that response may be older than what the caller already knows.
+ * calls made while it is in flight share the next one. A call never receives the response to a
+ * request that was sent before the call, because that response may be older than what the caller
+ * already knows.
  */
 public final class RequestCoalescer<K, V> {
   private final Function<K, CompletableFuture<V>> sendRequest;
--- a/src/main/java/io/violetrail/net/UndertowEventLoop.java
+++ b/src/main/java/io/violetrail/net/UndertowEventLoop.java
@@ -18,7 +18,7 @@
   }
 
   /**
-   * Runs a callback on the calling thread while the lock is held. An exception is logged and ends
+   * Acquires the lock and runs a callback on the calling thread. An exception is logged and ends
    * only this callback.
    */
   public void runLocked(Runnable task) {
--- a/src/main/java/io/violetrail/tracing/JobTracer.java
+++ b/src/main/java/io/violetrail/tracing/JobTracer.java
@@ -35,10 +35,10 @@
         }
       };
 
-  /** Records that the decision on a request to accept the job has begun. */
+  /** Records that the controller has begun to decide on a submission of the job. */
   void submissionStarted(JobId id);
 
-  /** Records the decision on the submission, which is stored if the job was accepted. */
+  /** Records the decision on the submission. If it accepts the job, the job has been stored. */
   void submissionDecided(JobId id, String verdict);
 
   /**
--- a/src/main/java/io/violetrail/tracing/OpenTelemetryJobTracer.java
+++ b/src/main/java/io/violetrail/tracing/OpenTelemetryJobTracer.java
@@ -25,8 +25,8 @@
 /**
  * Records OpenTelemetry spans in this process: one for the whole job, and as its children one until
  * the job is stored, one until its first task is launched, and one until the job has ended. The
- * numbers of open jobs and of finished spans are each bounded; the oldest are dropped. Nothing is
- * sent out of the process on its own.
+ * numbers of open jobs and of finished spans are each bounded; the oldest are dropped. Spans leave
+ * the process only through {@link #finishedSpansAsJsonLines}.
  */
 public final class OpenTelemetryJobTracer implements JobTracer {
   private static final AttributeKey<String> JOB_ATTRIBUTE =
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -29,12 +29,12 @@
   /**
    * A worker's heartbeat.
    *
-   * @param endpoint may be empty
+   * @param endpoint the address at which the worker receives direct commands; may be empty
    * @param session number of the worker's session; the first one is 1
    * @param sequence number of this report within the session
    * @param fencingToken the highest token that the worker has seen; {@link Version#NONE} if it has
    *     seen none
-   * @param spotNoticeSeconds null without a spot notice
+   * @param spotNoticeSeconds seconds until the provider preempts the machine; null without a notice
    */
   public record WorkerReport(
       MachineId machineId,
@@ -224,7 +224,7 @@
               + message.get("piece")
               + " and status "
               + message.get("status")
-              + "; status must be one of "
+              + "; piece must have the form job-000412/3 and status must be one of "
               + new TreeSet<>(STATES.keySet()));
     }
     ExitCause exitCause =
--- a/src/main/java/io/violetrail/wire/ScriptedMessages.java
+++ b/src/main/java/io/violetrail/wire/ScriptedMessages.java
@@ -42,7 +42,10 @@
     return CloudMessages.machineTypesMessage(List.of(machineType));
   }
 
-  /** Encodes the provider's reply to a rental request for one machine. */
+  /**
+   * Encodes the provider's reply to a rental request for one machine. The reply has the same form
+   * as a return request.
+   */
   public static JsonNode rentalReply(MachineId machineId) {
     return CloudMessages.returnRequest(List.of(machineId));
   }
--- a/src/main/java/io/violetrail/wire/StateStoreMessages.java
+++ b/src/main/java/io/violetrail/wire/StateStoreMessages.java
@@ -28,7 +28,7 @@
   /**
    * The result of a transaction.
    *
-   * @param revision revision of the whole store that the reply is as of
+   * @param revision the revision of the whole store that the reply reflects
    * @param failedKeys the keys whose conditions failed
    */
   public record TransactionOutcome(boolean applied, long revision, Set<String> failedKeys) {}
@@ -113,7 +113,7 @@
   /**
    * One page of a listing.
    *
-   * @param revision revision of the whole store that the page is as of
+   * @param revision the revision of the whole store that the page reflects
    * @param more whether further pages follow
    */
   public record ListPage(List<Entry> entries, long revision, boolean more) {}
@@ -137,7 +137,7 @@
         parsedEntries, Cbor.readCount(message, "epoch"), Cbor.readFlag(message, "truncated"));
   }
 
-  /** Decodes the revision of the whole store that a reply is as of. */
+  /** Decodes the revision of the whole store that a reply reflects. */
   public static long parseRevision(JsonNode message) {
     return message.path("epoch").asLong();
   }
