--- a/src/main/java/io/violetrail/calendar/DeadlineReport.java
+++ b/src/main/java/io/violetrail/calendar/DeadlineReport.java
@@ -24,8 +24,8 @@
   /**
    * The consequences of a forecast for a run's report.
    *
-   * @param reportDue whether a new or changed report is to be written
-   * @param recovered whether an open report is to be withdrawn
+   * @param reportDue whether a new or changed report must be written
+   * @param recovered whether an open report must be withdrawn
    * @param deadlinePassed whether the deadline has passed
    */
   record Assessment(boolean reportDue, boolean recovered, boolean deadlinePassed) {}
--- a/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleTrigger.java
@@ -386,7 +386,7 @@
 
   /**
    * Writes a report if the run is forecast to miss its deadline, if an earlier report needs an
-   * update, or if the report is to be withdrawn.
+   * update, or if the report must be withdrawn.
    *
    * @return whether a write was started
    */
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Returns a responder that passes on only the first answer given to it, and answers 503 if there
-   * is none within {@link #DECISION_TIMEOUT_SECONDS}.
+   * Returns a responder that forwards only the first answer that it receives, and answers 503 if
+   * there is none within {@link #DECISION_TIMEOUT_SECONDS}.
    */
   private Consumer<HttpResponse> withTimeout(Consumer<HttpResponse> responder) {
     AtomicBoolean answered = new AtomicBoolean();
--- a/src/main/java/io/violetrail/configuration/ConfigurationChange.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationChange.java
@@ -3,8 +3,8 @@
 /**
  * A change of the configuration that an operator requests.
  *
- * @param expectedRevision the revision that the change replaces; any other one in force is a
- *     conflict
+ * @param expectedRevision the revision that the change replaces; if another revision is in force,
+ *     the change is refused as a conflict
  * @param requestId identifies the request, so that a repeat with the same id has no further effect
  * @param content the requested content; null for a rollback to {@code rollbackRevision}
  * @param rollbackRevision a kept revision whose content is restored; ignored unless {@code content}
--- a/src/main/java/io/violetrail/fleet/BootTimes.java
+++ b/src/main/java/io/violetrail/fleet/BootTimes.java
@@ -83,7 +83,8 @@
   }
 
   /**
-   * Returns whether a machine that has not reported is no longer waited for and is to be returned.
+   * Returns whether a machine that has not reported should be returned to the provider, as it has
+   * taken too long to boot.
    */
   public boolean isGivenUp(MachineType type, double rentedAtSeconds, double nowSeconds) {
     TypeHistory history = historyOf(type);
--- a/src/main/java/io/violetrail/fleet/Machine.java
+++ b/src/main/java/io/violetrail/fleet/Machine.java
@@ -160,8 +160,8 @@
   /**
    * Puts the machine back into service after the provider has refused its return, unless the
    * outcome of an earlier return request is uncertain, as that request may still be carried out. If
-   * refused machines stayed out of service, idle machines could not be used for the length of a
-   * provider outage.
+   * refused machines stayed out of service, idle machines could not be used during a provider
+   * outage.
    */
   void cancelReturn() {
     lifecycle.cancelReturn();
@@ -249,7 +249,7 @@
     return worker.tasksKnown();
   }
 
-  /** Returns until when the machine may hold unreported tasks while its tasks are not known. */
+  /** Returns until when the machine may hold unreported tasks if its tasks are not known. */
   public double unreportedTasksGoneAtSeconds() {
     return worker.unreportedTasksGoneAtSeconds();
   }
@@ -299,8 +299,8 @@
   }
 
   /**
-   * Records that the worker's lease has certainly expired: its session is outdated, and its unknown
-   * tasks are gone. The caller removes the placements.
+   * Records that the worker's lease has certainly expired: heartbeats of its last session are
+   * outdated, and its unknown tasks are gone. The caller removes the placements.
    */
   public void expireLease() {
     worker.expireLease();
@@ -319,7 +319,7 @@
     return reservations.job();
   }
 
-  /** Returns until when no other job's tasks are placed here. */
+  /** Returns until when no tasks of jobs other than {@link #reservedForJob()} are placed here. */
   public double reservedUntilSeconds() {
     return reservations.jobUntilSeconds();
   }
@@ -361,7 +361,7 @@
     cachedImages.add(image);
   }
 
-  /** Returns an unmodifiable view of each job's failures since a task last succeeded here. */
+  /** Returns an unmodifiable view of each job's failure count since a task last succeeded here. */
   public Map<Job, Integer> failuresByJob() {
     return Collections.unmodifiableMap(failuresByJob);
   }
@@ -433,17 +433,21 @@
   }
 
   /**
-   * Returns an unmodifiable view of the tasks that the worker reports but that belong to no open
-   * job, with the resources that they use.
+   * Returns an unmodifiable view of the unknown tasks: those that the worker reports as not exited
+   * but that are not placed on this machine, because the entity holds no job with that task (for
+   * example, since the job has ended) or because the task is placed on another machine. The values
+   * are the resources counted for each task; if its job is not known, that is the machine's whole
+   * capacity.
    */
   public Map<TaskId, Resources> unknownTasks() {
     return tasks.unknownTasks();
   }
 
   /**
-   * Replaces the tasks that the worker reports but that belong to no open job.
+   * Replaces the unknown tasks, see {@link #unknownTasks()}.
    *
-   * @param reported the resources that each of the tasks uses
+   * @param reported the unknown tasks in the worker's latest report, with the resources counted for
+   *     each
    */
   public void replaceUnknownTasks(Map<TaskId, Resources> reported) {
     tasks.replaceUnknownTasks(reported);
@@ -459,7 +463,7 @@
     return tasks.freeCapacityWithoutBestEffort();
   }
 
-  /** Returns the fraction in use of processors or of accelerators, whichever is higher. */
+  /** Returns the fraction of the processors or accelerators in use, whichever is higher. */
   public double utilization() {
     return tasks.utilization();
   }
--- a/src/main/java/io/violetrail/fleet/OrphanedMachines.java
+++ b/src/main/java/io/violetrail/fleet/OrphanedMachines.java
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Returns whether this controller is the one that scans: the first one alive in the settings.
-   * Only one scans, as the list is long and calls to the provider are limited.
+   * Returns whether this controller scans: it is the first live controller in the settings' order.
+   * Only one controller scans, as the list is long and calls to the provider are limited.
    */
   private boolean isScanner() {
     for (ControllerId candidate : settings.controllers()) {
--- a/src/main/java/io/violetrail/fleet/PlacedTasks.java
+++ b/src/main/java/io/violetrail/fleet/PlacedTasks.java
@@ -10,9 +10,9 @@
 
 /**
  * The tasks on one machine and the capacity that they leave free: the placements decided by this
- * controller, and unknown tasks, which the worker reports but which belong to no open job. Both
- * count against the capacity until they are known to be gone, since freeing their capacity too
- * early would overcommit the machine.
+ * controller, and unknown tasks, which the worker reports but which are not placed on the machine
+ * (see {@link Machine#unknownTasks}). Both count against the capacity until they are known to be
+ * gone, since freeing their capacity too early would overcommit the machine.
  *
  * <p>Used only by its {@link Machine}, on the event loop's thread. Nothing here survives a crash:
  * the placements are rebuilt from the stored jobs and the workers' heartbeats.
--- a/src/main/java/io/violetrail/fleet/ScaleOutRequest.java
+++ b/src/main/java/io/violetrail/fleet/ScaleOutRequest.java
@@ -19,7 +19,7 @@
     /** The row is being written; the request must not be sent before it is stored. */
     STORING,
     /**
-     * The row is stored and there is no conclusive answer: the request is to be sent or repeated.
+     * The row is stored and there is no conclusive answer: the request must be sent or repeated.
      */
     UNANSWERED,
     /** A call to the provider is in flight. */
--- a/src/main/java/io/violetrail/kubernetes/WatchCache.java
+++ b/src/main/java/io/violetrail/kubernetes/WatchCache.java
@@ -141,8 +141,8 @@
     for (Event event : newEvents) {
       events.addLast(event);
       while (events.size() > MAX_KEPT_EVENTS) {
-        // No watch can start before this revision any more, so the remaining events of the same
-        // revision are not replayed either.
+        // From now on no watch can start before the removed event's revision, so the remaining
+        // events of that revision are not replayed either.
         compactedRevision = events.removeFirst().revision();
       }
     }
--- a/src/main/java/io/violetrail/ownership/OwnedEntity.java
+++ b/src/main/java/io/violetrail/ownership/OwnedEntity.java
@@ -265,7 +265,8 @@
   /**
    * Returns an upper bound of the resources that a team's tasks use. Unknown tasks ({@link
    * Machine#unknownTasks}), and the whole capacity of machines that may hold unreported tasks, are
-   * counted for every team, because their team is not known.
+   * counted for every team: unknown tasks are recorded without a team, and the teams of unreported
+   * tasks are not known.
    */
   public Resources usageOf(String team, double nowSeconds) {
     Resources total = placementUsage.usageOf(team);
--- a/src/main/java/io/violetrail/scheduling/Job.java
+++ b/src/main/java/io/violetrail/scheduling/Job.java
@@ -36,12 +36,12 @@
     FINISHED
   }
 
-  /** A job that has waited for longer is starving; see {@link #isStarving}. */
+  /** A job that has waited for longer than this is starving; see {@link #isStarving}. */
   private static final double STARVATION_SECONDS = 60;
 
   /**
-   * A job without placed tasks that has waited for longer may use the resources that are kept free
-   * for accelerator jobs yet to arrive.
+   * A job without placed tasks that has waited for longer than this may use the resources that are
+   * kept free for accelerator jobs yet to arrive.
    */
   private static final double ACCELERATOR_RESERVE_WAIT_SECONDS = 75;
 
@@ -64,8 +64,8 @@
   private JobStatus finalStatus;
 
   /**
-   * Cached, as computed at {@link #maxPriceRatioAtSeconds}: it is needed for each machine and is
-   * the same for all.
+   * The price ratio computed at {@link #maxPriceRatioAtSeconds}. It is cached, as it is needed for
+   * each machine and is the same for all machines.
    */
   private double maxPriceRatio;
 
@@ -112,7 +112,7 @@
 
   /**
    * Returns when the job was accepted, in seconds of this controller's monotonic clock. For a job
-   * that is older than this process, that is before the process started.
+   * that was accepted before this process started, the value lies before the start.
    */
   public double arrivedAtSeconds() {
     return arrivedAtSeconds;
@@ -179,8 +179,8 @@
   }
 
   /**
-   * Returns whether the final status is being written and the outcome of the write is unknown. It
-   * may be stored already, and other controllers may have read it.
+   * Returns whether the final status is being written and the outcome of the write is unknown. The
+   * status may be stored already, and other controllers may have read it.
    */
   public boolean isFinalStatusUncertain() {
     return phase == Phase.CLOSING || phase == Phase.CANCELLING;
@@ -226,12 +226,12 @@
     return tasks.doneTasks();
   }
 
-  /** Returns whether the state store has the task as done. */
+  /** Returns whether the task is stored as done in the state store. */
   public boolean isStored(int index) {
     return tasks.isStored(index);
   }
 
-  /** Records that the state store has the task as done. */
+  /** Records that the task is stored as done in the state store. */
   public void markStored(int index) {
     tasks.markStored(index);
   }
@@ -287,8 +287,8 @@
   }
 
   /**
-   * Removes a placement, unless the task has another one by now. Called only by the owned entity,
-   * which accounts for the resources used.
+   * Removes a placement; has no effect if the task has another placement by now. Called only by the
+   * owned entity, which accounts for the resources used.
    */
   public void removePlacement(TaskPlacement placement) {
     tasks.removePlacement(placement);
@@ -360,9 +360,9 @@
   }
 
   /**
-   * Returns whether the job has waited so long that rules which merely improve placement no longer
-   * apply to it, and that other entities make room for it. No job may wait for long while a machine
-   * that fits has room.
+   * Returns whether the job has waited for longer than {@link #STARVATION_SECONDS}. Rules that only
+   * improve placement do not apply to a starving job, and other entities make room for it: no job
+   * may wait for long while a suitable machine has room.
    */
   public boolean isStarving(double nowSeconds) {
     return waitedSeconds(nowSeconds) > STARVATION_SECONDS;
@@ -370,7 +370,8 @@
 
   /**
    * Returns whether the job may use the resources that are kept free for accelerator jobs yet to
-   * arrive: it has waited long, and none of its tasks is placed.
+   * arrive: it has waited for longer than {@link #ACCELERATOR_RESERVE_WAIT_SECONDS}, and none of
+   * its tasks is placed.
    */
   boolean mayUseAcceleratorReserve(double nowSeconds) {
     return waitedSeconds(nowSeconds) > ACCELERATOR_RESERVE_WAIT_SECONDS && hasNoPlacements();
--- a/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
+++ b/src/main/java/io/violetrail/scheduling/JobFailureHistory.java
@@ -75,7 +75,8 @@
   }
 
   /**
-   * Returns whether a task that has run for so long is healthy; see {@link #HEALTHY_RUN_FACTOR}.
+   * Returns whether a task that has run for the given time is healthy; see {@link
+   * #HEALTHY_RUN_FACTOR}.
    */
   boolean isHealthyRun(double runSeconds) {
     return runSeconds
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -83,9 +83,9 @@
     DONE,
     /** The task was stopped by a command. */
     STOPPED,
-    /** Another task of its gang was lost. */
+    /** Another task of the same gang was lost. */
     GANG_MEMBER_LOST,
-    /** Its gang was not complete within the gang start timeout. */
+    /** The task's gang was not complete within the gang start timeout. */
     GANG_INCOMPLETE,
     /** The task failed; in most cases the cause is a faulty machine. */
     ERROR,
--- a/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
+++ b/src/test/java/io/violetrail/calendar/ScheduleYearSimulation.java
@@ -386,7 +386,7 @@
             if (failureKind == 0) {
               owners.remove(owner);
             } else {
-              // It freezes and resumes with outdated state.
+              // The owner freezes and resumes with outdated state.
               owner.frozenUntilMillis =
                   nowMillis + gapMillis + random.nextInt(failureKind == 1 ? 60_000 : 3_600_000);
               long resumesAtMillis = owner.frozenUntilMillis;
--- a/src/test/java/io/violetrail/scheduling/DeadlineSelectionTest.java
+++ b/src/test/java/io/violetrail/scheduling/DeadlineSelectionTest.java
@@ -51,7 +51,8 @@
 
   @Test
   void largestJobIsDeferredWhenNotAllFit() {
-    // By earliest deadline alone, job-1 would come first and make all three jobs late.
+    // By deadline alone, job-1 would end at 29 (due at 30), job-2 at 39 (due at 35) and job-3 at 49
+    // (due at 40), so two jobs would be late. With job-1 deferred, only job-1 is late.
     assertEquals(
         List.of("job-2", "job-3", "job-1"),
         jobIdsInOrder(pendingJob(1, 30, 29), pendingJob(2, 35, 10), pendingJob(3, 40, 10)));
--- a/src/test/java/io/violetrail/simulation/FleetFailoverTest.java
+++ b/src/test/java/io/violetrail/simulation/FleetFailoverTest.java
@@ -112,7 +112,7 @@
       frozenSimulation.runFor(4 + 0.13 * step);
       var frozenController = frozenSimulation.controllers().get("c0");
       final var versionBefore = frozenController.membership().findHomeEntity().row().version();
-      // Messages that it has written but not sent leave only as it resumes, and arrive too late.
+      // Messages that c0 has written but not sent leave only as it resumes, and arrive too late.
       frozenSimulation
           .networkFaults()
           .holdMessages(
@@ -122,7 +122,7 @@
       frozenSimulation.runFor(25 - 0.05);
       frozenSimulation.networkFaults().releaseHeldMessages();
       frozenSimulation.runFor(0.3);
-      // It detects its lease expiry at once, before it acts on any message that queued up.
+      // c0 detects its lease expiry at once, before it acts on any message that queued up.
       assertTrue(
           frozenController.membership().findHomeEntity() == null
               || frozenController
--- a/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
+++ b/src/test/java/io/violetrail/simulation/TeamQuotaTest.java
@@ -184,7 +184,7 @@
     final FakeWorker machineInUse = simulation.cloud().addRunningMachine("plain", "a");
     simulation.runFor(8);
     simulation.checker().faultsEnded();
-    // It has a higher priority and is older, but its machine type is sold out.
+    // This job has a higher priority and is older, but its machine type is sold out.
     ObjectNode unplaceableJob = blueTeamJob("job-1", 20, 1).put("urgency", "high");
     unplaceableJob.putArray("hosttypes").add("rare");
     submitUntilAccepted("c1", unplaceableJob);
--- a/src/test/java/io/violetrail/simulation/digest/MessageDigester.java
+++ b/src/test/java/io/violetrail/simulation/digest/MessageDigester.java
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Returns the first 16 hexadecimal digits of the digest and resets the digest, so it is to be
-   * called once, after everything was added.
+   * Returns the first 16 hexadecimal digits of the digest and resets the digest. Call it only once,
+   * after everything has been added.
    */
   String hexPrefix() {
     return HexFormat.of().formatHex(digest.digest()).substring(0, HEX_PREFIX_LENGTH);
--- a/src/test/java/io/violetrail/tools/KubernetesLoadGenerator.java
+++ b/src/test/java/io/violetrail/tools/KubernetesLoadGenerator.java
@@ -10,7 +10,7 @@
 
 /**
  * Creates a given number of Jobs one after the other at a controller on loopback while it holds a
- * given number of watches open. The cost is to be read from the controller's process. Not a test.
+ * given number of watches open. The cost is measured on the controller's process. Not a test.
  */
 public final class KubernetesLoadGenerator {
   private KubernetesLoadGenerator() {}
