--- a/src/main/java/io/violetrail/api/JobCancellation.java
+++ b/src/main/java/io/violetrail/api/JobCancellation.java
@@ -4,7 +4,7 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.net.Futures;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.peer.PeerClient;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
@@ -40,9 +40,9 @@
    * Answers a cancellation: 200 with the job's final state, 404 if the job does not exist, 503 if
    * the client is to retry later.
    */
-  void handle(String idText, Consumer<HttpAnswer> respond) {
+  void handle(String idText, Consumer<HttpResponse> respond) {
     if (!JobId.isWellFormed(idText)) {
-      respond.accept(HttpAnswer.empty(404));
+      respond.accept(HttpResponse.empty(404));
       return;
     }
     JobId id = new JobId(idText);
@@ -63,7 +63,7 @@
             .whenComplete(
                 (view, failure) -> {
                   if (failure == null && view.status().isTerminal()) {
-                    respond.accept(JobAnswers.view(view));
+                    respond.accept(JobResponses.view(view));
                   } else {
                     // The owner may no longer have a job that ended long ago in memory, but its
                     // rows still contain the end.
@@ -73,18 +73,18 @@
         "cancel a job at its owner");
   }
 
-  private void cancelAfterLookup(JobId id, Consumer<HttpAnswer> respond) {
+  private void cancelAfterLookup(JobId id, Consumer<HttpResponse> respond) {
     Futures.logFailure(
         jobLookup
             .lookUp(id)
             .whenComplete(
                 (lookupResult, failure) -> {
                   if (failure != null) {
-                    respond.accept(JobAnswers.stateServiceUnavailable());
+                    respond.accept(JobResponses.stateServiceUnavailable());
                   } else if (lookupResult.isAbsent()) {
-                    respond.accept(HttpAnswer.empty(404));
+                    respond.accept(HttpResponse.empty(404));
                   } else if (lookupResult.finalView() != null) {
-                    respond.accept(JobAnswers.view(lookupResult.finalView()));
+                    respond.accept(JobResponses.view(lookupResult.finalView()));
                   } else {
                     cancelAtOwner(id, lookupResult.openAtEntity(), respond);
                   }
@@ -92,11 +92,11 @@
         "look a job up for its cancellation");
   }
 
-  private void cancelAtOwner(JobId id, ControllerId entity, Consumer<HttpAnswer> respond) {
+  private void cancelAtOwner(JobId id, ControllerId entity, Consumer<HttpResponse> respond) {
     ControllerId owner = peerOwners.findPeerOwning(entity);
     if (owner == null) {
       respond.accept(
-          HttpAnswer.unavailable(
+          HttpResponse.unavailable(
               "the owner of the job's entity " + entity + " is unknown or not ready; retry later"));
     } else {
       answerWhenStored(peerClient.cancel(owner, id), respond);
@@ -104,16 +104,16 @@
   }
 
   private static void answerWhenStored(
-      CompletableFuture<JobView> cancellation, Consumer<HttpAnswer> respond) {
+      CompletableFuture<JobView> cancellation, Consumer<HttpResponse> respond) {
     Futures.logFailure(
         cancellation.whenComplete(
             (view, failure) -> {
               if (failure != null || !view.status().isTerminal()) {
                 respond.accept(
-                    HttpAnswer.unavailable(
+                    HttpResponse.unavailable(
                         "the cancellation is not known to be stored; retry later"));
               } else {
-                respond.accept(JobAnswers.view(view));
+                respond.accept(JobResponses.view(view));
               }
             }),
         "answer a cancellation");
--- a/src/main/java/io/violetrail/api/JobQuery.java
+++ b/src/main/java/io/violetrail/api/JobQuery.java
@@ -3,7 +3,7 @@
 import io.violetrail.model.JobId;
 import io.violetrail.model.JobView;
 import io.violetrail.net.Futures;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
@@ -20,23 +20,23 @@
    * Answers a poll: 200 with the job's state, 404 if the job does not exist, 503 if that cannot be
    * determined now.
    */
-  void handle(String idText, Consumer<HttpAnswer> respond) {
+  void handle(String idText, Consumer<HttpResponse> respond) {
     if (!JobId.isWellFormed(idText)) {
-      respond.accept(HttpAnswer.empty(404));
+      respond.accept(HttpResponse.empty(404));
       return;
     }
-    answer(new JobId(idText), () -> HttpAnswer.empty(404), respond);
+    answer(new JobId(idText), () -> HttpResponse.empty(404), respond);
   }
 
   /**
    * Answers a repeated submission of an accepted job: 200 with the job's state, 503 if the state is
    * not known now.
    */
-  void answerKnown(JobId id, Consumer<HttpAnswer> respond) {
-    answer(id, JobAnswers::stateUnknown, respond);
+  void answerKnown(JobId id, Consumer<HttpResponse> respond) {
+    answer(id, JobResponses::stateUnknown, respond);
   }
 
-  private void answer(JobId id, Supplier<HttpAnswer> ifAbsent, Consumer<HttpAnswer> respond) {
+  private void answer(JobId id, Supplier<HttpResponse> ifAbsent, Consumer<HttpResponse> respond) {
     Futures.logFailure(
         resolver
             .resolve(id)
@@ -44,11 +44,11 @@
         "answer with a job's state");
   }
 
-  private static HttpAnswer toAnswer(
-      JobView view, Throwable failure, Supplier<HttpAnswer> ifAbsent) {
+  private static HttpResponse toAnswer(
+      JobView view, Throwable failure, Supplier<HttpResponse> ifAbsent) {
     if (failure != null) {
-      return JobAnswers.stateUnknown();
+      return JobResponses.stateUnknown();
     }
-    return view == null ? ifAbsent.get() : JobAnswers.view(view);
+    return view == null ? ifAbsent.get() : JobResponses.view(view);
   }
 }
--- a/src/main/java/io/violetrail/api/JobSubmission.java
+++ b/src/main/java/io/violetrail/api/JobSubmission.java
@@ -6,7 +6,7 @@
 import io.violetrail.model.JobView;
 import io.violetrail.model.JobView.JobStatus;
 import io.violetrail.net.Futures;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.Cbor.MalformedMessageException;
 import io.violetrail.wire.JobMessages;
@@ -52,7 +52,7 @@
    * Answers a submission: 201 if the job is accepted, 200 if it was accepted earlier, 400 if the
    * submission is malformed, 422 if the job can never run, 503 if the client is to retry later.
    */
-  void handle(byte[] body, Consumer<HttpAnswer> respond) {
+  void handle(byte[] body, Consumer<HttpResponse> respond) {
     JobId id = null;
     JobSpec spec;
     try {
@@ -102,15 +102,15 @@
   }
 
   private void answerDecision(
-      JobId id, JobAdmission.Decision decision, Consumer<HttpAnswer> respond) {
+      JobId id, JobAdmission.Decision decision, Consumer<HttpResponse> respond) {
     switch (decision.verdict()) {
       case ACCEPTED ->
           respond.accept(
-              HttpAnswer.of(
+              HttpResponse.of(
                   201, JobMessages.viewMessage(new JobView(id.value(), JobStatus.QUEUED, 0, 0))));
       case KNOWN -> jobQuery.answerKnown(id, respond);
-      case IMPOSSIBLE -> respond.accept(HttpAnswer.error(422, decision.reason()));
-      default -> respond.accept(HttpAnswer.unavailable(decision.reason()));
+      case IMPOSSIBLE -> respond.accept(HttpResponse.error(422, decision.reason()));
+      default -> respond.accept(HttpResponse.unavailable(decision.reason()));
     }
   }
 
@@ -119,10 +119,10 @@
    * state, even if other fields are malformed: clients may resend only a part of the description.
    * Without a well-formed id there is no job to look up.
    */
-  private void answerMalformed(JobId id, String reason, Consumer<HttpAnswer> respond) {
+  private void answerMalformed(JobId id, String reason, Consumer<HttpResponse> respond) {
     LOG.debug("malformed submission: {}", reason);
     if (id == null) {
-      respond.accept(HttpAnswer.error(400, reason));
+      respond.accept(HttpResponse.error(400, reason));
       return;
     }
     Futures.logFailure(
@@ -131,9 +131,9 @@
             .whenComplete(
                 (lookupResult, failure) -> {
                   if (failure != null) {
-                    respond.accept(JobAnswers.stateServiceUnavailable());
+                    respond.accept(JobResponses.stateServiceUnavailable());
                   } else if (lookupResult.isAbsent()) {
-                    respond.accept(HttpAnswer.error(400, reason));
+                    respond.accept(HttpResponse.error(400, reason));
                   } else {
                     jobQuery.answerKnown(id, respond);
                   }
--- a/src/main/java/io/violetrail/api/Metrics.java
+++ b/src/main/java/io/violetrail/api/Metrics.java
@@ -10,7 +10,7 @@
 import io.violetrail.evidence.HeartbeatReplyKind;
 import io.violetrail.evidence.TerminationEvidence;
 import io.violetrail.net.EventLoop;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
@@ -120,7 +120,7 @@
    * Wraps {@code respond} so that the answer's latency, measured from this call, is recorded under
    * the kind and the answer's status.
    */
-  Consumer<HttpAnswer> recordLatency(String kind, Consumer<HttpAnswer> respond) {
+  Consumer<HttpResponse> recordLatency(String kind, Consumer<HttpResponse> respond) {
     long startedAtNanos = loop.monotonicNanos();
     return answer -> {
       timerFor(kind, answer.status())
--- a/src/main/java/io/violetrail/api/UserApi.java
+++ b/src/main/java/io/violetrail/api/UserApi.java
@@ -49,7 +49,7 @@
   }
 
   private interface RouteHandler {
-    void handle(byte[] body, Consumer<HttpAnswer> respond);
+    void handle(byte[] body, Consumer<HttpResponse> respond);
   }
 
   /**
@@ -84,13 +84,13 @@
                     body, withDeadline("submit", CHANGE_TIMEOUT_SECONDS, respond))));
     routes.put(
         "/metrics",
-        Route.get((body, respond) -> respond.accept(HttpAnswer.text(metrics.render()))));
+        Route.get((body, respond) -> respond.accept(HttpResponse.text(metrics.render()))));
     if (jobTracer.isEnabled()) {
       routes.put(
           "/traces",
           Route.get(
               (body, respond) ->
-                  respond.accept(HttpAnswer.text(jobTracer.finishedSpansAsJsonLines()))));
+                  respond.accept(HttpResponse.text(jobTracer.finishedSpansAsJsonLines()))));
     }
     this.routesByPath = Map.copyOf(routes);
   }
@@ -105,14 +105,14 @@
   }
 
   @Override
-  public void handle(String method, String target, byte[] body, Consumer<HttpAnswer> respond) {
+  public void handle(String method, String target, byte[] body, Consumer<HttpResponse> respond) {
     int queryIndex = target.indexOf('?');
     String path = queryIndex < 0 ? target : target.substring(0, queryIndex);
     Route route = path.startsWith(JOB_PATH_PREFIX) ? jobRoute(path) : routesByPath.get(path);
     if (route == null) {
       optionalService.handle(method, target, body, respond);
     } else if (!route.method().equals(method)) {
-      respond.accept(HttpAnswer.empty(405));
+      respond.accept(HttpResponse.empty(405));
     } else {
       route.handler().handle(body, respond);
     }
@@ -138,21 +138,21 @@
   /**
    * Wraps {@code respond} with a deadline of {@code seconds} and a latency metric with the label.
    */
-  private Consumer<HttpAnswer> withDeadline(
-      String label, double seconds, Consumer<HttpAnswer> respond) {
+  private Consumer<HttpResponse> withDeadline(
+      String label, double seconds, Consumer<HttpResponse> respond) {
     return metrics.recordLatency(label, new AnswerDeadline(loop, seconds, respond));
   }
 
-  private static HttpAnswer healthAnswer(Readiness readiness) {
+  private static HttpResponse healthAnswer(Readiness readiness) {
     return readiness.isReady()
-        ? HttpAnswer.of(200, readiness.describe())
-        : HttpAnswer.unavailable(
+        ? HttpResponse.of(200, readiness.describe())
+        : HttpResponse.unavailable(
             "not ready: the home entity is not active here, the lease is not valid, or the machine"
                 + " types are not known");
   }
 
   private static void answerNotFound(
-      String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
-    respond.accept(HttpAnswer.empty(404));
+      String method, String path, byte[] body, Consumer<HttpResponse> respond) {
+    respond.accept(HttpResponse.empty(404));
   }
 }
--- a/src/main/java/io/violetrail/calendar/LocalDaysResource.java
+++ b/src/main/java/io/violetrail/calendar/LocalDaysResource.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.calendar.ScheduleDefinition.InvalidDefinitionException;
 import io.violetrail.net.Futures;
-import io.violetrail.net.JsonAnswers;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.JsonResponses;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages.Transaction;
@@ -36,11 +36,11 @@
    * @throws KubernetesJson.MalformedRequestException if the body is not a JSON object
    * @throws InvalidDefinitionException if the body is not a valid list of dates
    */
-  void handle(String method, String name, byte[] body, Consumer<HttpAnswer> responder)
+  void handle(String method, String name, byte[] body, Consumer<HttpResponse> responder)
       throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
     if (!name.matches(ScheduleApi.NAME_PATTERN)) {
       responder.accept(
-          JsonAnswers.error(
+          JsonResponses.error(
               404,
               "invalid name of local days '" + name + "': must match " + ScheduleApi.NAME_PATTERN));
       return;
@@ -55,23 +55,23 @@
               responder);
       case "DELETE" -> store(name, new Transaction().delete(key), responder);
       default ->
-          responder.accept(JsonAnswers.error(405, "method not allowed: use GET, PUT or DELETE"));
+          responder.accept(JsonResponses.error(405, "method not allowed: use GET, PUT or DELETE"));
     }
   }
 
-  private void show(String name, Consumer<HttpAnswer> responder) {
+  private void show(String name, Consumer<HttpResponse> responder) {
     Set<LocalDate> dates = scheduleRegistry.dayCalendar().findNamedDays(name);
     if (dates == null) {
-      responder.accept(JsonAnswers.error(404, "there are no local days named " + name));
+      responder.accept(JsonResponses.error(404, "there are no local days named " + name));
       return;
     }
     ObjectNode json = Cbor.newMap().put("name", name);
     dates.stream().sorted().forEach(date -> json.withArray("dates").add(date.toString()));
-    responder.accept(JsonAnswers.of(200, json));
+    responder.accept(JsonResponses.of(200, json));
   }
 
   /** Sends the write once. It replaces or deletes the whole set, so a client may repeat it. */
-  private void store(String name, Transaction transaction, Consumer<HttpAnswer> responder) {
+  private void store(String name, Transaction transaction, Consumer<HttpResponse> responder) {
     Futures.logFailure(
         store
             .tryTransaction(transaction)
@@ -79,10 +79,10 @@
                 (outcome, failure) ->
                     responder.accept(
                         failure != null
-                            ? JsonAnswers.error(
+                            ? JsonResponses.error(
                                 503,
                                 "the state service did not confirm the write; repeat the request")
-                            : JsonAnswers.of(200, Cbor.newMap().put("name", name)))),
+                            : JsonResponses.of(200, Cbor.newMap().put("name", name)))),
         "store local days");
   }
 
--- a/src/main/java/io/violetrail/calendar/ScheduleApi.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleApi.java
@@ -5,7 +5,7 @@
 import io.violetrail.config.Settings;
 import io.violetrail.fleet.MachineTypes;
 import io.violetrail.net.EventLoop;
-import io.violetrail.net.JsonAnswers;
+import io.violetrail.net.JsonResponses;
 import io.violetrail.net.RequestHandler;
 import io.violetrail.ownership.Membership;
 import io.violetrail.state.StateStore;
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public void handle(String method, String target, byte[] body, Consumer<HttpAnswer> responder) {
+  public void handle(String method, String target, byte[] body, Consumer<HttpResponse> responder) {
     int queryStart = target.indexOf('?');
     String path = queryStart < 0 ? target : target.substring(0, queryStart);
     try {
@@ -77,14 +77,14 @@
             method, path, queryStart < 0 ? "" : target.substring(queryStart + 1), body, responder);
       }
     } catch (KubernetesJson.MalformedRequestException exception) {
-      responder.accept(JsonAnswers.malformed(exception));
+      responder.accept(JsonResponses.malformed(exception));
     } catch (InvalidDefinitionException exception) {
-      responder.accept(JsonAnswers.error(exception.httpStatus(), exception.getMessage()));
+      responder.accept(JsonResponses.error(exception.httpStatus(), exception.getMessage()));
     }
   }
 
   private void route(
-      String method, String path, String query, byte[] body, Consumer<HttpAnswer> responder)
+      String method, String path, String query, byte[] body, Consumer<HttpResponse> responder)
       throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
     String[] segments = path.split("/", -1);
     if (segments.length == 2 && segments[1].equals("schedules")) {
@@ -93,10 +93,10 @@
       } else if (method.equals("GET")) {
         queries.list(query, responder);
       } else {
-        responder.accept(JsonAnswers.error(405, "method not allowed: use GET or POST"));
+        responder.accept(JsonResponses.error(405, "method not allowed: use GET or POST"));
       }
     } else if (segments.length > 4 || segments.length < 3 || !segments[2].matches(NAME_PATTERN)) {
-      responder.accept(JsonAnswers.error(404, "unknown path: " + path));
+      responder.accept(JsonResponses.error(404, "unknown path: " + path));
     } else if (segments.length == 4 && method.equals("GET") && segments[3].equals("history")) {
       queries.showHistory(segments[2], responder);
     } else if (segments.length == 4
@@ -104,21 +104,21 @@
         && segments[3].matches("pause|resume")) {
       editor.setPaused(segments[2], segments[3].equals("pause"), responder);
     } else if (segments.length == 4) {
-      responder.accept(JsonAnswers.error(404, "unknown path: " + path));
+      responder.accept(JsonResponses.error(404, "unknown path: " + path));
     } else {
       handleSchedule(method, segments[2], body, responder);
     }
   }
 
   private void handleSchedule(
-      String method, String name, byte[] body, Consumer<HttpAnswer> responder)
+      String method, String name, byte[] body, Consumer<HttpResponse> responder)
       throws KubernetesJson.MalformedRequestException, InvalidDefinitionException {
     switch (method) {
       case "GET" -> queries.show(name, responder);
       case "PUT" -> editor.replace(name, KubernetesJson.parse(body), responder);
       case "DELETE" -> editor.delete(name, responder);
       default ->
-          responder.accept(JsonAnswers.error(405, "method not allowed: use GET, PUT or DELETE"));
+          responder.accept(JsonResponses.error(405, "method not allowed: use GET, PUT or DELETE"));
     }
   }
 }
--- a/src/main/java/io/violetrail/calendar/ScheduleEditor.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleEditor.java
@@ -8,8 +8,8 @@
 import io.violetrail.model.JobId;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.JsonAnswers;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.JsonResponses;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
 import io.violetrail.state.StateStore;
@@ -83,7 +83,7 @@
    *
    * @throws InvalidDefinitionException if the name or the definition is invalid
    */
-  void create(ObjectNode json, Consumer<HttpAnswer> responder) throws InvalidDefinitionException {
+  void create(ObjectNode json, Consumer<HttpResponse> responder) throws InvalidDefinitionException {
     String name = json.path("name").asText("");
     if (!name.matches(ScheduleApi.NAME_PATTERN)) {
       throw new InvalidDefinitionException(
@@ -97,7 +97,7 @@
     String closedReason = jobAdmission.findClosedReason();
     if (!scheduleRegistry.isReady() || closedReason != null) {
       responder.accept(
-          JsonAnswers.error(
+          JsonResponses.error(
               503,
               closedReason == null
                   ? "the schedules have not been read from the state service yet; retry later"
@@ -107,7 +107,7 @@
     OwnedEntity homeEntity = membership.findHomeEntity();
     if (scheduleRegistry.scheduleCount() >= MAX_SCHEDULES) {
       responder.accept(
-          JsonAnswers.error(
+          JsonResponses.error(
               429,
               "the limit of "
                   + MAX_SCHEDULES
@@ -125,15 +125,15 @@
                 (outcome, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        JsonAnswers.error(503, "the state service did not answer; retry later"));
+                        JsonResponses.error(503, "the state service did not answer; retry later"));
                   } else if (outcome.applied()) {
                     LOG.info("created schedule {}, due {}", name, json.path("due").asText());
-                    responder.accept(JsonAnswers.of(201, queries.toJson(row)));
+                    responder.accept(JsonResponses.of(201, queries.toJson(row)));
                   } else if (outcome.failedKeys().contains(row.key())) {
                     answerExisting(row, responder);
                   } else {
                     responder.accept(
-                        JsonAnswers.error(
+                        JsonResponses.error(
                             503,
                             "the entity's row or the tombstone of the name was changed at the"
                                 + " same time; retry"));
@@ -146,15 +146,15 @@
    * Answers a creation whose name is taken: with success if an earlier attempt of the same creation
    * has stored the row, with a conflict if it is another schedule.
    */
-  private void answerExisting(ScheduleRow createdRow, Consumer<HttpAnswer> responder) {
+  private void answerExisting(ScheduleRow createdRow, Consumer<HttpResponse> responder) {
     queries.read(
         createdRow.name(),
         responder,
         found ->
             responder.accept(
                 found.uid().equals(createdRow.uid())
-                    ? JsonAnswers.of(201, queries.toJson(found))
-                    : JsonAnswers.error(
+                    ? JsonResponses.of(201, queries.toJson(found))
+                    : JsonResponses.error(
                         409,
                         "schedule " + createdRow.name() + " exists already; replace it with PUT")));
   }
@@ -193,7 +193,7 @@
    *
    * @throws InvalidDefinitionException if the version is missing or the definition is invalid
    */
-  void replace(String name, ObjectNode json, Consumer<HttpAnswer> responder)
+  void replace(String name, ObjectNode json, Consumer<HttpResponse> responder)
       throws InvalidDefinitionException {
     if (!json.path("version").isIntegralNumber()) {
       throw new InvalidDefinitionException(
@@ -204,7 +204,8 @@
           422, "name", "must be '" + name + "', the name in the request's path");
     }
     if (machineTypes.isEmpty()) {
-      responder.accept(JsonAnswers.error(503, "the machine types are not known yet; retry later"));
+      responder.accept(
+          JsonResponses.error(503, "the machine types are not known yet; retry later"));
       return;
     }
     validateDefinition(json);
@@ -225,7 +226,7 @@
   }
 
   /** Pauses or resumes a schedule. Due times during a pause are not caught up. */
-  void setPaused(String name, boolean paused, Consumer<HttpAnswer> responder) {
+  void setPaused(String name, boolean paused, Consumer<HttpResponse> responder) {
     update(
         name,
         responder,
@@ -248,7 +249,7 @@
    */
   private void update(
       String name,
-      Consumer<HttpAnswer> responder,
+      Consumer<HttpResponse> responder,
       Function<ScheduleRow, ScheduleRow> change,
       int attemptsLeft) {
     queries.read(
@@ -258,14 +259,14 @@
           ScheduleRow next = change.apply(row);
           if (next == null || attemptsLeft == 0) {
             responder.accept(
-                JsonAnswers.error(
+                JsonResponses.error(
                     409,
                     "the schedule was changed in the meantime; its version is now "
                         + row.version()));
             return;
           }
           if (next == row) {
-            responder.accept(JsonAnswers.of(200, queries.toJson(row)));
+            responder.accept(JsonResponses.of(200, queries.toJson(row)));
             return;
           }
           Futures.logFailure(
@@ -278,10 +279,10 @@
                       (outcome, failure) -> {
                         if (failure != null) {
                           responder.accept(
-                              JsonAnswers.error(
+                              JsonResponses.error(
                                   503, "the state service did not answer; retry later"));
                         } else if (outcome.applied()) {
-                          responder.accept(JsonAnswers.of(200, queries.toJson(next)));
+                          responder.accept(JsonResponses.of(200, queries.toJson(next)));
                         } else {
                           // A firing, another update or an earlier attempt of this one came first.
                           retryUpdate(name, responder, change, attemptsLeft - 1, next);
@@ -293,7 +294,7 @@
 
   private void retryUpdate(
       String name,
-      Consumer<HttpAnswer> responder,
+      Consumer<HttpResponse> responder,
       Function<ScheduleRow, ScheduleRow> change,
       int attemptsLeft,
       ScheduleRow attemptedRow) {
@@ -306,7 +307,7 @@
                   && row.isPaused() == attemptedRow.isPaused()
                   && row.definition().equals(attemptedRow.definition());
           if (alreadyStored) {
-            responder.accept(JsonAnswers.of(200, queries.toJson(row)));
+            responder.accept(JsonResponses.of(200, queries.toJson(row)));
           } else {
             update(name, responder, change, attemptsLeft);
           }
@@ -314,11 +315,11 @@
   }
 
   /** Deletes a schedule and its history. Open runs continue as ordinary jobs. */
-  void delete(String name, Consumer<HttpAnswer> responder) {
+  void delete(String name, Consumer<HttpResponse> responder) {
     delete(name, responder, MAX_ATTEMPTS);
   }
 
-  private void delete(String name, Consumer<HttpAnswer> responder, int attemptsLeft) {
+  private void delete(String name, Consumer<HttpResponse> responder, int attemptsLeft) {
     queries.read(
         name,
         responder,
@@ -336,18 +337,18 @@
                         (outcome, failure) -> {
                           if (failure != null) {
                             responder.accept(
-                                JsonAnswers.error(
+                                JsonResponses.error(
                                     503, "the state service did not answer; retry later"));
                           } else if (outcome.applied()) {
                             LOG.info("deleted schedule {}", name);
                             deleteHistory(row);
                             responder.accept(
-                                JsonAnswers.of(200, Cbor.newMap().put("deleted", name)));
+                                JsonResponses.of(200, Cbor.newMap().put("deleted", name)));
                           } else if (attemptsLeft > 0) {
                             delete(name, responder, attemptsLeft - 1);
                           } else {
                             responder.accept(
-                                JsonAnswers.error(
+                                JsonResponses.error(
                                     503,
                                     "the schedule was changed during each attempt to delete it;"
                                         + " retry later"));
--- a/src/main/java/io/violetrail/calendar/ScheduleQueries.java
+++ b/src/main/java/io/violetrail/calendar/ScheduleQueries.java
@@ -6,8 +6,8 @@
 import io.violetrail.calendar.ScheduleRow.Run;
 import io.violetrail.errors.RequestFailedException;
 import io.violetrail.net.Futures;
-import io.violetrail.net.JsonAnswers;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.JsonResponses;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.state.StateStore;
 import io.violetrail.wire.Cbor;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
    * Reads a schedule for a request. If it does not exist or cannot be read, answers the request
    * with an error and does not call {@code onFound}.
    */
-  void read(String name, Consumer<HttpAnswer> responder, Consumer<ScheduleRow> onFound) {
+  void read(String name, Consumer<HttpResponse> responder, Consumer<ScheduleRow> onFound) {
     String key = ScheduleRow.KEY_PREFIX + name;
     Futures.logFailure(
         store
@@ -50,12 +50,12 @@
                   if (failure != null) {
                     boolean rateLimited = RequestFailedException.from(failure).isRateLimited();
                     responder.accept(
-                        JsonAnswers.error(
+                        JsonResponses.error(
                             rateLimited ? 429 : 503,
                             "the schedule cannot be read from the state service now; retry later"));
                   } else if (entry.value() == null) {
                     responder.accept(
-                        JsonAnswers.error(404, "schedule " + name + " does not exist"));
+                        JsonResponses.error(404, "schedule " + name + " does not exist"));
                   } else {
                     onFound.accept(ScheduleRow.fromRow(key, entry.value(), entry.modRevision()));
                   }
@@ -63,15 +63,15 @@
         "read a schedule");
   }
 
-  void show(String name, Consumer<HttpAnswer> responder) {
-    read(name, responder, row -> responder.accept(JsonAnswers.of(200, toJson(row))));
+  void show(String name, Consumer<HttpResponse> responder) {
+    read(name, responder, row -> responder.accept(JsonResponses.of(200, toJson(row))));
   }
 
-  void showHistory(String name, Consumer<HttpAnswer> responder) {
+  void showHistory(String name, Consumer<HttpResponse> responder) {
     read(name, responder, row -> showHistory(row, responder));
   }
 
-  private void showHistory(ScheduleRow row, Consumer<HttpAnswer> responder) {
+  private void showHistory(ScheduleRow row, Consumer<HttpResponse> responder) {
     List<String> keys = row.historyBlockKeys();
     List<CompletableFuture<JsonNode>> reads = new ArrayList<>();
     keys.forEach(key -> reads.add(store.getForUser(key).thenApply(entry -> entry.value())));
@@ -81,10 +81,10 @@
                 (ignored, failure) ->
                     responder.accept(
                         failure != null
-                            ? JsonAnswers.error(
+                            ? JsonResponses.error(
                                 429,
                                 "the history cannot be read now: too many requests; retry later")
-                            : JsonAnswers.of(200, historyToJson(row, keys, reads)))),
+                            : JsonResponses.of(200, historyToJson(row, keys, reads)))),
         "read a schedule's history");
   }
 
@@ -114,11 +114,11 @@
     return json;
   }
 
-  void list(String query, Consumer<HttpAnswer> responder) {
+  void list(String query, Consumer<HttpResponse> responder) {
     String after = query.startsWith("after=") ? query.substring(6) : "";
     if (!after.isEmpty() && !after.matches(ScheduleApi.NAME_PATTERN)) {
       responder.accept(
-          JsonAnswers.error(400, "after: must be the name of a schedule; got '" + after + "'"));
+          JsonResponses.error(400, "after: must be the name of a schedule; got '" + after + "'"));
       return;
     }
     Futures.logFailure(
@@ -131,7 +131,7 @@
                 (page, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        JsonAnswers.error(
+                        JsonResponses.error(
                             503,
                             "the schedules cannot be read from the state service now; retry"
                                 + " later"));
@@ -149,13 +149,13 @@
                   if (page.more()) {
                     json.put("after", schedules.get(schedules.size() - 1).path("name").asText());
                   }
-                  responder.accept(JsonAnswers.of(200, json));
+                  responder.accept(JsonResponses.of(200, json));
                 }),
         "list schedules");
   }
 
   /** Answers with the open reports of the entities that this controller owns. */
-  void listReports(Consumer<HttpAnswer> responder) {
+  void listReports(Consumer<HttpResponse> responder) {
     ObjectNode json = Cbor.newMap();
     ArrayNode reports = json.putArray("reports");
     for (ScheduleRow row : scheduleRegistry.findSchedulesWithOpenReports()) {
@@ -165,6 +165,6 @@
         }
       }
     }
-    responder.accept(JsonAnswers.of(200, json));
+    responder.accept(JsonResponses.of(200, json));
   }
 }
--- a/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
+++ b/src/main/java/io/violetrail/cli/ClassArchiveWarmUp.java
@@ -212,23 +212,24 @@
   }
 
   private void answerFromScript(
-      String method, String path, byte[] body, Consumer<RequestHandler.HttpAnswer> responder) {
+      String method, String path, byte[] body, Consumer<RequestHandler.HttpResponse> responder) {
     revision++;
     if (path.startsWith("/changes")) {
       return; // A watch stays open as long as there are no changes.
     }
     if (path.equals("/flavors")) {
       responder.accept(
-          RequestHandler.HttpAnswer.of(200, ScriptedMessages.machineTypeReply(MACHINE_TYPE)));
+          RequestHandler.HttpResponse.of(200, ScriptedMessages.machineTypeReply(MACHINE_TYPE)));
       return;
     }
     if (path.equals("/hosts")) {
       responder.accept(
-          RequestHandler.HttpAnswer.of(200, ScriptedMessages.rentalReply(RENTED_MACHINE)));
+          RequestHandler.HttpResponse.of(200, ScriptedMessages.rentalReply(RENTED_MACHINE)));
       return;
     }
     int status = path.startsWith("/keys/") ? 404 : 200;
     responder.accept(
-        RequestHandler.HttpAnswer.of(status, ScriptedMessages.emptyStateReply(revision, LEASE_ID)));
+        RequestHandler.HttpResponse.of(
+            status, ScriptedMessages.emptyStateReply(revision, LEASE_ID)));
   }
 }
--- a/src/main/java/io/violetrail/cloud/CloudClient.java
+++ b/src/main/java/io/violetrail/cloud/CloudClient.java
@@ -115,7 +115,7 @@
         .handle((response, failure) -> failure == null ? parseRental(response) : UNCERTAIN_RENTAL);
   }
 
-  private static RentalResult parseRental(HttpClient.ClientReply response) {
+  private static RentalResult parseRental(HttpClient.ClientResponse response) {
     try {
       if (response.isOk()) {
         return new RentalResult(
@@ -194,7 +194,7 @@
                 failure == null ? parseReturn(response) : ReturnOutcome.UNCERTAIN);
   }
 
-  private static ReturnOutcome parseReturn(HttpClient.ClientReply response) {
+  private static ReturnOutcome parseReturn(HttpClient.ClientResponse response) {
     if (response.isOk()) {
       return ReturnOutcome.TERMINATED;
     }
@@ -208,7 +208,8 @@
    * the shared limit that peers leave unused, and is halved at once, to no less than half an even
    * share, when the provider reports too many requests.
    */
-  private CompletableFuture<HttpClient.ClientReply> send(String method, String path, byte[] body) {
+  private CompletableFuture<HttpClient.ClientResponse> send(
+      String method, String path, byte[] body) {
     return http.call(settings.cloudAddress(), method, path, body, TIMEOUT_SECONDS)
         .whenComplete(
             (response, failure) -> {
@@ -223,7 +224,7 @@
             });
   }
 
-  private CompletableFuture<HttpClient.ClientReply> callOrFail(
+  private CompletableFuture<HttpClient.ClientResponse> callOrFail(
       String method, String path, byte[] body) {
     return send(method, path, body)
         .thenApply(
--- a/src/main/java/io/violetrail/configuration/ConfigurationApi.java
+++ b/src/main/java/io/violetrail/configuration/ConfigurationApi.java
@@ -9,7 +9,7 @@
 import io.violetrail.errors.RequestFailedException;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.JsonAnswers;
+import io.violetrail.net.JsonResponses;
 import io.violetrail.net.RequestHandler;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.kubernetes.KubernetesJson;
@@ -80,25 +80,25 @@
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> responder) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> responder) {
     if (!path.equals(PATH) && !path.startsWith(PATH + "/")) {
       fallback.handle(method, path, body, responder);
       return;
     }
-    Consumer<HttpAnswer> timedResponder = withTimeout(responder);
+    Consumer<HttpResponse> timedResponder = withTimeout(responder);
     try {
       switch (method + " " + path) {
-        case "GET /config" -> timedResponder.accept(JsonAnswers.of(200, currentConfiguration()));
+        case "GET /config" -> timedResponder.accept(JsonResponses.of(200, currentConfiguration()));
         case "GET /config/status" -> showStatus(timedResponder);
         case "GET /config/history" -> showHistory(timedResponder);
         case "POST /config" -> applyConfiguration(body, timedResponder);
         case "POST /config/rollback" -> rollback(body, timedResponder);
         default ->
             timedResponder.accept(
-                JsonAnswers.error(404, "no such path or method: " + method + " " + path));
+                JsonResponses.error(404, "no such path or method: " + method + " " + path));
       }
     } catch (KubernetesJson.MalformedRequestException exception) {
-      timedResponder.accept(JsonAnswers.malformed(exception));
+      timedResponder.accept(JsonResponses.malformed(exception));
     }
   }
 
@@ -106,7 +106,7 @@
    * Returns a responder that passes on only the first answer given to it, and answers 503 if there
    * is none within {@link #DECISION_TIMEOUT_SECONDS}.
    */
-  private Consumer<HttpAnswer> withTimeout(Consumer<HttpAnswer> responder) {
+  private Consumer<HttpResponse> withTimeout(Consumer<HttpResponse> responder) {
     AtomicBoolean answered = new AtomicBoolean();
     EventLoop.Cancellable timer =
         loop.schedule(
@@ -114,7 +114,7 @@
             () -> {
               if (answered.compareAndSet(false, true)) {
                 responder.accept(
-                    JsonAnswers.error(
+                    JsonResponses.error(
                         503,
                         "no decision within "
                             + DECISION_TIMEOUT_SECONDS
@@ -143,14 +143,14 @@
     return tree.put("revision", configuration.revision()).put("fresh", configuration.isFresh());
   }
 
-  private void showStatus(Consumer<HttpAnswer> responder) {
+  private void showStatus(Consumer<HttpResponse> responder) {
     Futures.logFailure(
         stateCollector
             .get()
             .whenComplete(
                 (states, failure) -> {
                   List<ConfigurationState> collected = failure == null ? states : List.of();
-                  responder.accept(JsonAnswers.of(200, statusToJson(collected)));
+                  responder.accept(JsonResponses.of(200, statusToJson(collected)));
                 }),
         "collect the controllers' configuration");
   }
@@ -171,7 +171,7 @@
     return json;
   }
 
-  private void showHistory(Consumer<HttpAnswer> responder) {
+  private void showHistory(Consumer<HttpResponse> responder) {
     Futures.logFailure(
         writer
             .history()
@@ -179,10 +179,11 @@
                 (revisions, failure) -> {
                   if (failure != null) {
                     responder.accept(
-                        JsonAnswers.error(503, RequestFailedException.from(failure).getMessage()));
+                        JsonResponses.error(
+                            503, RequestFailedException.from(failure).getMessage()));
                     return;
                   }
-                  responder.accept(JsonAnswers.of(200, historyToJson(revisions)));
+                  responder.accept(JsonResponses.of(200, historyToJson(revisions)));
                 }),
         "read the configuration's history");
   }
@@ -203,7 +204,7 @@
     return json;
   }
 
-  private void applyConfiguration(byte[] body, Consumer<HttpAnswer> responder)
+  private void applyConfiguration(byte[] body, Consumer<HttpResponse> responder)
       throws KubernetesJson.MalformedRequestException {
     ObjectNode json = KubernetesJson.parse(body);
     ObjectNode tree = json.deepCopy();
@@ -217,13 +218,13 @@
           .forEach(
               problem ->
                   problems.addObject().put("path", problem.path()).put("why", problem.message()));
-      responder.accept(JsonAnswers.of(422, refusal));
+      responder.accept(JsonResponses.of(422, refusal));
       return;
     }
     submitChange(json, validation.configuration(), 0, responder);
   }
 
-  private void rollback(byte[] body, Consumer<HttpAnswer> responder)
+  private void rollback(byte[] body, Consumer<HttpResponse> responder)
       throws KubernetesJson.MalformedRequestException {
     ObjectNode json = KubernetesJson.parse(body);
     submitChange(json, null, readNumber(json, "to"), responder);
@@ -233,7 +234,7 @@
       ObjectNode json,
       ClusterConfiguration content,
       long rollbackRevision,
-      Consumer<HttpAnswer> responder)
+      Consumer<HttpResponse> responder)
       throws KubernetesJson.MalformedRequestException {
     ConfigurationChange change =
         new ConfigurationChange(
@@ -248,17 +249,17 @@
         "apply a configuration change");
   }
 
-  private static HttpAnswer toAnswer(Result result) {
+  private static HttpResponse toAnswer(Result result) {
     ObjectNode json = Cbor.newMap().put("revision", result.revision());
     if (!result.message().isEmpty()) {
       json.put("error", result.message());
     }
     return switch (result.outcome()) {
-      case APPLIED -> JsonAnswers.of(200, json);
-      case CONFLICT -> JsonAnswers.of(409, json);
-      case REFUSED -> JsonAnswers.of(422, json);
+      case APPLIED -> JsonResponses.of(200, json);
+      case CONFLICT -> JsonResponses.of(409, json);
+      case REFUSED -> JsonResponses.of(422, json);
       case UNKNOWN ->
-          JsonAnswers.of(503, json.put("error", "the outcome is unknown: " + result.message()));
+          JsonResponses.of(503, json.put("error", "the outcome is unknown: " + result.message()));
     };
   }
 
--- a/src/main/java/io/violetrail/net/UndertowHttpClient.java
+++ b/src/main/java/io/violetrail/net/UndertowHttpClient.java
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public CompletableFuture<ClientReply> call(
+  public CompletableFuture<ClientResponse> call(
       HostPort address, String method, String path, byte[] body, double timeoutSeconds) {
     return start(
         pools.computeIfAbsent(address, p -> new ConnectionPool(p, true)),
@@ -58,12 +58,12 @@
   }
 
   @Override
-  public CompletableFuture<ClientReply> callOnce(
+  public CompletableFuture<ClientResponse> callOnce(
       HostPort address, String method, String path, byte[] body, double timeoutSeconds) {
     return start(new ConnectionPool(address, false), method, path, body, timeoutSeconds);
   }
 
-  private CompletableFuture<ClientReply> start(
+  private CompletableFuture<ClientResponse> start(
       ConnectionPool pool, String method, String path, byte[] body, double timeoutSeconds) {
     PendingCall call = new PendingCall(pool, method, path, body);
     call.timer =
@@ -177,7 +177,7 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final CompletableFuture<ClientReply> future = new CompletableFuture<>();
+    private final CompletableFuture<ClientResponse> future = new CompletableFuture<>();
     private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream(256);
     private EventLoop.Cancellable timer;
     private ClientConnection connection;
@@ -329,7 +329,7 @@
       // only in a later callback.
       loop.execute(() -> pool.releaseConnection(connection, reusable));
       future.complete(
-          new ClientReply(exchange.getResponse().getResponseCode(), responseBody.toByteArray()));
+          new ClientResponse(exchange.getResponse().getResponseCode(), responseBody.toByteArray()));
     }
   }
 }
--- a/src/main/java/io/violetrail/net/UndertowServer.java
+++ b/src/main/java/io/violetrail/net/UndertowServer.java
@@ -53,7 +53,7 @@
       HttpServerExchange exchange, RequestHandler handler, UndertowEventLoop loop) {
     if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
-      sendAnswer(exchange, RequestHandler.HttpAnswer.empty(400));
+      sendAnswer(exchange, RequestHandler.HttpResponse.empty(400));
       return;
     }
     exchange
@@ -65,7 +65,7 @@
                     () -> loop.runLocked(() -> handleRequest(ex, body, handler))),
             (ex, failure) -> {
               ex.setPersistent(false);
-              sendAnswer(ex, RequestHandler.HttpAnswer.empty(400));
+              sendAnswer(ex, RequestHandler.HttpResponse.empty(400));
             });
   }
 
@@ -77,12 +77,12 @@
     try {
       handler.handle(method, path, body, answer -> sendAnswer(exchange, answer));
     } catch (RuntimeException exception) {
-      sendAnswer(exchange, RequestHandler.HttpAnswer.empty(500));
+      sendAnswer(exchange, RequestHandler.HttpResponse.empty(500));
       throw exception;
     }
   }
 
-  private static void sendAnswer(HttpServerExchange exchange, RequestHandler.HttpAnswer answer) {
+  private static void sendAnswer(HttpServerExchange exchange, RequestHandler.HttpResponse answer) {
     if (exchange.isResponseStarted()) {
       return;
     }
--- a/src/main/java/io/violetrail/peer/PeerClient.java
+++ b/src/main/java/io/violetrail/peer/PeerClient.java
@@ -190,7 +190,7 @@
         .thenApply(this::decode);
   }
 
-  private PeerResponse decode(HttpClient.ClientReply reply) {
+  private PeerResponse decode(HttpClient.ClientResponse reply) {
     if (!reply.isOk()) {
       throw RequestRejectedException.repliedWithStatus(Receiver.PEER, reply.status());
     }
--- a/src/main/java/io/violetrail/peer/PeerService.java
+++ b/src/main/java/io/violetrail/peer/PeerService.java
@@ -69,9 +69,9 @@
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> respond) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> respond) {
     if (!PeerClient.PATH.equals(path) || !"POST".equals(method)) {
-      respond.accept(HttpAnswer.empty(404));
+      respond.accept(HttpResponse.empty(404));
       return;
     }
     PeerRequest request;
@@ -79,14 +79,14 @@
       request = codec.decode(body, PeerRequest.class);
     } catch (KryoException exception) {
       LOG.info("rejected a malformed message from a peer: {}", exception.getMessage());
-      respond.accept(HttpAnswer.empty(400));
+      respond.accept(HttpResponse.empty(400));
       return;
     }
     handle(
         request,
         reply ->
             respond.accept(
-                new HttpAnswer(200, codec.encode(reply), 0, "application/octet-stream")));
+                new HttpResponse(200, codec.encode(reply), 0, "application/octet-stream")));
   }
 
   private void handle(PeerRequest request, Consumer<PeerResponse> respond) {
--- a/src/main/java/io/violetrail/state/ChangeWatcher.java
+++ b/src/main/java/io/violetrail/state/ChangeWatcher.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.violetrail.net.Futures;
-import io.violetrail.net.HttpClient.ClientReply;
+import io.violetrail.net.HttpClient.ClientResponse;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.Cbor.MalformedMessageException;
 import java.util.Optional;
@@ -66,7 +66,7 @@
    * Returns the reply's body, or empty if the reply is an error or cannot be parsed; both count as
    * a failed watch.
    */
-  private static Optional<ObjectNode> parseChanges(ClientReply reply) {
+  private static Optional<ObjectNode> parseChanges(ClientResponse reply) {
     if (!reply.isOk()) {
       return Optional.empty();
     }
--- a/src/main/java/io/violetrail/state/LeaseClient.java
+++ b/src/main/java/io/violetrail/state/LeaseClient.java
@@ -1,6 +1,6 @@
 package io.violetrail.state;
 
-import io.violetrail.net.HttpClient.ClientReply;
+import io.violetrail.net.HttpClient.ClientResponse;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.StateStoreMessages;
 import java.util.concurrent.CompletableFuture;
@@ -29,10 +29,10 @@
 
   CompletableFuture<Boolean> renew(long leaseId) {
     return post("/leases/" + leaseId + "/renew", Cbor.encode(Cbor.newMap()))
-        .thenApply(ClientReply::isOk);
+        .thenApply(ClientResponse::isOk);
   }
 
-  private CompletableFuture<ClientReply> post(String path, byte[] body) {
+  private CompletableFuture<ClientResponse> post(String path, byte[] body) {
     budget.takeRequest();
     return connection.call("POST", path, body, StateStoreConnection.TIMEOUT_SECONDS);
   }
--- a/src/main/java/io/violetrail/state/RowReader.java
+++ b/src/main/java/io/violetrail/state/RowReader.java
@@ -1,7 +1,7 @@
 package io.violetrail.state;
 
 import io.violetrail.errors.RequestRejectedException;
-import io.violetrail.net.HttpClient.ClientReply;
+import io.violetrail.net.HttpClient.ClientResponse;
 import io.violetrail.state.StateStore.Listing;
 import io.violetrail.wire.StateStoreMessages;
 import io.violetrail.wire.StateStoreMessages.Entry;
@@ -38,7 +38,7 @@
         .thenApply(reply -> parseEntry(key, reply));
   }
 
-  private static Entry parseEntry(String key, ClientReply reply) {
+  private static Entry parseEntry(String key, ClientResponse reply) {
     return StateStoreConnection.isNotFound(reply)
         ? new Entry(key, null, 0)
         : StateStoreMessages.parseEntry(StateStoreConnection.parseBody(reply));
@@ -88,7 +88,7 @@
         .thenApply(RowReader::parsePage);
   }
 
-  private static ListPage parsePage(ClientReply reply) {
+  private static ListPage parsePage(ClientResponse reply) {
     if (!reply.isOk()) {
       throw RequestRejectedException.listingRepliedWithStatus(reply.status());
     }
--- a/src/main/java/io/violetrail/state/StateStoreConnection.java
+++ b/src/main/java/io/violetrail/state/StateStoreConnection.java
@@ -7,7 +7,7 @@
 import io.violetrail.errors.RequestUndecidedException;
 import io.violetrail.net.Futures;
 import io.violetrail.net.HttpClient;
-import io.violetrail.net.HttpClient.ClientReply;
+import io.violetrail.net.HttpClient.ClientResponse;
 import io.violetrail.wire.Cbor;
 import io.violetrail.wire.Cbor.MalformedMessageException;
 import java.util.concurrent.CompletableFuture;
@@ -46,9 +46,9 @@
    * @return the reply with status 200, 404 or 409; fails with {@link RequestRejectedException} for
    *     any other status and with {@link RequestUndecidedException} if there is no reply
    */
-  CompletableFuture<ClientReply> call(
+  CompletableFuture<ClientResponse> call(
       String method, String path, byte[] body, double timeoutSeconds) {
-    CompletableFuture<ClientReply> result = new CompletableFuture<>();
+    CompletableFuture<ClientResponse> result = new CompletableFuture<>();
     Futures.logFailure(
         http.call(address, method, path, body, timeoutSeconds)
             .whenComplete(
@@ -69,7 +69,7 @@
   }
 
   /** Sends a request and completes with a reply of any status, which the caller interprets. */
-  CompletableFuture<ClientReply> callForAnyStatus(
+  CompletableFuture<ClientResponse> callForAnyStatus(
       String method, String path, double timeoutSeconds) {
     return http.call(address, method, path, null, timeoutSeconds);
   }
@@ -78,16 +78,16 @@
     return status == HTTP_OK || status == HTTP_NOT_FOUND || status == HTTP_CONFLICT;
   }
 
-  static boolean isNotFound(ClientReply reply) {
+  static boolean isNotFound(ClientResponse reply) {
     return reply.status() == HTTP_NOT_FOUND;
   }
 
-  static boolean isConflict(ClientReply reply) {
+  static boolean isConflict(ClientResponse reply) {
     return reply.status() == HTTP_CONFLICT;
   }
 
   /** Returns the body as a map; throws {@link RequestUndecidedException} if it is not a map. */
-  static ObjectNode parseBody(ClientReply reply) {
+  static ObjectNode parseBody(ClientResponse reply) {
     return parse(reply, body -> body);
   }
 
@@ -95,7 +95,7 @@
    * Returns the value that the reader finds in the body; throws {@link RequestUndecidedException}
    * if the body is malformed.
    */
-  static <T> T parse(ClientReply reply, BodyReader<T> reader) {
+  static <T> T parse(ClientResponse reply, BodyReader<T> reader) {
     try {
       return reader.read(Cbor.parse(reply.body()));
     } catch (MalformedMessageException malformed) {
--- a/src/main/java/io/violetrail/state/TransactionSender.java
+++ b/src/main/java/io/violetrail/state/TransactionSender.java
@@ -3,7 +3,7 @@
 import io.violetrail.errors.RequestRejectedException;
 import io.violetrail.net.EventLoop;
 import io.violetrail.net.Futures;
-import io.violetrail.net.HttpClient.ClientReply;
+import io.violetrail.net.HttpClient.ClientResponse;
 import io.violetrail.wire.StateStoreMessages;
 import io.violetrail.wire.StateStoreMessages.Transaction;
 import io.violetrail.wire.StateStoreMessages.TransactionOutcome;
@@ -72,7 +72,7 @@
         .thenApply(TransactionSender::parseOutcome);
   }
 
-  private static TransactionOutcome parseOutcome(ClientReply reply) {
+  private static TransactionOutcome parseOutcome(ClientResponse reply) {
     boolean conditionsFailed = StateStoreConnection.isConflict(reply);
     if (!conditionsFailed && !reply.isOk()) {
       throw RequestRejectedException.transactionRepliedWithStatus(reply.status());
--- a/src/main/java/io/violetrail/wire/HeartbeatMessages.java
+++ b/src/main/java/io/violetrail/wire/HeartbeatMessages.java
@@ -34,7 +34,8 @@
    * @param sequence number of this report within the session
    * @param fencingToken the highest token that the worker has seen; {@link Version#NONE} if it has
    *     seen none
-   * @param spotNoticeSeconds seconds until the provider preempts the machine; null without a notice
+   * @param preemptionNoticeSeconds seconds until the provider preempts the machine; null without a
+   *     notice
    */
   public record WorkerReport(
       MachineId machineId,
@@ -45,7 +46,7 @@
       long session,
       long sequence,
       Version fencingToken,
-      Double spotNoticeSeconds,
+      Double preemptionNoticeSeconds,
       List<TaskReport> tasks) {
     /** Returns whether any task of this report has not exited, so may still be on the machine. */
     public boolean holdsTasks() {
--- a/src/main/java/io/violetrail/worker/HeartbeatHandler.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatHandler.java
@@ -2,7 +2,7 @@
 
 import io.violetrail.fleet.EntityMachines;
 import io.violetrail.fleet.Machine;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.ownership.ClusterView;
 import io.violetrail.ownership.Membership;
 import io.violetrail.ownership.OwnedEntity;
@@ -96,12 +96,12 @@
    * @param replyConsumer receives exactly one answer: before this method returns, after the record
    *     of an adopted machine was written, or when the heartbeat's long poll ends
    */
-  public void handle(byte[] body, Consumer<HttpAnswer> replyConsumer) {
+  public void handle(byte[] body, Consumer<HttpResponse> replyConsumer) {
     WorkerReport report;
     try {
       report = HeartbeatMessages.parseReport(Cbor.parse(body));
     } catch (MalformedMessageException exception) {
-      replyConsumer.accept(HttpAnswer.error(400, exception.getMessage()));
+      replyConsumer.accept(HttpResponse.error(400, exception.getMessage()));
       return;
     }
     Optional<LastHeartbeat> lastHeartbeat = lastHeartbeats.acceptIfNewer(report);
--- a/src/main/java/io/violetrail/worker/HeartbeatReply.java
+++ b/src/main/java/io/violetrail/worker/HeartbeatReply.java
@@ -2,7 +2,7 @@
 
 import io.violetrail.evidence.HeartbeatReplyKind;
 import io.violetrail.model.Version;
-import io.violetrail.net.RequestHandler.HttpAnswer;
+import io.violetrail.net.RequestHandler.HttpResponse;
 import io.violetrail.wire.HeartbeatMessages;
 import io.violetrail.wire.HeartbeatMessages.WorkerCommand;
 import io.violetrail.wire.HeartbeatMessages.WorkerReport;
@@ -15,13 +15,13 @@
  * @param token the fencing token that the reply carries; {@link Version#NONE} if the reply does not
  *     renew the lease
  */
-record HeartbeatReply(HeartbeatReplyKind kind, Version token, HttpAnswer answer) {
+record HeartbeatReply(HeartbeatReplyKind kind, Version token, HttpResponse answer) {
   /** Returns a reply that renews the worker's lease and carries commands. */
   static HeartbeatReply leaseRenewed(Version token, List<WorkerCommand> commands) {
     return new HeartbeatReply(
         HeartbeatReplyKind.RENEWED,
         token,
-        HttpAnswer.of(200, HeartbeatMessages.commandReply(token, commands)));
+        HttpResponse.of(200, HeartbeatMessages.commandReply(token, commands)));
   }
 
   /**
@@ -40,7 +40,7 @@
         : new HeartbeatReply(
             HeartbeatReplyKind.STAY,
             Version.NONE,
-            HttpAnswer.of(200, HeartbeatMessages.nonRenewingReply()));
+            HttpResponse.of(200, HeartbeatMessages.nonRenewingReply()));
   }
 
   /**
@@ -52,12 +52,12 @@
     return new HeartbeatReply(
         HeartbeatReplyKind.SENT_ELSEWHERE,
         Version.NONE,
-        HttpAnswer.of(421, HeartbeatMessages.redirectReply(owner)));
+        HttpResponse.of(421, HeartbeatMessages.redirectReply(owner)));
   }
 
   /** Returns an error with status 503, after which the worker tries the next controller. */
   static HeartbeatReply refused(String reason) {
     return new HeartbeatReply(
-        HeartbeatReplyKind.REFUSED, Version.NONE, HttpAnswer.unavailable(reason));
+        HeartbeatReplyKind.REFUSED, Version.NONE, HttpResponse.unavailable(reason));
   }
 }
--- a/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
+++ b/src/main/java/io/violetrail/worker/OwnedMachineHeartbeat.java
@@ -138,7 +138,7 @@
     final boolean wasSchedulable = machine.isSchedulable();
     reconciler.reconcile(entity, machine, report, loop.monotonicSeconds(), commands);
     machine.recordNewestReport(report.session(), report.sequence());
-    machine.recordReconciledStatus(report.spotNoticeSeconds());
+    machine.recordReconciledStatus(report.preemptionNoticeSeconds());
     if (!mayCommand(entity)) {
       return leaseRenewal.renew(entity, token, report, List.of());
     }
